--- a/cmd/wickarch/faults_test.go
+++ b/cmd/wickarch/faults_test.go
@@ -129,7 +129,7 @@
 	if f.HasEnded() {
 		return
 	}
-	for v := lifecycle.None + 1; v < lifecycle.Violations; v++ {
+	for v := lifecycle.None + 1; v < lifecycle.NumViolations; v++ {
 		if n := f.events(v.String()); n > 0 {
 			f.Errorf("violations of the rule on requests: %s, %d times", v, n)
 		}
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -32,10 +32,10 @@
 // Node is what the address tells of and commands. Its methods are called on the
 // reactor's goroutine and do not block.
 type Node interface {
-	// Takes tells whether this process takes clients.
-	Takes() bool
-	// AppendFigures appends the figures, a name=value a line.
-	AppendFigures(b []byte) []byte
+	// TakesClients tells whether this process takes clients.
+	TakesClients() bool
+	// AppendMetrics appends the figures, a name=value a line.
+	AppendMetrics(b []byte) []byte
 	// AppendBackends appends what is known of each backend, a line each.
 	AppendBackends(b []byte) []byte
 	// AppendEvents appends counts of what has ended, by reason.
@@ -44,9 +44,9 @@
 	Standby()
 	// Active ends that.
 	Active()
-	// Starved notes that a caller waits and no descriptor is left for it: the
+	// OutOfDescriptors notes that a caller waits and no descriptor is left for it: the
 	// clients' part makes room for one at its next turn.
-	Starved()
+	OutOfDescriptors()
 }
 
 // Server serves the address.
@@ -130,7 +130,7 @@
 	if e := s.conns.Front(); e != nil {
 		e.Value.(*conn).close()
 	} else {
-		s.node.Starved()
+		s.node.OutOfDescriptors()
 	}
 }
 
@@ -230,13 +230,13 @@
 	switch r.URL.Path {
 	case "/status":
 		answer = func() (int, []byte) {
-			if node.Takes() {
+			if node.TakesClients() {
 				return http.StatusOK, []byte("yes\n")
 			}
 			return http.StatusServiceUnavailable, []byte("no\n")
 		}
 	case "/status/metrics":
-		answer = func() (int, []byte) { return http.StatusOK, node.AppendFigures(nil) }
+		answer = func() (int, []byte) { return http.StatusOK, node.AppendMetrics(nil) }
 	case "/status/backends":
 		answer = func() (int, []byte) { return http.StatusOK, node.AppendBackends(nil) }
 	case "/status/events":
--- a/internal/front/admin/admin_test.go
+++ b/internal/front/admin/admin_test.go
@@ -21,13 +21,13 @@
 	starved func()
 }
 
-func (n *fakeNode) Takes() bool                    { return n.takes }
-func (n *fakeNode) AppendFigures(b []byte) []byte  { return append(b, "edge_node.inflight=7\n"...) }
+func (n *fakeNode) TakesClients() bool             { return n.takes }
+func (n *fakeNode) AppendMetrics(b []byte) []byte  { return append(b, "edge_node.inflight=7\n"...) }
 func (n *fakeNode) AppendBackends(b []byte) []byte { return append(b, "s-1 state=used\n"...) }
 func (n *fakeNode) AppendEvents(b []byte) []byte   { return append(b, "closed client=1\n"...) }
 func (n *fakeNode) Standby()                       { n.takes = false }
 func (n *fakeNode) Active()                        { n.takes = true }
-func (n *fakeNode) Starved()                       { n.starved() }
+func (n *fakeNode) OutOfDescriptors()              { n.starved() }
 
 func serve(t *testing.T, most int) (*Server, *reactor.Loop) {
 	t.Helper()
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -75,5 +75,5 @@
 // rest waits until so many connections could carry a request.
 func (r *rig) rest(connections int) {
 	r.Helper()
-	r.eventually("the connections to have rested", func(l *loop) bool { return l.pool.Kept() == connections })
+	r.eventually("the connections to have rested", func(l *loop) bool { return l.pool.Reusable() == connections })
 }
--- a/internal/ingress/closing.go
+++ b/internal/ingress/closing.go
@@ -25,7 +25,7 @@
 // anew by its client; one that was read would be taken, and lost.
 func (c *client) shut() {
 	if c.first != nil {
-		c.front.loop.violates(lifecycle.Close(c.pending, false), c.first.request)
+		c.front.loop.violates(lifecycle.CheckClose(c.pending, false), c.first.request)
 	}
 	c.front.loop.events.closed(c, c.why, nil)
 	c.net.CloseWrite()
@@ -148,7 +148,7 @@
 	f.admission.Release(&c.place)
 	open := c.forsake()
 	if len(open) > 0 {
-		f.loop.violates(lifecycle.Close(len(open), why.frees()), open[0])
+		f.loop.violates(lifecycle.CheckClose(len(open), why.frees()), open[0])
 	}
 	f.loop.gone(open)
 }
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -146,12 +146,12 @@
 			err = resp.ErrMalformed
 		}
 	case optSpread:
-		c.spread, err = resp.Count(value, 1, gateways)
+		c.spread, err = resp.Int(value, 1, gateways)
 	case optFirst:
-		c.first, err = resp.Count(value, 0, gateways-1)
+		c.first, err = resp.Int(value, 0, gateways-1)
 	case optRepeat:
 		var r int
-		r, err = resp.Count(value, 0, 1)
+		r, err = resp.Int(value, 0, 1)
 		c.repeat = r == 1
 	}
 	if err != nil {
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -290,7 +290,7 @@
 				told = fmt.Sprintf(told, late.Addr)
 			}
 			r.discovery.Lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[%s{"id":"other","host_port":%q,"phase":"SERVING","size":1}]}`, told, other.Addr)
-			r.eventually("the change to be known", func(l *loop) bool { return l.pool.Known()["other"] > 0 })
+			r.eventually("the change to be known", func(l *loop) bool { return l.pool.BackendIDs()["other"] > 0 })
 			if told != "" {
 				late.Go() // it comes up at the system's next try, a second later
 			}
--- a/internal/ingress/discovery_test.go
+++ b/internal/ingress/discovery_test.go
@@ -51,12 +51,12 @@
 		t.Errorf("the watch goes on from %s, want 8", index)
 	}
 	r.discovery.Lines <- fmt.Sprintf(`{"revision":9,"complete":true,"members":[{"id":"1","host_port":%q,"phase":"SERVING","size":1}]}`, one.Addr)
-	r.eventually("the missing backend to go", func(l *loop) bool { return len(l.pool.Known()) == 1 })
+	r.eventually("the missing backend to go", func(l *loop) bool { return len(l.pool.BackendIDs()) == 1 })
 	c.send("Q.DO", anyone, newID(), payment, "BODY")
 	wait(t, "the request at the first backend", one.Got).Answer("x")
 	c.want("$1\r\nx")
 	r.discovery.Lines <- `{"revision":10,"complete":false,"members":[{"id":"1","phase":"DELETED"}]}`
-	r.eventually("the deleted backend to go", func(l *loop) bool { return len(l.pool.Known()) == 0 })
+	r.eventually("the deleted backend to go", func(l *loop) bool { return len(l.pool.BackendIDs()) == 0 })
 }
 
 // A watch that was cut off stays open and says nothing.
@@ -114,7 +114,7 @@
 	silent := newFakeDiscovery(t) // tells nothing: the old address stays in force
 	r.server.Reload(Config{Discovery: silent.Addr()})
 	r.discovery.Lines <- fmt.Sprintf(`{"revision":99,"complete":false,"members":[{"id":"2","host_port":%q,"phase":"SERVING","size":1}]}`, two.Addr)
-	r.eventually("a change at the old address", func(l *loop) bool { return len(l.pool.Known()) == 2 })
+	r.eventually("a change at the old address", func(l *loop) bool { return len(l.pool.BackendIDs()) == 2 })
 
 	next := newFakeDiscovery(t, one.member("1"))
 	next.Open()
@@ -124,7 +124,7 @@
 			t.Errorf("the new watch begins at %s, want its own list's 7", index)
 		}
 	}
-	r.eventually("the new list to be in force", func(l *loop) bool { return len(l.pool.Known()) == 1 })
+	r.eventually("the new list to be in force", func(l *loop) bool { return len(l.pool.BackendIDs()) == 1 })
 	first.Answer("v")
 	c.want("$1\r\nv")
 	r.rest(1)
@@ -178,8 +178,8 @@
 	}
 	for range 2 { // the full list may name the old one once more
 		r.ask(func(l *loop) {
-			if len(l.pool.Known()) != 1 || l.pool.Known()["new"] <= 1 {
-				t.Errorf("the backends are %v, want the new one alone under an id of its own", l.pool.Known())
+			if len(l.pool.BackendIDs()) != 1 || l.pool.BackendIDs()["new"] <= 1 {
+				t.Errorf("the backends are %v, want the new one alone under an id of its own", l.pool.BackendIDs())
 			}
 			l.members(choice.Full, MemberList{Complete: true, Members: []Member{
 				{ID: "new", HostPort: b.Addr, Phase: PhaseServing, Size: 1, UpSince: time.Now().UnixMilli()}, b.member("old")}})
--- a/internal/ingress/events.go
+++ b/internal/ingress/events.go
@@ -53,7 +53,7 @@
 // and with details logs each of these and what became of each request.
 type eventLog struct {
 	closes        [closeReasons]uint64
-	ends          [upstream.Causes]uint64
+	ends          [upstream.NumCauses]uint64
 	retries       uint64
 	acceptsFailed uint64
 	watchesFailed uint64
@@ -84,7 +84,7 @@
 	e.ends[reply.Cause]++
 	if e.details != nil {
 		e.details.Info("attempt ended", "request", fmt.Sprintf("%016x", r.name), "attempt", a.Number, "backend", a.Backend,
-			"status", statusName(reply.Status), "cause", reply.Cause, "error", reply.Err, "over", r.life.Over())
+			"status", statusName(reply.Status), "cause", reply.Cause, "error", reply.Err, "over", r.life.Finished())
 	}
 }
 
@@ -98,7 +98,7 @@
 // abandoned notes a request whose client's connection has gone.
 func (e *eventLog) abandoned(r *request) {
 	if e.details != nil {
-		e.details.Info("request abandoned", "request", fmt.Sprintf("%016x", r.name), "attempts", len(r.attempts), "out", r.life.Out())
+		e.details.Info("request abandoned", "request", fmt.Sprintf("%016x", r.name), "attempts", len(r.attempts), "out", r.life.InFlight())
 	}
 }
 
--- a/internal/ingress/figures.go
+++ b/internal/ingress/figures.go
@@ -34,8 +34,8 @@
 // figuresPrefix begins each name, as the platform's page has them.
 const figuresPrefix = "edge_node."
 
-// AppendFigures appends the figures as they are now, a name=value a line.
-func (i *Ingress) AppendFigures(b []byte) []byte {
+// AppendMetrics appends the figures as they are now, a name=value a line.
+func (i *Ingress) AppendMetrics(b []byte) []byte {
 	l := i.loop
 	line := func(name, class string, v uint64) {
 		b = append(append(b, figuresPrefix...), name...)
@@ -53,7 +53,7 @@
 		line("backend_calls", name, c.Calls)
 	}
 	line("inflight", "", uint64(l.figures.open))
-	line("hosts_listed", "", uint64(l.pool.Listed()))
+	line("hosts_listed", "", uint64(l.pool.BackendCount()))
 	line("hosts_down", "", uint64(l.gateway.Avoided(l.Now())))
 	if t := l.terms; t != nil {
 		line("config_version", "", t.version)
@@ -68,7 +68,7 @@
 func (i *Ingress) AppendBackends(b []byte) []byte {
 	l := i.loop
 	names := map[uint32]string{}
-	for name, id := range l.pool.Known() {
+	for name, id := range l.pool.BackendIDs() {
 		names[id] = name
 	}
 	for _, v := range l.gateway.View(l.Now()) {
--- a/internal/ingress/figures_test.go
+++ b/internal/ingress/figures_test.go
@@ -288,7 +288,7 @@
 		return serve(t, d, func(cfg *Config) { inherited(cfg); withAdmin(cfg); cfg.Shared = dir })
 	}
 	takes := func(r *rig) {
-		r.eventually("it says yes", func(*loop) bool { return r.server.Takes() })
+		r.eventually("it says yes", func(*loop) bool { return r.server.TakesClients() })
 	}
 	first := begin()
 	takes(first)
--- a/internal/ingress/inbox_test.go
+++ b/internal/ingress/inbox_test.go
@@ -66,7 +66,7 @@
 			}
 			run.do(func() {})
 			state := func(i *installation) (all []string) {
-				known := i.ingress.loop.pool.Known()
+				known := i.ingress.loop.pool.BackendIDs()
 				for _, name := range slices.Sorted(maps.Keys(known)) {
 					all = append(all, fmt.Sprint(name, "=", known[name]))
 				}
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -117,8 +117,8 @@
 		longest = max(longest, c.Deadline)
 	}
 	l.ids.span = longest + idsMargin
-	l.pool = upstream.New(upstream.Config{Connections: cfg.Limits.backends(), Idle: cfg.connIdle,
-		ConnectTimeout: cfg.connectTimeout, Reports: cfg.Choice.ReportFields, Proof: cfg.Proof}, on, l)
+	l.pool = upstream.New(upstream.Config{MaxConnections: cfg.Limits.backends(), BackendIdleTimeout: cfg.connIdle,
+		ConnectTimeout: cfg.connectTimeout, ReportFields: cfg.Choice.ReportFields, TrustThreshold: cfg.Proof}, on, l)
 	on.Add(l.pool)
 	var err error
 	decide := cfg.Choice
@@ -203,7 +203,7 @@
 
 // forget drops a request that is over and has nothing out.
 func (l *loop) forget(r *request) {
-	if r.life.Over() && r.life.Out() == 0 && l.requests[r.id] == r {
+	if r.life.Finished() && r.life.InFlight() == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
 		l.memory.give(r.size)
 	}
@@ -247,12 +247,12 @@
 	}
 	r := a.Owner.(*request)
 	if reply.Cause != upstream.CauseForbidden {
-		r.life.Ended(mayHaveRun(reply.Status))
+		r.life.AttemptEnded(mayHaveRun(reply.Status))
 	}
 	l.events.ended(r, a, reply)
 	l.fleet.Ended()
 	if reply.Stream != nil {
-		if r.life.Over() {
+		if r.life.Finished() {
 			reply.Stream.Close()
 		} else {
 			l.answer(r, outcome{kind: served, body: reply.Stream})
@@ -261,14 +261,14 @@
 		l.answer(r, outcome{kind: served, value: reply.Value})
 	}
 	l.gateway.Outcome(l.Now(), choice.Outcome{
-		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Over: r.life.Over(),
+		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Over: r.life.Finished(),
 		Metered: reply.Metered, Used: reply.Used, Age: reply.Age, Load: reply.Load,
 	})
 	l.forget(r)
 }
 
-// Figures takes what stood behind a large value.
-func (l *loop) Figures(a *upstream.Attempt, reply upstream.Reply) {
+// Trailer takes what stood behind a large value.
+func (l *loop) Trailer(a *upstream.Attempt, reply upstream.Reply) {
 	if r := a.Owner.(*request); reply.Metered {
 		l.gateway.Metered(l.Now(), r.customer, r.plan, reply.Used, reply.Age)
 		l.settle()
@@ -286,9 +286,9 @@
 	}
 }
 
-// Starved notes that a dial wants room. Connections are closed for it later: this
+// OutOfDescriptors notes that a dial wants room. Connections are closed for it later: this
 // is called while the gateway is at work, and a connection closed may end requests.
-func (l *loop) Starved() { l.starved = true }
+func (l *loop) OutOfDescriptors() { l.starved = true }
 
 // Written counts an attempt that has come whole to a backend.
 func (l *loop) Written(a *upstream.Attempt) {
@@ -337,18 +337,18 @@
 		// it over; the other is gone, though discovery has not noticed yet. What
 		// is sent to that one would reach the new one, cold, and not be counted.
 		known := upstream.Member{Name: m.ID, Address: m.HostPort, Since: m.UpSince}
-		if other, any := l.pool.Sharing(known); state == choice.Ready && any {
+		if other, any := l.pool.OtherAtAddress(known); state == choice.Ready && any {
 			if other.Since > m.UpSince {
 				state = choice.Removed
 			} else {
 				other.State = choice.Removed
-				backends = append(backends, choice.Backend{ID: l.pool.Member(other), State: choice.Removed})
+				backends = append(backends, choice.Backend{ID: l.pool.Update(other), State: choice.Removed})
 			}
 		}
 		known.State = state
 		named[m.ID] = true
 		b := choice.Backend{
-			ID: l.pool.Member(known), Zone: index(l.cfg.zones, m.Locality), Kind: index(l.cfg.kinds, m.Flavor),
+			ID: l.pool.Update(known), Zone: index(l.cfg.zones, m.Locality), Kind: index(l.cfg.kinds, m.Flavor),
 			Cell: m.Cell, State: state, Weight: m.Size,
 		}
 		b.Started, b.Dated = l.started(m)
@@ -359,7 +359,7 @@
 		backends = append(backends, b)
 	}
 	if kind != choice.Delta {
-		l.pool.Keep(named)
+		l.pool.RemoveUnlisted(named)
 		l.starts.keep(named)
 	}
 	l.fleet.Members(now, kind, backends, func(b choice.Backend) uint64 { return keys[b.ID] })
@@ -376,7 +376,7 @@
 // checkReady lets clients in once there is a backend. The list of the
 // configuration may be old, so discovery is asked first.
 func (l *loop) checkReady() {
-	l.ready = l.ready || l.asked && l.pool.Serving()
+	l.ready = l.ready || l.asked && l.pool.AnyReady()
 }
 
 // started tells when a backend started, by the gateway's clock. 0 stands for long ago.
@@ -410,14 +410,14 @@
 	*a = upstream.Attempt{Message: r, Owner: r, Number: len(r.attempts), Backend: backend, Deadline: l.Now() + timeout,
 		Repeatable: l.cfg.Choice.Classes[r.class].Effect == choice.Free}
 	if class := &l.cfg.Choice.Classes[r.class]; class.Effect == choice.Guarded && a != &r.initial {
-		a.Before = r.sent + class.Window // later its repeat is not dropped any more
+		a.WriteBy = r.sent + class.Window // later its repeat is not dropped any more
 	} else if a == &r.initial {
 		r.sent = l.Now()
 	}
 	r.attempts = append(r.attempts, a)
 	l.events.sent(r, a)
 	l.fleet.Sent()
-	if l.violates(r.life.Begin(l.Now()), r) {
+	if l.violates(r.life.BeginAttempt(l.Now()), r) {
 		l.pool.Forbid(a)
 		return
 	}
@@ -430,7 +430,7 @@
 		return true
 	}
 	r := a.Owner.(*request)
-	if l.violates(r.life.Write(l.Now()), r) {
+	if l.violates(r.life.CheckWrite(l.Now()), r) {
 		return false
 	}
 	// Just after its reading nothing can have happened that is not known. Later an event that tells of the
@@ -463,12 +463,12 @@
 		mostOut = 2
 	}
 	for _, c := range cfg.Classes {
-		r := lifecycle.Rules{Window: c.Window, Everywhere: c.Group == choice.GroupAll, MostOut: mostOut, MostInAll: cfg.MaxAttempts}
+		r := lifecycle.Rules{Window: c.Window, DedupAcrossBackends: c.Group == choice.GroupAll, MaxInFlight: mostOut, MaxAttempts: cfg.MaxAttempts}
 		switch c.Effect {
 		case choice.Guarded:
-			r.Repeats = lifecycle.RunsOnceAway
+			r.Idempotency = lifecycle.Deduplicated
 		case choice.SingleShot:
-			r.Repeats = lifecycle.RunsOnce
+			r.Idempotency = lifecycle.NonIdempotent
 		}
 		rules = append(rules, r)
 	}
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -95,8 +95,8 @@
 	i.front.finish()
 }
 
-// Takes tells whether this process takes clients.
-func (i *Ingress) Takes() bool { return i.loop.ready && !i.front.draining && i.front.ln != nil }
+// TakesClients tells whether this process takes clients.
+func (i *Ingress) TakesClients() bool { return i.loop.ready && !i.front.draining && i.front.ln != nil }
 
 // Standby empties the ingress until Active: each connection closes as soon as it
 // has nothing open, and PING is answered with an error. What comes meanwhile, on
@@ -114,8 +114,8 @@
 	}
 }
 
-// Starved notes that a caller of the second address waits for a descriptor.
-func (i *Ingress) Starved() { i.loop.Starved() }
+// OutOfDescriptors notes that a caller of the second address waits for a descriptor.
+func (i *Ingress) OutOfDescriptors() { i.loop.OutOfDescriptors() }
 
 // Held is what an ingress holds.
 type Held struct {
@@ -255,7 +255,7 @@
 	select {
 	case <-empty:
 	case <-time.After(longest + lastAnswers):
-		s.loop.Do(func() { s.loop.violates(lifecycle.End(s.loop.figures.open), nil) })
+		s.loop.Do(func() { s.loop.violates(lifecycle.CheckExit(s.loop.figures.open), nil) })
 	}
 	return nil
 }
--- a/internal/ingress/terms_test.go
+++ b/internal/ingress/terms_test.go
@@ -73,7 +73,7 @@
 	want("basic", served)
 	want("gold", unknown)
 	var text string
-	r.ask(func(l *loop) { text = string(r.server.AppendFigures(nil)) })
+	r.ask(func(l *loop) { text = string(r.server.AppendMetrics(nil)) })
 	if !strings.Contains(text, "config_version=3\n") || !strings.Contains(text, "config_settled=2\n") {
 		t.Errorf("figures: %s", text)
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -8,23 +8,23 @@
 
 import "time"
 
-// Repeats tells what a second run of a request would do.
-type Repeats uint8
+// Idempotency tells what a second run of a request would do.
+type Idempotency uint8
 
 // The kinds of request.
 const (
-	RunsAtWill   Repeats = iota // no harm
-	RunsOnceAway                // no harm where and while the backends drop repeats
-	RunsOnce                    // harm
+	Idempotent    Idempotency = iota // no harm
+	Deduplicated                     // no harm where and while the backends drop repeats
+	NonIdempotent                    // harm
 )
 
 // Rules are those of one class of requests.
 type Rules struct {
-	Repeats    Repeats
-	Window     time.Duration // RunsOnceAway: how long after the first attempt a repeat may be written
-	Everywhere bool          // RunsOnceAway: every backend drops repeats, so that clients may repeat as well
-	MostOut    int           // attempts at once
-	MostInAll  int           // attempts
+	Idempotency         Idempotency
+	Window              time.Duration // RunsOnceAway: how long after the first attempt a repeat may be written
+	DedupAcrossBackends bool          // RunsOnceAway: every backend drops repeats, so that clients may repeat as well
+	MaxInFlight         int           // attempts at once
+	MaxAttempts         int           // attempts
 }
 
 type state uint8
@@ -50,22 +50,22 @@
 	first      time.Duration // when the first attempt began
 }
 
-// Over tells whether it is owed nothing any more.
-func (r *Request) Over() bool { return r.state != open }
+// Finished tells whether it is owed nothing any more.
+func (r *Request) Finished() bool { return r.state != open }
 
-// Out is how many of its attempts have not ended.
-func (r *Request) Out() int { return int(r.out) }
+// InFlight is how many of its attempts have not ended.
+func (r *Request) InFlight() int { return int(r.out) }
 
-// Begin is asked before an attempt begins.
-func (r *Request) Begin(now time.Duration) Violation {
+// BeginAttempt is asked before an attempt begins.
+func (r *Request) BeginAttempt(now time.Duration) Violation {
 	switch {
 	case r.state != open:
 		return BeginAfterEnd
 	case now >= r.Deadline+heldUp:
 		return BeginAfterDeadline
-	case int(r.out) >= r.Rules.MostOut:
+	case int(r.out) >= r.Rules.MaxInFlight:
 		return BeginBeside
-	case int(r.begun) >= r.Rules.MostInAll:
+	case int(r.begun) >= r.Rules.MaxAttempts:
 		return BeginTooMany
 	case r.mayHaveRun && !r.repeatable(now):
 		return RepeatMayRunTwice
@@ -78,8 +78,8 @@
 	return None
 }
 
-// Write is asked before the first byte of an attempt is written.
-func (r *Request) Write(now time.Duration) Violation {
+// CheckWrite is asked before the first byte of an attempt is written.
+func (r *Request) CheckWrite(now time.Duration) Violation {
 	switch {
 	case r.state != open:
 		return WriteAfterEnd
@@ -91,17 +91,17 @@
 
 // repeatable tells whether a further run does no harm.
 func (r *Request) repeatable(now time.Duration) bool {
-	switch r.Rules.Repeats {
-	case RunsAtWill:
+	switch r.Rules.Idempotency {
+	case Idempotent:
 		return true
-	case RunsOnceAway:
+	case Deduplicated:
 		return now < r.first+r.Rules.Window
 	}
 	return false
 }
 
-// Ended notes the end of an attempt, and whether it may have run.
-func (r *Request) Ended(mayHaveRun bool) {
+// AttemptEnded notes the end of an attempt, and whether it may have run.
+func (r *Request) AttemptEnded(mayHaveRun bool) {
 	r.out--
 	r.mayHaveRun = r.mayHaveRun || mayHaveRun
 }
@@ -121,20 +121,20 @@
 
 // harmless tells whether a client may repeat it though it may have run.
 func (r *Request) harmless() bool {
-	return r.Rules.Repeats == RunsAtWill || r.Rules.Repeats == RunsOnceAway && r.Rules.Everywhere
+	return r.Rules.Idempotency == Idempotent || r.Rules.Idempotency == Deduplicated && r.Rules.DedupAcrossBackends
 }
 
-// Close is asked before the ingress closes a connection with so many requests open on it. Their clients
+// CheckClose is asked before the ingress closes a connection with so many requests open on it. Their clients
 // free them by going away, by a connection that breaks, and by not reading.
-func Close(open int, freed bool) Violation {
+func CheckClose(open int, freed bool) Violation {
 	if open > 0 && !freed {
 		return CloseOverOpen
 	}
 	return None
 }
 
-// End is asked before the process ends with so many requests open.
-func End(open int) Violation {
+// CheckExit is asked before the process ends with so many requests open.
+func CheckExit(open int) Violation {
 	if open > 0 {
 		return EndOverOpen
 	}
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-func request(repeats Repeats) *Request {
-	return &Request{Rules: &Rules{Repeats: repeats, Window: time.Second, MostOut: 1, MostInAll: 4}, Deadline: 3 * time.Second}
+func request(repeats Idempotency) *Request {
+	return &Request{Rules: &Rules{Idempotency: repeats, Window: time.Second, MaxInFlight: 1, MaxAttempts: 4}, Deadline: 3 * time.Second}
 }
 
 func want(t *testing.T, what string, got, want Violation) {
@@ -20,25 +20,25 @@
 func TestWhatMayHaveRunIsNeitherRepeatedNorRefused(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		repeats    Repeats
+		repeats    Idempotency
 		mayHaveRun bool
 		at         time.Duration
 		begin      Violation
 		refuse     Violation
 	}{
-		{"at will", RunsAtWill, true, 2 * time.Second, None, None},
-		{"keyed, in its window", RunsOnceAway, true, 900 * time.Millisecond, None, RefuseMayHaveRun},
-		{"keyed, behind it", RunsOnceAway, true, time.Second, RepeatMayRunTwice, RefuseMayHaveRun},
-		{"once, never ran", RunsOnce, false, 2 * time.Second, None, None},
-		{"once, may have run", RunsOnce, true, time.Millisecond, RepeatMayRunTwice, RefuseMayHaveRun},
+		{"at will", Idempotent, true, 2 * time.Second, None, None},
+		{"keyed, in its window", Deduplicated, true, 900 * time.Millisecond, None, RefuseMayHaveRun},
+		{"keyed, behind it", Deduplicated, true, time.Second, RepeatMayRunTwice, RefuseMayHaveRun},
+		{"once, never ran", NonIdempotent, false, 2 * time.Second, None, None},
+		{"once, may have run", NonIdempotent, true, time.Millisecond, RepeatMayRunTwice, RefuseMayHaveRun},
 	} {
 		r := request(c.repeats)
-		want(t, c.name+", the first", r.Begin(0), None)
-		want(t, c.name+", written", r.Write(0), None)
-		r.Ended(c.mayHaveRun)
-		want(t, c.name+", the second", r.Begin(c.at), c.begin)
+		want(t, c.name+", the first", r.BeginAttempt(0), None)
+		want(t, c.name+", written", r.CheckWrite(0), None)
+		r.AttemptEnded(c.mayHaveRun)
+		want(t, c.name+", the second", r.BeginAttempt(c.at), c.begin)
 		if c.begin == None {
-			r.Ended(false)
+			r.AttemptEnded(false)
 		}
 		give, v := r.Answer(true)
 		want(t, c.name+", the refusal", v, c.refuse)
@@ -50,45 +50,45 @@
 
 // Guards against attempts that begin where nothing is owed any more.
 func TestNothingBeginsBehindTheEnd(t *testing.T) {
-	r := request(RunsAtWill)
-	want(t, "begins", r.Begin(0), None)
-	want(t, "beside", r.Begin(0), BeginBeside)
-	r.Ended(true)
-	want(t, "past its time", r.Begin(3*time.Second+heldUp), BeginAfterDeadline)
+	r := request(Idempotent)
+	want(t, "begins", r.BeginAttempt(0), None)
+	want(t, "beside", r.BeginAttempt(0), BeginBeside)
+	r.AttemptEnded(true)
+	want(t, "past its time", r.BeginAttempt(3*time.Second+heldUp), BeginAfterDeadline)
 	for range 3 {
-		want(t, "repeat", r.Begin(time.Second), None)
-		r.Ended(false)
+		want(t, "repeat", r.BeginAttempt(time.Second), None)
+		r.AttemptEnded(false)
 	}
-	want(t, "one too many", r.Begin(time.Second), BeginTooMany)
-	if !r.Abandon() || r.Abandon() || !r.Over() {
+	want(t, "one too many", r.BeginAttempt(time.Second), BeginTooMany)
+	if !r.Abandon() || r.Abandon() || !r.Finished() {
 		t.Error("it is abandoned once")
 	}
-	want(t, "abandoned", r.Begin(0), BeginAfterEnd)
-	want(t, "abandoned", r.Write(0), WriteAfterEnd)
+	want(t, "abandoned", r.BeginAttempt(0), BeginAfterEnd)
+	want(t, "abandoned", r.CheckWrite(0), WriteAfterEnd)
 	if give, _ := r.Answer(false); give {
 		t.Error("an answer to an abandoned request")
 	}
-	r = request(RunsAtWill)
+	r = request(Idempotent)
 	if give, _ := r.Answer(false); !give {
 		t.Error("no answer to an open request")
 	}
 	if give, _ := r.Answer(false); give {
 		t.Error("a second answer")
 	}
-	want(t, "answered", r.Begin(0), BeginAfterEnd)
+	want(t, "answered", r.BeginAttempt(0), BeginAfterEnd)
 }
 
 // Guards against violations that nobody hears of.
 func TestViolationsAreCountedByName(t *testing.T) {
 	var c Counts
 	names := map[string]bool{}
-	for v := range Violations {
+	for v := range NumViolations {
 		if counted := c.Add(v); counted != (v != None) {
 			t.Errorf("%s: counted %v", v, counted)
 		}
 		names[v.String()] = true
 	}
-	if c.Total() != uint64(Violations)-1 || len(names) != int(Violations) {
-		t.Errorf("%d counted under %d names, want %d of each but none", c.Total(), len(names), Violations)
+	if c.Total() != uint64(NumViolations)-1 || len(names) != int(NumViolations) {
+		t.Errorf("%d counted under %d names, want %d of each but none", c.Total(), len(names), NumViolations)
 	}
 }
--- a/internal/lifecycle/violation.go
+++ b/internal/lifecycle/violation.go
@@ -15,17 +15,17 @@
 	RefuseMayHaveRun             // -BUSY, though an attempt may have run and must not run twice
 	CloseOverOpen                // a connection closed by the ingress with a request open on it
 	EndOverOpen                  // the process ends with a request open
-	Violations                   // how many there are
+	NumViolations                // how many there are
 )
 
-var violationNames = [Violations]string{"none", "begin-after-end", "begin-after-deadline", "begin-beside", "begin-too-many", "repeat-may-run-twice",
+var violationNames = [NumViolations]string{"none", "begin-after-end", "begin-after-deadline", "begin-beside", "begin-too-many", "repeat-may-run-twice",
 	"write-after-end", "refuse-may-have-run", "close-over-open", "end-over-open"}
 
 // String names a violation as logs and counts have it.
 func (v Violation) String() string { return violationNames[v] }
 
 // Counts are how often each violation was met.
-type Counts [Violations]uint64
+type Counts [NumViolations]uint64
 
 // Add counts one, and tells whether it was any.
 func (c *Counts) Add(v Violation) bool {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -13,10 +13,10 @@
 
 // Bounds of the platform's protocol, in bytes.
 const (
-	MaxValue   = 64 << 10        // of one value that is held as a whole
-	MaxLarge   = 4 << 20         // of one value that is passed on as it comes
-	MaxMessage = MaxValue + 4096 // of one command or answer, the largest value among them
-	MaxLine    = 1024            // of an error line or a simple string
+	MaxValue         = 64 << 10        // of one value that is held as a whole
+	MaxStreamedValue = 4 << 20         // of one value that is passed on as it comes
+	MaxMessage       = MaxValue + 4096 // of one command or answer, the largest value among them
+	MaxLine          = 1024            // of an error line or a simple string
 )
 
 const (
@@ -129,8 +129,8 @@
 	return strconv.ParseFloat(s, 64)
 }
 
-// Count reads a whole number from least to most.
-func Count(s string, least, most int) (int, error) {
+// Int reads a whole number from least to most.
+func Int(s string, least, most int) (int, error) {
 	if len(s) > maxDigits || !digits(s) {
 		return 0, ErrMalformed
 	}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -12,8 +12,8 @@
 // pause is the time between two tries.
 const pause = 20 * time.Millisecond
 
-// Passing tells whether an error may be gone a moment later.
-func Passing(err error) bool {
+// Transient tells whether an error may be gone a moment later.
+func Transient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return errors.Is(err, os.ErrNoDeadline) // of a poller that the Go runtime could not watch
@@ -31,7 +31,7 @@
 func For[T any](patience time.Duration, failed func(error), step func() (T, error)) (v T, err error) {
 	end := time.Now().Add(patience)
 	for told := false; ; told = true {
-		if v, err = step(); err == nil || !Passing(err) || time.Now().After(end) {
+		if v, err = step(); err == nil || !Transient(err) || time.Now().After(end) {
 			return v, err
 		}
 		if !told && failed != nil {
--- a/internal/upstream/cause.go
+++ b/internal/upstream/cause.go
@@ -24,10 +24,10 @@
 	CauseCancelled           // the gateway gave it up
 	CauseWithdrawn           // its request was over before it was written
 	CauseForbidden           // the rule on requests forbids it
-	Causes                   // how many there are
+	NumCauses                // how many there are
 )
 
-var causeNames = [Causes]string{"none", "backend-gone", "no-place", "no-descriptor", "dial-failed", "refused", "connect-late", "expired",
+var causeNames = [NumCauses]string{"none", "backend-gone", "no-place", "no-descriptor", "dial-failed", "refused", "connect-late", "expired",
 	"write-failed", "answered-early", "read-failed", "malformed", "unexpected", "copy", "stalled", "deadline", "cancelled", "withdrawn", "forbidden"}
 
 // String names a cause as logs have it.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -74,7 +74,7 @@
 	if (short || errors.Is(err, reactor.ErrBusy)) && c.retry <= dialRetryMost {
 		// No fault of the backend's.
 		if short { // clients at rest make room
-			p.sink.Starved()
+			p.sink.OutOfDescriptors()
 		}
 		c.state = waiting
 		p.loop.Set(&c.timer, min(now+c.retry, c.attempt.Deadline))
@@ -334,7 +334,7 @@
 		c.plain = true
 	default:
 		c.plain, c.last = false, markOf(r)
-		c.to.proof.note(c.last, p.cfg.Proof)
+		c.to.proof.note(c.last, p.cfg.TrustThreshold)
 		if c.history != nil {
 			// As of when the request was written: a process that stood still reads
 			// late what came in time.
@@ -355,7 +355,7 @@
 		// Well before the backend closes it: a request written to a connection
 		// that the backend has closed ends as a reset, which an unsafe request
 		// cannot repeat.
-		p.loop.Set(&c.timer, c.since+time.Duration(idleShare*float64(p.cfg.Idle)))
+		p.loop.Set(&c.timer, c.since+time.Duration(idleShare*float64(p.cfg.BackendIdleTimeout)))
 	}
 	p.end(a, r)
 }
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -144,7 +144,7 @@
 			}
 			got.Metered, got.Used = true, value/100
 		}
-		for i, field := range p.cfg.Reports {
+		for i, field := range p.cfg.ReportFields {
 			if field == name && i < len(got.Load.Values) {
 				if fields&(1<<i) != 0 || value > mostLoad {
 					return
@@ -157,7 +157,7 @@
 	if got.Metered {
 		r.Metered, r.Used = true, got.Used
 	}
-	if n := min(len(p.cfg.Reports), len(got.Load.Values)); n > 0 && fields == 1<<n-1 {
+	if n := min(len(p.cfg.ReportFields), len(got.Load.Values)); n > 0 && fields == 1<<n-1 {
 		got.Load.N = n
 		r.Load = got.Load
 	}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -146,7 +146,7 @@
 		at, err := p.figures(&r, s.tail[len(lineEnd):], answerParts-1)
 		if err == nil && at > 0 {
 			r.Age = p.loop.Now() - c.carried.heard
-			p.sink.Figures(c.carried, r)
+			p.sink.Trailer(c.carried, r)
 			break
 		}
 		if err != nil || len(s.tail) > tailMost {
@@ -192,4 +192,4 @@
 }
 
 // large tells whether a value of so many bytes is one to be streamed.
-func large(size int) bool { return size > resp.MaxValue && size <= resp.MaxLarge }
+func large(size int) bool { return size > resp.MaxValue && size <= resp.MaxStreamedValue }
--- a/internal/upstream/trust.go
+++ b/internal/upstream/trust.go
@@ -78,7 +78,7 @@
 
 // trusted tells whether connections of the backend need no rest.
 func (p *Pool) trusted(b *backend) bool {
-	return b.proof.clean >= p.cfg.Proof && b.proof.violations == p.violations
+	return b.proof.clean >= p.cfg.TrustThreshold && b.proof.violations == p.violations
 }
 
 // rested notes a rest of full length that nothing came in.
@@ -86,7 +86,7 @@
 	if b.proof.violations != p.violations {
 		b.proof.clean, b.proof.violations = 0, p.violations
 	}
-	b.proof.clean = min(b.proof.clean+1, p.cfg.Proof)
+	b.proof.clean = min(b.proof.clean+1, p.cfg.TrustThreshold)
 }
 
 // note takes the mark of an answer towards the proof: while answers are alike,
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -33,11 +33,11 @@
 
 // Config bounds the connections.
 type Config struct {
-	Connections    int           // at once, those coming up among them
-	Idle           time.Duration // a backend closes connections idle for so long
-	ConnectTimeout time.Duration
-	Reports        []string // the fields of a load report, in their order
-	Proof          int      // rests in a row that earn a backend trust (trust.go); 0: 1,000
+	MaxConnections     int           // at once, those coming up among them
+	BackendIdleTimeout time.Duration // a backend closes connections idle for so long
+	ConnectTimeout     time.Duration
+	ReportFields       []string // the fields of a load report, in their order
+	TrustThreshold     int      // rests in a row that earn a backend trust (trust.go); 0: 1,000
 }
 
 // Message is what an attempt sends. wait is how long its answer is waited for.
@@ -50,7 +50,7 @@
 type Attempt struct {
 	Message    Message
 	Deadline   time.Duration // on the reactor's clock
-	Before     time.Duration // its last byte must be written before then; 0: no such bound
+	WriteBy    time.Duration // its last byte must be written before then; 0: no such bound
 	Repeatable bool          // may run twice
 	Backend    uint32
 	Number     int // of the request's attempts
@@ -66,8 +66,8 @@
 
 // until is when its last byte must be written.
 func (a *Attempt) until() time.Duration {
-	if a.Before > 0 {
-		return min(a.Before, a.Deadline)
+	if a.WriteBy > 0 {
+		return min(a.WriteBy, a.Deadline)
 	}
 	return a.Deadline
 }
@@ -81,12 +81,12 @@
 	// Written tells that the last byte of an attempt has been written, once for
 	// each. It may be called from within Start.
 	Written(a *Attempt)
-	// Figures tells what stood behind a large value whose attempt had ended.
-	Figures(a *Attempt, r Reply)
+	// Trailer tells what stood behind a large value whose attempt had ended.
+	Trailer(a *Attempt, r Reply)
 	// MayWrite tells whether an attempt may be written now. It is asked before its first byte.
 	MayWrite(a *Attempt) bool
-	// Starved tells that descriptors have run out in a dial.
-	Starved()
+	// OutOfDescriptors tells that descriptors have run out in a dial.
+	OutOfDescriptors()
 }
 
 // Pool holds the backends and the connections to them.
@@ -128,8 +128,8 @@
 
 // New makes an empty pool.
 func New(cfg Config, loop *reactor.Loop, sink Sink) *Pool {
-	if cfg.Proof == 0 {
-		cfg.Proof = usualProof
+	if cfg.TrustThreshold == 0 {
+		cfg.TrustThreshold = usualProof
 	}
 	return &Pool{cfg: cfg, loop: loop, sink: sink, byName: map[string]*backend{}, byID: map[uint32]*backend{},
 		byAddr: map[string][]*backend{},
@@ -156,8 +156,8 @@
 // Next tells when Round has something to do.
 func (p *Pool) Next() (at time.Duration, any bool) { return 0, len(p.ends)+len(p.up) > 0 }
 
-// Known are the backends, each with the gateway's id for it.
-func (p *Pool) Known() map[string]uint32 {
+// BackendIDs are the backends, each with the gateway's id for it.
+func (p *Pool) BackendIDs() map[string]uint32 {
 	known := make(map[string]uint32, len(p.byName))
 	for name, b := range p.byName {
 		known[name] = b.id
@@ -165,11 +165,11 @@
 	return known
 }
 
-// Listed is how many backends discovery names, those that drain among them.
-func (p *Pool) Listed() int { return len(p.byName) }
+// BackendCount is how many backends discovery names, those that drain among them.
+func (p *Pool) BackendCount() int { return len(p.byName) }
 
-// Kept is how many connections could carry an attempt now.
-func (p *Pool) Kept() (n int) {
+// Reusable is how many connections could carry an attempt now.
+func (p *Pool) Reusable() (n int) {
 	now := p.loop.Now()
 	for _, b := range p.byID {
 		for _, c := range b.idle {
@@ -192,8 +192,8 @@
 	State   choice.State
 }
 
-// Member takes what discovery says of one backend and returns the gateway's id for it.
-func (p *Pool) Member(m Member) uint32 {
+// Update takes what discovery says of one backend and returns the gateway's id for it.
+func (p *Pool) Update(m Member) uint32 {
 	b := p.byName[m.Name]
 	if b == nil {
 		p.lastID++
@@ -232,9 +232,9 @@
 	}
 }
 
-// Sharing returns another backend at the address of m, which serves as far as
+// OtherAtAddress returns another backend at the address of m, which serves as far as
 // discovery has told.
-func (p *Pool) Sharing(m Member) (other Member, any bool) {
+func (p *Pool) OtherAtAddress(m Member) (other Member, any bool) {
 	for _, b := range p.byAddr[m.Address] {
 		if b.name != m.Name && !b.stopped && (!any || b.name < other.Name) {
 			other, any = Member{Name: b.name, Address: b.addr, Since: b.since}, true
@@ -243,8 +243,8 @@
 	return other, any
 }
 
-// Keep drops all backends that a complete list does not name.
-func (p *Pool) Keep(named map[string]bool) {
+// RemoveUnlisted drops all backends that a complete list does not name.
+func (p *Pool) RemoveUnlisted(named map[string]bool) {
 	for _, name := range slices.Sorted(maps.Keys(p.byName)) { // in the same order each time
 		if b := p.byName[name]; !named[name] {
 			b.stop()
@@ -253,8 +253,8 @@
 	}
 }
 
-// Serving tells whether there is a backend to send to.
-func (p *Pool) Serving() bool {
+// AnyReady tells whether there is a backend to send to.
+func (p *Pool) AnyReady() bool {
 	for _, b := range p.byID {
 		if !b.stopped {
 			return true
@@ -289,10 +289,10 @@
 			}
 		}
 	}
-	if p.open >= p.cfg.Connections {
+	if p.open >= p.cfg.MaxConnections {
 		p.Evict()
 	}
-	if p.open >= p.cfg.Connections {
+	if p.open >= p.cfg.MaxConnections {
 		p.end(a, Reply{Status: choice.ConnectFailed, Cause: CauseNoPlace})
 		return
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -100,10 +100,10 @@
 		}
 	})
 	b.near.Start(func(l *reactor.Loop) {
-		b.Pool = New(Config{Connections: 50, Idle: 10 * time.Second, ConnectTimeout: 100 * ms, Reports: []string{"inflight", "latency_ms"}}, l, b)
+		b.Pool = New(Config{MaxConnections: 50, BackendIdleTimeout: 10 * time.Second, ConnectTimeout: 100 * ms, ReportFields: []string{"inflight", "latency_ms"}}, l, b)
 		l.Add(b.Pool)
 	})
-	b.Member(Member{Name: "b", Address: backendAddress, State: choice.Ready})
+	b.Update(Member{Name: "b", Address: backendAddress, State: choice.Ready})
 	return b
 }
 
@@ -114,10 +114,10 @@
 	}
 }
 
-func (b *bench) Starved()               { b.starved++ }
+func (b *bench) OutOfDescriptors()      { b.starved++ }
 func (b *bench) MayWrite(*Attempt) bool { return true }
 
-func (b *bench) Figures(_ *Attempt, r Reply) { b.figures = append(b.figures, r) }
+func (b *bench) Trailer(_ *Attempt, r Reply) { b.figures = append(b.figures, r) }
 
 func (b *bench) Written(*Attempt) { b.written++ }
 
@@ -209,7 +209,7 @@
 		{"called off after the last byte", func(b *bench) { b.run(5 * ms); b.do(func() { b.Abort(b.last) }) }, choice.Cancelled, "x"},
 		{"called off while it connects", func(b *bench) { b.do(func() { b.Abort(b.last) }); b.run(5 * ms) }, choice.ConnectFailed, ""},
 		{"told to drain while it connects", func(b *bench) {
-			b.do(func() { b.Member(Member{Name: "b", State: choice.Draining}) })
+			b.do(func() { b.Update(Member{Name: "b", State: choice.Draining}) })
 			b.run(5 * ms)
 		}, choice.ConnectFailed, ""},
 		{"ended before the first byte", func(b *bench) {
@@ -238,7 +238,7 @@
 		b := newBench(t)
 		a := &Attempt{Message: say("x"), Backend: 1, Deadline: b.near.Now() + patience}
 		if c.before > 0 {
-			a.Before = b.near.Now() + c.before
+			a.WriteBy = b.near.Now() + c.before
 		}
 		b.do(func() { b.Start(a); b.near.Pause() })
 		b.run(c.pause)
@@ -536,7 +536,7 @@
 	b.reply(last, answer("3"))
 	b.want(choice.OK)
 	b.run(fullRest)
-	if b.Kept() != 1 || last.over {
+	if b.Reusable() != 1 || last.over {
 		t.Error("the connection of a lookup is not kept")
 	}
 }
@@ -554,7 +554,7 @@
 	b := newBench(t)
 	b.begin("x")
 	b.run(3 * ms)
-	b.do(func() { b.Member(Member{Name: "b", State: choice.Draining}) })
+	b.do(func() { b.Update(Member{Name: "b", State: choice.Draining}) })
 	b.reply(b.far.conns[0], answer("1"))
 	b.want(choice.OK)
 	if b.Open() != 0 {
@@ -564,7 +564,7 @@
 
 func TestIdleConnectionMakesRoomForAnother(t *testing.T) {
 	b := newBench(t)
-	b.cfg.Connections = 1
+	b.cfg.MaxConnections = 1
 	first := b.exchange("1")
 	b.begin("x") // the first rests still
 	b.run(5 * ms)
@@ -669,7 +669,7 @@
 // whole before that is over, not only begun.
 func TestAttemptHalfWrittenPastItsTimeNeverRuns(t *testing.T) {
 	b := newBench(t)
-	a := &Attempt{Message: say(strings.Repeat("x", 1<<20)), Backend: 1, Deadline: b.near.Now() + patience, Before: b.near.Now() + 3*ms}
+	a := &Attempt{Message: say(strings.Repeat("x", 1<<20)), Backend: 1, Deadline: b.near.Now() + patience, WriteBy: b.near.Now() + 3*ms}
 	b.do(func() { b.Start(a) })
 	b.run(2 * ms)
 	if len(b.far.conns) != 1 || len(b.far.conns[0].got) == 0 {
@@ -680,7 +680,7 @@
 	if b.written != 0 {
 		t.Error("it was written whole")
 	}
-	whole := &Attempt{Message: say("x"), Backend: 1, Deadline: b.near.Now() + patience, Before: b.near.Now() + 3*ms}
+	whole := &Attempt{Message: say("x"), Backend: 1, Deadline: b.near.Now() + patience, WriteBy: b.near.Now() + 3*ms}
 	b.do(func() { b.Start(whole) })
 	b.run(10 * ms) // its answer may come later
 	b.reply(b.far.conns[1], answer("v"))
@@ -695,9 +695,9 @@
 		m := Member{Name: fmt.Sprint(rng.IntN(12)), Address: fmt.Sprint("10.0.0.", rng.IntN(6), ":7"), Since: rng.Int64N(4),
 			State: []choice.State{choice.Ready, choice.Ready, choice.Draining, choice.Removed}[rng.IntN(4)]}
 		if rng.IntN(50) == 0 {
-			b.Keep(map[string]bool{"1": true, "2": true, "7": true})
+			b.RemoveUnlisted(map[string]bool{"1": true, "2": true, "7": true})
 		}
-		b.Member(m)
+		b.Update(m)
 		var want Member
 		any := false
 		for _, o := range b.byName { // as it was found before: among all
@@ -705,7 +705,7 @@
 				want, any = Member{Name: o.name, Address: o.addr, Since: o.since}, true
 			}
 		}
-		if got, found := b.Sharing(m); got != want || found != any {
+		if got, found := b.OtherAtAddress(m); got != want || found != any {
 			t.Fatalf("%v shares with %v (%v), want %v (%v)", m, got, found, want, any)
 		}
 		at := 0
@@ -726,10 +726,10 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := New(Config{}, nil, nil)
 			for i := range n {
-				p.Member(Member{Name: fmt.Sprint(i), Address: fmt.Sprint("10.0.0.1:", i), State: choice.Ready})
+				p.Update(Member{Name: fmt.Sprint(i), Address: fmt.Sprint("10.0.0.1:", i), State: choice.Ready})
 			}
 			for b.Loop() {
-				p.Sharing(Member{Name: "0", Address: "10.0.0.1:0"})
+				p.OtherAtAddress(Member{Name: "0", Address: "10.0.0.1:0"})
 			}
 		})
 	}
@@ -752,9 +752,9 @@
 				b.net.After(at+after-b.net.Now()-b.net.Faults.Latency, func() { _, _ = c.Write([]byte(half)) })
 				b.net.Until(at)
 				if about == "the news of a drain" {
-					b.do(func() { b.Member(Member{Name: "b", State: choice.Draining}) })
+					b.do(func() { b.Update(Member{Name: "b", State: choice.Draining}) })
 					b.run(10 * ms)
-					b.do(func() { b.Member(Member{Name: "b", State: choice.Ready}) })
+					b.do(func() { b.Update(Member{Name: "b", State: choice.Ready}) })
 				}
 				ran := false
 				b.far.seen = func(c *farConn) {
