--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -336,9 +336,9 @@
 		// One process serves at an address. The one that started last has taken
 		// it over; the other is gone, though discovery has not noticed yet. What
 		// is sent to that one would reach the new one, cold, and not be counted.
-		known := upstream.Member{Name: m.ID, Address: m.HostPort, Since: m.UpSince}
+		known := upstream.Member{Name: m.ID, Address: m.HostPort, StartedAt: m.UpSince}
 		if other, any := l.pool.OtherAtAddress(known); state == choice.Ready && any {
-			if other.Since > m.UpSince {
+			if other.StartedAt > m.UpSince {
 				state = choice.Removed
 			} else {
 				other.State = choice.Removed
@@ -463,7 +463,7 @@
 		mostOut = 2
 	}
 	for _, c := range cfg.Classes {
-		r := lifecycle.Rules{Window: c.Window, DedupAcrossBackends: c.Group == choice.GroupAll, MaxInFlight: mostOut, MaxAttempts: cfg.MaxAttempts}
+		r := lifecycle.Rules{DedupWindow: c.Window, DedupAcrossBackends: c.Group == choice.GroupAll, MaxInFlight: mostOut, MaxAttempts: cfg.MaxAttempts}
 		switch c.Effect {
 		case choice.Guarded:
 			r.Idempotency = lifecycle.Deduplicated
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -21,7 +21,7 @@
 // Rules are those of one class of requests.
 type Rules struct {
 	Idempotency         Idempotency
-	Window              time.Duration // RunsOnceAway: how long after the first attempt a repeat may be written
+	DedupWindow         time.Duration // RunsOnceAway: how long after the first attempt a repeat may be written
 	DedupAcrossBackends bool          // RunsOnceAway: every backend drops repeats, so that clients may repeat as well
 	MaxInFlight         int           // attempts at once
 	MaxAttempts         int           // attempts
@@ -95,7 +95,7 @@
 	case Idempotent:
 		return true
 	case Deduplicated:
-		return now < r.first+r.Rules.Window
+		return now < r.first+r.Rules.DedupWindow
 	}
 	return false
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -6,7 +6,7 @@
 )
 
 func request(repeats Idempotency) *Request {
-	return &Request{Rules: &Rules{Idempotency: repeats, Window: time.Second, MaxInFlight: 1, MaxAttempts: 4}, Deadline: 3 * time.Second}
+	return &Request{Rules: &Rules{Idempotency: repeats, DedupWindow: time.Second, MaxInFlight: 1, MaxAttempts: 4}, Deadline: 3 * time.Second}
 }
 
 func want(t *testing.T, what string, got, want Violation) {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -186,10 +186,10 @@
 
 // Member is what discovery says of one backend.
 type Member struct {
-	Name    string // discovery's id
-	Address string
-	Since   int64 // when it last started, Unix time in milliseconds
-	State   choice.State
+	Name      string // discovery's id
+	Address   string
+	StartedAt int64 // when it last started, Unix time in milliseconds
+	State     choice.State
 }
 
 // Update takes what discovery says of one backend and returns the gateway's id for it.
@@ -207,7 +207,7 @@
 		b = &backend{id: b.id, name: m.Name, addr: m.Address}
 		p.list(b)
 	}
-	b.since = m.Since
+	b.since = m.StartedAt
 	if b.stopped = m.State != choice.Ready; b.stopped {
 		b.stop()
 	}
@@ -237,7 +237,7 @@
 func (p *Pool) OtherAtAddress(m Member) (other Member, any bool) {
 	for _, b := range p.byAddr[m.Address] {
 		if b.name != m.Name && !b.stopped && (!any || b.name < other.Name) {
-			other, any = Member{Name: b.name, Address: b.addr, Since: b.since}, true
+			other, any = Member{Name: b.name, Address: b.addr, StartedAt: b.since}, true
 		}
 	}
 	return other, any
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -692,7 +692,7 @@
 	b := newBench(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
-		m := Member{Name: fmt.Sprint(rng.IntN(12)), Address: fmt.Sprint("10.0.0.", rng.IntN(6), ":7"), Since: rng.Int64N(4),
+		m := Member{Name: fmt.Sprint(rng.IntN(12)), Address: fmt.Sprint("10.0.0.", rng.IntN(6), ":7"), StartedAt: rng.Int64N(4),
 			State: []choice.State{choice.Ready, choice.Ready, choice.Draining, choice.Removed}[rng.IntN(4)]}
 		if rng.IntN(50) == 0 {
 			b.RemoveUnlisted(map[string]bool{"1": true, "2": true, "7": true})
@@ -702,7 +702,7 @@
 		any := false
 		for _, o := range b.byName { // as it was found before: among all
 			if o.name != m.Name && o.addr == m.Address && !o.stopped && (!any || o.name < want.Name) {
-				want, any = Member{Name: o.name, Address: o.addr, Since: o.since}, true
+				want, any = Member{Name: o.name, Address: o.addr, StartedAt: o.since}, true
 			}
 		}
 		if got, found := b.OtherAtAddress(m); got != want || found != any {
