--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -1,10 +1,10 @@
-// Package admin is the second address of an ingress: HTTP/1.1, one call to a
-// connection, for the platform and the people on call. It tells whether the
-// ingress takes clients and its figures, and empties it.
+// Package admin serves the admin address of an ingress for the platform and
+// operators: HTTP/1.1 with one request per connection. It reports whether the
+// ingress takes clients, reports metrics, and drains and reactivates the ingress.
 //
-// It runs on the reactor, beside the clients: an answer waits for no other
-// goroutine. What callers may hold is bounded: connections in number, the oldest
-// making room, each call in bytes and in time.
+// It runs on the reactor's goroutine, like the clients' connections, so a response
+// waits for no other goroutine. The resources of callers are bounded: the number of
+// connections, where a new one closes the oldest, and the size and time of a request.
 package admin
 
 import (
@@ -22,49 +22,49 @@
 )
 
 const (
-	mostCall    = 8 << 10                // bytes of one call's head
-	usualTime   = 5 * time.Second        // from connecting to the end of the call
-	lingerTime  = 250 * time.Millisecond // to read what crosses the answer
-	acceptRetry = 5 * time.Millisecond   // after descriptors have run out
-	acceptBatch = 16                     // connections taken before the clients have their turn
+	maxHeadSize        = 8 << 10                // bytes of a request's head
+	defaultCallTimeout = 5 * time.Second        // from accepting the connection to the response
+	lingerTimeout      = 250 * time.Millisecond // to read what the caller sends while it gets the response
+	acceptBackoff      = 5 * time.Millisecond   // after descriptors have run out
+	acceptBatch        = 16                     // connections accepted before the clients' connections are served
 )
 
-// Node is what the address tells of and commands. Its methods are called on the
-// reactor's goroutine and do not block.
+// Node is the ingress that the server reports on and controls. Its methods are
+// called on the reactor's goroutine and do not block.
 type Node interface {
-	// TakesClients tells whether this process takes clients.
+	// TakesClients reports whether this process takes clients.
 	TakesClients() bool
-	// AppendMetrics appends the figures, a name=value a line.
+	// AppendMetrics appends the metrics, one name=value per line.
 	AppendMetrics(b []byte) []byte
-	// AppendBackends appends what is known of each backend, a line each.
+	// AppendBackends appends the state of each backend, one per line.
 	AppendBackends(b []byte) []byte
-	// AppendEvents appends counts of what has ended, by reason.
+	// AppendEvents appends the counts of what has ended, by reason.
 	AppendEvents(b []byte) []byte
-	// Standby empties the ingress: it takes no clients and lets those it has go.
+	// Standby drains the ingress: it takes no new clients and lets those connected go.
 	Standby()
-	// Active ends that.
+	// Active ends the drain.
 	Active()
-	// OutOfDescriptors notes that a caller waits and no descriptor is left for it: the
-	// clients' part makes room for one at its next turn.
+	// OutOfDescriptors reports that a caller can't be accepted because no descriptor is
+	// left: the clients' side frees one in its next round.
 	OutOfDescriptors()
 }
 
-// Server serves the address.
+// Server serves the admin address.
 type Server struct {
-	loop       *reactor.Loop
-	node       Node
-	ln         reactor.Listener
-	most       int // connections at once
-	callTime   time.Duration
-	conns      list.List // of *conn, the oldest first
-	buf        []byte    // read into by every connection in turn
-	acceptable bool
-	retryAt    time.Duration // accept failed, or had its batch: not before then; 0 when not
+	loop          *reactor.Loop
+	node          Node
+	ln            reactor.Listener
+	maxConns      int
+	callTimeout   time.Duration
+	conns         list.List     // of *conn, oldest first
+	buf           []byte        // read buffer shared by all connections
+	acceptPending bool          // connections may wait to be accepted
+	acceptAt      time.Duration // after a failed accept or a full batch: no accept before then; otherwise 0
 }
 
-// Listen opens the address, "host:port", for so many connections at once.
-func Listen(loop *reactor.Loop, address string, most int, node Node) (*Server, error) {
-	s := &Server{loop: loop, node: node, most: max(1, most), callTime: usualTime, buf: make([]byte, 4<<10)}
+// Listen opens address, "host:port", for at most maxConns connections at a time.
+func Listen(loop *reactor.Loop, address string, maxConns int, node Node) (*Server, error) {
+	s := &Server{loop: loop, node: node, maxConns: max(1, maxConns), callTimeout: defaultCallTimeout, buf: make([]byte, 4<<10)}
 	var err error
 	if s.ln, err = loop.Listen(address, s); err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
@@ -73,59 +73,59 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.ln.Address() }
 
-// Open is how many connections there are.
+// Open returns the number of open connections.
 func (s *Server) Open() int { return s.conns.Len() }
 
-// Close ends the address and all connections to it.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	s.ln.Close()
-	s.acceptable = false
+	s.acceptPending = false
 	for e := s.conns.Front(); e != nil; e = s.conns.Front() {
 		e.Value.(*conn).close()
 	}
 }
 
-// Ready notes that connections wait.
-func (s *Server) Ready(reactor.Event) { s.acceptable = true }
+// Ready records that connections wait to be accepted.
+func (s *Server) Ready(reactor.Event) { s.acceptPending = true }
 
-// Round takes the connections that wait.
+// Round accepts the connections that wait.
 func (s *Server) Round() {
 	now := s.loop.Now()
-	if s.retryAt > 0 && now >= s.retryAt {
-		s.retryAt = 0
+	if s.acceptAt > 0 && now >= s.acceptAt {
+		s.acceptAt = 0
 	}
-	for n := 0; s.acceptable && s.retryAt == 0; n++ {
+	for n := 0; s.acceptPending && s.acceptAt == 0; n++ {
 		if n == acceptBatch {
-			s.retryAt = now + time.Millisecond
+			s.acceptAt = now + time.Millisecond
 			return
 		}
 		nc, err := s.ln.Accept()
 		if errors.Is(err, reactor.ErrWait) {
-			s.acceptable = false
+			s.acceptPending = false
 			return
 		}
 		if err != nil && !s.ln.Waiting() {
-			s.acceptable = false // the last descriptor went to the one before
+			s.acceptPending = false // the last descriptor went to the connection accepted before
 			return
 		}
 		if err != nil {
-			// Descriptors have run out. The oldest caller without a whole call
-			// makes room for one that may have more to say.
-			// Where there is none, clients have them all, and one at rest does so.
+			// Descriptors have run out. The oldest caller, whose request is still
+			// incomplete, is closed for the waiting one, which may send a whole request.
+			// Without callers, clients hold all descriptors, and an idle client is closed.
 			if errors.Is(err, reactor.ErrFiles) {
 				s.makeRoom()
 			}
-			s.retryAt = now + acceptRetry
+			s.acceptAt = now + acceptBackoff
 			return
 		}
 		s.add(nc, now)
 	}
 }
 
-// makeRoom closes the oldest connection, or has the clients' part close one.
+// makeRoom closes the oldest connection or, without any, has the clients' side close one.
 func (s *Server) makeRoom() {
 	if e := s.conns.Front(); e != nil {
 		e.Value.(*conn).close()
@@ -134,11 +134,11 @@
 	}
 }
 
-// Next tells when Round has something to do though nothing happens.
-func (s *Server) Next() (at time.Duration, any bool) { return s.retryAt, s.acceptable }
+// Next returns when Round has work to do without an event.
+func (s *Server) Next() (at time.Duration, any bool) { return s.acceptAt, s.acceptPending }
 
 func (s *Server) add(nc reactor.Conn, now time.Duration) {
-	if s.conns.Len() >= s.most {
+	if s.conns.Len() >= s.maxConns {
 		s.conns.Front().Value.(*conn).close()
 	}
 	c := &conn{server: s, net: nc}
@@ -147,29 +147,29 @@
 		nc.Close()
 		return
 	}
-	c.place = s.conns.PushBack(c)
-	s.loop.Set(&c.timer, now+s.callTime)
+	c.element = s.conns.PushBack(c)
+	s.loop.Set(&c.timer, now+s.callTimeout)
 }
 
-// conn is one caller's connection.
+// conn is the connection of one caller. It serves one request.
 type conn struct {
-	server   *Server
-	net      reactor.Conn // nil once closed
-	place    *list.Element
-	timer    reactor.Timer
-	head     []byte // of the call, as far as it is here
-	answer   []byte // not written yet
-	answered bool
-	dropped  int // bytes read behind the call
+	server    *Server
+	net       reactor.Conn  // nil once closed
+	element   *list.Element // in Server.conns
+	timer     reactor.Timer
+	head      []byte // of the request, as far as it was received
+	unwritten []byte // of the response
+	responded bool   // respond was called
+	discarded int    // bytes read after the response was made
 }
 
-// Ready takes what happened on the connection.
+// Ready handles an event of the connection.
 func (c *conn) Ready(e reactor.Event) {
 	if e&reactor.Gone != 0 {
 		c.close()
 		return
 	}
-	if e&reactor.Writable != 0 && len(c.answer) > 0 {
+	if e&reactor.Writable != 0 && len(c.unwritten) > 0 {
 		c.write()
 	}
 	if e&(reactor.Readable|reactor.Ended) != 0 {
@@ -177,7 +177,7 @@
 	}
 }
 
-// Ring ends a connection whose time is up.
+// Ring closes the connection when its time is up.
 func (c *conn) Ring() { c.close() }
 
 func (c *conn) close() {
@@ -187,10 +187,10 @@
 	c.net.Close()
 	c.net = nil
 	c.server.loop.Unset(&c.timer)
-	c.server.conns.Remove(c.place)
+	c.server.conns.Remove(c.element)
 }
 
-// read reads the call, or what comes behind it.
+// read reads the request, and discards what comes after it.
 func (c *conn) read() {
 	for c.net != nil {
 		n, err := c.net.Read(c.server.buf)
@@ -201,80 +201,80 @@
 			c.close()
 			return
 		}
-		if c.answered {
-			if c.dropped += n; c.dropped > mostCall {
+		if c.responded {
+			if c.discarded += n; c.discarded > maxHeadSize {
 				c.close()
 			}
 			continue
 		}
 		c.head = append(c.head, c.server.buf[:n]...)
 		switch end := bytes.Index(c.head, []byte("\r\n\r\n")); {
-		case end >= 0 && end+4 <= mostCall:
-			c.call(c.head[:end+4])
-		case end >= 0 || len(c.head) > mostCall:
-			c.reply(http.StatusRequestHeaderFieldsTooLarge, nil)
+		case end >= 0 && end+4 <= maxHeadSize:
+			c.handle(c.head[:end+4])
+		case end >= 0 || len(c.head) > maxHeadSize:
+			c.respond(http.StatusRequestHeaderFieldsTooLarge, nil)
 		}
 	}
 }
 
-// call answers a call by its head; a body means nothing to any of them.
-func (c *conn) call(head []byte) {
-	r, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(head), len(head)))
-	if err != nil || r.ProtoMajor != 1 {
-		c.reply(http.StatusBadRequest, nil)
+// handle handles a request by its head; a body has no meaning for any request.
+func (c *conn) handle(head []byte) {
+	request, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(head), len(head)))
+	if err != nil || request.ProtoMajor != 1 {
+		c.respond(http.StatusBadRequest, nil)
 		return
 	}
 	node := c.server.node
 	method := http.MethodGet
-	answer := func() (int, []byte) { return http.StatusNotFound, nil }
-	switch r.URL.Path {
+	execute := func() (int, []byte) { return http.StatusNotFound, nil }
+	switch request.URL.Path {
 	case "/status":
-		answer = func() (int, []byte) {
+		execute = func() (int, []byte) {
 			if node.TakesClients() {
 				return http.StatusOK, []byte("yes\n")
 			}
 			return http.StatusServiceUnavailable, []byte("no\n")
 		}
 	case "/status/metrics":
-		answer = func() (int, []byte) { return http.StatusOK, node.AppendMetrics(nil) }
+		execute = func() (int, []byte) { return http.StatusOK, node.AppendMetrics(nil) }
 	case "/status/backends":
-		answer = func() (int, []byte) { return http.StatusOK, node.AppendBackends(nil) }
+		execute = func() (int, []byte) { return http.StatusOK, node.AppendBackends(nil) }
 	case "/status/events":
-		answer = func() (int, []byte) { return http.StatusOK, node.AppendEvents(nil) }
+		execute = func() (int, []byte) { return http.StatusOK, node.AppendEvents(nil) }
 	case "/standby":
 		method = http.MethodPut
-		answer = func() (int, []byte) { node.Standby(); return http.StatusOK, nil }
+		execute = func() (int, []byte) { node.Standby(); return http.StatusOK, nil }
 	case "/active":
 		method = http.MethodPut
-		answer = func() (int, []byte) { node.Active(); return http.StatusOK, nil }
+		execute = func() (int, []byte) { node.Active(); return http.StatusOK, nil }
 	default:
-		method = r.Method
+		method = request.Method
 	}
-	if r.Method != method {
-		c.reply(http.StatusMethodNotAllowed, nil)
+	if request.Method != method {
+		c.respond(http.StatusMethodNotAllowed, nil)
 		return
 	}
-	c.reply(answer())
+	c.respond(execute())
 }
 
-// reply writes the one answer, and then ends the connection.
-func (c *conn) reply(status int, body []byte) {
+// respond writes the response and then ends the connection.
+func (c *conn) respond(status int, body []byte) {
 	b := append(make([]byte, 0, len(body)+160), "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(append(b, ' '), http.StatusText(status)...)
 	b = append(b, "\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
-	c.answer = append(append(b, "\r\n\r\n"...), body...)
-	c.answered, c.head = true, nil
+	c.unwritten = append(append(b, "\r\n\r\n"...), body...)
+	c.responded, c.head = true, nil
 	c.write()
 }
 
-// write writes what is left of the answer, and ends the sending behind it. What
-// the caller still sends is read for a moment: left there, it would turn the end
-// into a reset, which may eat the answer.
+// write writes what is left of the response, and then closes the sending side. What
+// the caller still sends is read for lingerTimeout: a close with unread input would
+// reset the connection, and the caller could lose the response.
 func (c *conn) write() {
-	n, err := c.net.Write(c.answer)
-	c.answer = c.answer[n:]
+	n, err := c.net.Write(c.unwritten)
+	c.unwritten = c.unwritten[n:]
 	switch {
 	case errors.Is(err, reactor.ErrWait):
 		return
@@ -283,5 +283,5 @@
 		return
 	}
 	c.net.CloseWrite()
-	c.server.loop.Set(&c.timer, c.server.loop.Now()+lingerTime)
+	c.server.loop.Set(&c.timer, c.server.loop.Now()+lingerTimeout)
 }
--- a/internal/front/admin/admin_test.go
+++ b/internal/front/admin/admin_test.go
@@ -13,36 +13,36 @@
 	"wickarch/internal/reactor"
 )
 
-// patience bounds every wait of the tests; none of them passes by waiting.
-const patience = 30 * time.Second
+// testTimeout bounds every wait of the tests; no test passes by reaching it.
+const testTimeout = 30 * time.Second
 
 type fakeNode struct {
-	takes   bool
-	starved func()
+	takesClients       bool
+	onOutOfDescriptors func()
 }
 
-func (n *fakeNode) TakesClients() bool             { return n.takes }
+func (n *fakeNode) TakesClients() bool             { return n.takesClients }
 func (n *fakeNode) AppendMetrics(b []byte) []byte  { return append(b, "edge_node.inflight=7\n"...) }
 func (n *fakeNode) AppendBackends(b []byte) []byte { return append(b, "s-1 state=used\n"...) }
 func (n *fakeNode) AppendEvents(b []byte) []byte   { return append(b, "closed client=1\n"...) }
-func (n *fakeNode) Standby()                       { n.takes = false }
-func (n *fakeNode) Active()                        { n.takes = true }
-func (n *fakeNode) OutOfDescriptors()              { n.starved() }
+func (n *fakeNode) Standby()                       { n.takesClients = false }
+func (n *fakeNode) Active()                        { n.takesClients = true }
+func (n *fakeNode) OutOfDescriptors()              { n.onOutOfDescriptors() }
 
-func serve(t *testing.T, most int) (*Server, *reactor.Loop) {
+func serve(t *testing.T, maxConns int) (*Server, *reactor.Loop) {
 	t.Helper()
-	return serveOn(t, most, func(s *reactor.Sockets) reactor.World { return s })
+	return serveOn(t, maxConns, func(s *reactor.Sockets) reactor.World { return s })
 }
 
-func serveOn(t *testing.T, most int, of func(*reactor.Sockets) reactor.World) (*Server, *reactor.Loop) {
+func serveOn(t *testing.T, maxConns int, newWorld func(*reactor.Sockets) reactor.World) (*Server, *reactor.Loop) {
 	t.Helper()
 	sockets, err := reactor.NewSockets()
 	if err != nil {
 		t.Fatal(err)
 	}
-	world := of(sockets)
+	world := newWorld(sockets)
 	loop := reactor.New(world)
-	s, err := Listen(loop, "127.0.0.1:0", most, &fakeNode{})
+	s, err := Listen(loop, "127.0.0.1:0", maxConns, &fakeNode{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,17 +57,17 @@
 
 func dial(t *testing.T, s *Server) net.Conn {
 	t.Helper()
-	nc, err := net.DialTimeout("tcp", s.Addr(), patience)
+	nc, err := net.DialTimeout("tcp", s.Addr(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	return nc
 }
 
-// call makes one call of raw text, and returns its status and body. The
-// connection must end behind the answer.
+// call sends a request as raw text, and returns the response's status and body. The
+// server must end the connection after the response.
 func call(t *testing.T, s *Server, text string) (int, string) {
 	t.Helper()
 	nc := dial(t, s)
@@ -75,26 +75,26 @@
 		t.Fatal(err)
 	}
 	r := bufio.NewReader(nc)
-	answer, err := http.ReadResponse(r, nil)
+	response, err := http.ReadResponse(r, nil)
 	if err != nil {
 		t.Fatalf("%q: %v", text, err)
 	}
-	body, err := io.ReadAll(answer.Body)
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatalf("%q: %v", text, err)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("%q: the connection goes on behind the answer: %v", text, err)
+		t.Errorf("%q: after the response the connection gives %v, want its end", text, err)
 	}
-	return answer.StatusCode, string(body)
+	return response.StatusCode, string(body)
 }
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	s, _ := serve(t, 4)
 	for _, c := range []struct {
-		line, more string
-		status     int
-		body       string
+		requestLine, rest string
+		status            int
+		body              string
 	}{
 		{"GET /status", "", 503, "no\n"},
 		{"PUT /active", "", 200, ""},
@@ -107,23 +107,23 @@
 		{"DELETE /status/metrics", "", 405, ""},
 		{"GET /else", "", 404, ""},
 		{"GET", "", 400, ""},
-		{"GET /status", "X: " + strings.Repeat("x", mostCall) + "\r\n\r\n", 431, ""},
-		// Some of it is unread when the answer is written: a close then would be a reset.
-		{"GET /status", "X: " + strings.Repeat("x", 2*mostCall-1<<10) + "\r\n\r\n", 431, ""},
+		{"GET /status", "X: " + strings.Repeat("x", maxHeadSize) + "\r\n\r\n", 431, ""},
+		// Part of it is unread when the response is written: a close at that moment would be a reset.
+		{"GET /status", "X: " + strings.Repeat("x", 2*maxHeadSize-1<<10) + "\r\n\r\n", 431, ""},
 	} {
-		more := c.more
-		if more == "" {
-			more = "\r\n"
+		rest := c.rest
+		if rest == "" {
+			rest = "\r\n"
 		}
-		status, body := call(t, s, fmt.Sprintf("%s HTTP/1.1\r\nHost: x\r\n%s", c.line, more))
+		status, body := call(t, s, fmt.Sprintf("%s HTTP/1.1\r\nHost: x\r\n%s", c.requestLine, rest))
 		if status != c.status || body != c.body {
-			t.Errorf("%s: %d %q, want %d %q", c.line, status, body, c.status, c.body)
+			t.Errorf("%s: status %d, body %q; want %d, %q", c.requestLine, status, body, c.status, c.body)
 		}
 	}
 }
 
-// A call cut at every byte is one call.
-func TestCallInPieces(t *testing.T) {
+// Guards against a parser that needs a request to arrive in one piece.
+func TestRequestInSingleBytes(t *testing.T) {
 	s, _ := serve(t, 4)
 	nc := dial(t, s)
 	_ = nc.(*net.TCPConn).SetNoDelay(true)
@@ -132,131 +132,132 @@
 			t.Fatal(err)
 		}
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(nc), nil)
-	if err != nil || answer.StatusCode != 503 {
-		t.Fatal(answer, err)
+	response, err := http.ReadResponse(bufio.NewReader(nc), nil)
+	if err != nil || response.StatusCode != 503 {
+		t.Fatal(response, err)
 	}
 }
 
-// Callers that keep a connection and say half a call hold up nobody, however
-// many they are, and no more connections than the bound.
-func TestHalfCallsKeepNobodyOut(t *testing.T) {
-	const most = 4
-	s, loop := serve(t, most)
-	for n := range 5 * most {
-		half := dial(t, s)
-		if _, err := io.WriteString(half, "GET /status HT"); err != nil {
+// Callers that keep a connection open with an incomplete request must not block
+// others, nor exceed the limit of connections.
+func TestIncompleteRequestsDoNotBlockOthers(t *testing.T) {
+	const maxConns = 4
+	s, loop := serve(t, maxConns)
+	for n := range 5 * maxConns {
+		incomplete := dial(t, s)
+		if _, err := io.WriteString(incomplete, "GET /status HT"); err != nil {
 			t.Fatal(err)
 		}
 		if n%3 != 0 {
 			continue
 		}
 		if status, _ := call(t, s, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n"); status != 503 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("status %d, want 503", status)
 		}
 		open := 0
 		loop.Do(func() { open = s.Open() })
-		if open > most {
-			t.Fatalf("%d connections are open, want %d at most", open, most)
+		if open > maxConns {
+			t.Fatalf("%d connections are open, want %d at most", open, maxConns)
 		}
 	}
 }
 
-// Whoever says nothing more is let go, by time alone.
-func TestCallerThatSaysNothingIsLetGo(t *testing.T) {
+// A caller that sends nothing more is closed by the timeout alone.
+func TestSilentCallerTimesOut(t *testing.T) {
 	s, loop := serve(t, 4)
-	loop.Do(func() { s.callTime = 50 * time.Millisecond })
+	loop.Do(func() { s.callTimeout = 50 * time.Millisecond })
 	nc := dial(t, s)
 	if _, err := nc.Read(make([]byte, 1)); err != io.EOF {
-		t.Fatalf("%v, want the end", err)
+		t.Fatalf("read from a silent connection: %v, want EOF", err)
 	}
 }
 
-// short is a world in which one connection can be taken at a time: as with the system's,
-// where no descriptor is left, to accept one fails whether or not one waits.
-type short struct {
+// oneDescriptor is a World that accepts one connection at a time. As in a system without
+// free descriptors, Accept then fails whether or not a connection waits.
+type oneDescriptor struct {
 	*reactor.Sockets
-	taken bool
+	inUse bool
 }
 
-type shortListener struct {
+type oneDescriptorListener struct {
 	reactor.Listener
-	world *short
+	world *oneDescriptor
 }
 
-type shortConn struct {
+type oneDescriptorConn struct {
 	reactor.Conn
-	world *short
+	world *oneDescriptor
 }
 
-func (w *short) Listen(address string, h reactor.Handler) (reactor.Listener, error) {
+func (w *oneDescriptor) Listen(address string, h reactor.Handler) (reactor.Listener, error) {
 	ln, err := w.Sockets.Listen(address, h)
-	return &shortListener{ln, w}, err
+	return &oneDescriptorListener{ln, w}, err
 }
 
-func (l *shortListener) Accept() (reactor.Conn, error) {
-	if l.world.taken {
+func (l *oneDescriptorListener) Accept() (reactor.Conn, error) {
+	if l.world.inUse {
 		return nil, reactor.ErrFiles
 	}
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	l.world.taken = true
-	return &shortConn{nc, l.world}, nil
+	l.world.inUse = true
+	return &oneDescriptorConn{nc, l.world}, nil
 }
 
-func (c *shortConn) Close() {
+func (c *oneDescriptorConn) Close() {
 	c.Conn.Close()
-	c.world.taken = false
+	c.world.inUse = false
 }
 
-// Who has got the last descriptor makes room for one that waits, and for nobody else.
-func TestCallerWithTheLastDescriptorIsAnswered(t *testing.T) {
-	s, loop := serveOn(t, 4, func(s *reactor.Sockets) reactor.World { return &short{Sockets: s} })
-	loop.Do(func() { s.callTime = time.Hour })
+// A caller that holds the last descriptor is closed only if another one waits: a failed
+// Accept alone, without a waiting connection, must not close it.
+func TestCallerWithTheLastDescriptorIsServed(t *testing.T) {
+	s, loop := serveOn(t, 4, func(s *reactor.Sockets) reactor.World { return &oneDescriptor{Sockets: s} })
+	loop.Do(func() { s.callTimeout = time.Hour })
 	first := dial(t, s)
-	const line, rest = "GET /status HTTP/1.1\r\n", "Host: x\r\n\r\n"
-	if _, err := io.WriteString(first, line); err != nil {
+	const requestLine, rest = "GET /status HTTP/1.1\r\n", "Host: x\r\n\r\n"
+	if _, err := io.WriteString(first, requestLine); err != nil {
 		t.Fatal(err)
 	}
-	end := time.Now().Add(patience)
-	for head := 0; head < len(line); { // by then it has tried to accept another
+	end := time.Now().Add(testTimeout)
+	for received := 0; received < len(requestLine); { // by then the server has tried to accept another connection
 		if time.Now().After(end) {
-			t.Fatal("the connection was closed for nobody")
+			t.Fatal("the connection was closed though no other one waits")
 		}
 		loop.Do(func() {
 			if e := s.conns.Front(); e != nil {
-				head = len(e.Value.(*conn).head)
+				received = len(e.Value.(*conn).head)
 			}
 		})
 	}
 	if _, err := io.WriteString(first, rest); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(first), nil)
-	if err != nil || answer.StatusCode != 503 {
-		t.Fatal(answer, err)
+	response, err := http.ReadResponse(bufio.NewReader(first), nil)
+	if err != nil || response.StatusCode != 503 {
+		t.Fatal(response, err)
 	}
 	first.Close()
-	half := dial(t, s)
-	if _, err := io.WriteString(half, line); err != nil {
+	incomplete := dial(t, s)
+	if _, err := io.WriteString(incomplete, requestLine); err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := call(t, s, line+rest); status != 503 {
-		t.Errorf("the one that waits for a descriptor is answered %d", status)
+	if status, _ := call(t, s, requestLine+rest); status != 503 {
+		t.Errorf("the caller that waits for a descriptor gets status %d, want 503", status)
 	}
 }
 
-// Where clients hold all descriptors, one of them makes room for a caller that waits.
-func TestCallerAsksClientsForRoom(t *testing.T) {
-	world := &short{taken: true}
+// If clients hold all descriptors, the node is asked to free one for a waiting caller.
+func TestClientsFreeADescriptorForACaller(t *testing.T) {
+	world := &oneDescriptor{inUse: true}
 	s, loop := serveOn(t, 4, func(s *reactor.Sockets) reactor.World {
 		world.Sockets = s
 		return world
 	})
-	loop.Do(func() { s.node.(*fakeNode).starved = func() { world.taken = false } })
+	loop.Do(func() { s.node.(*fakeNode).onOutOfDescriptors = func() { world.inUse = false } })
 	if status, _ := call(t, s, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n"); status != 503 {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d, want 503", status)
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,11 +1,11 @@
-// Package handover lets one of several processes of the same ingress take
-// clients: the new one begins when the old one has stopped, to the moment, and
-// when the old one dies.
+// Package handover ensures that only one of several processes of the same
+// ingress takes clients: the new process begins as soon as the old one stops or
+// dies.
 //
-// The right is a lock on a file in a folder that the processes share. The kernel
-// gives it back however its holder ends, so nothing that is left behind in the
-// folder can mislead. A second lock is held by whoever waits for the first: the
-// holder learns by it whether anybody does.
+// The right to take clients is a lock on a file in a directory that the processes
+// share. The kernel releases it however its holder ends, so files that are left
+// in the directory are never stale. The process that waits for the lock holds a
+// second one, by which the holder knows that another process waits.
 package handover
 
 import (
@@ -19,20 +19,20 @@
 	"wickarch/internal/retry"
 )
 
-// Lock is the right to take clients, as one process holds it or waits for it.
+// Lock is the right to take clients, held or waited for by one process.
 type Lock struct {
-	held, next *os.File
+	held, next *os.File // locked by the process that takes clients, and by the one that waits
 }
 
-// How long calls may fail by errors that pass.
+// How long calls are retried after transient errors.
 const (
-	waitPatience = 10 * time.Second       // of a process that waits to take clients
-	stopPatience = 100 * time.Millisecond // of one that is about to end
+	waitTimeout = 10 * time.Second       // in a process that waits to take clients
+	stopTimeout = 100 * time.Millisecond // in a process that is about to exit
 )
 
-// Open opens the lock in a folder. It fails when the folder can't be written to.
+// Open opens the lock's files in dir. It fails if dir is not writable.
 func Open(dir string) (*Lock, error) {
-	return retry.For(waitPatience, nil, func() (*Lock, error) { return open(dir) })
+	return retry.For(waitTimeout, nil, func() (*Lock, error) { return open(dir) })
 }
 
 func open(dir string) (*Lock, error) {
@@ -48,30 +48,30 @@
 	return &c, nil
 }
 
-// Acquire waits until this process may take clients. It blocks a thread.
+// Acquire waits until this process may take clients. It blocks an operating system thread.
 func (c *Lock) Acquire() error {
-	if err := flock(c.next, syscall.LOCK_EX, waitPatience); err != nil {
+	if err := flock(c.next, syscall.LOCK_EX, waitTimeout); err != nil {
 		return err
 	}
-	if err := flock(c.held, syscall.LOCK_EX, waitPatience); err != nil {
+	if err := flock(c.held, syscall.LOCK_EX, waitTimeout); err != nil {
 		return err
 	}
-	return flock(c.next, syscall.LOCK_UN, waitPatience)
+	return flock(c.next, syscall.LOCK_UN, waitTimeout)
 }
 
 // Contended reports whether another process waits for this one to stop.
 func (c *Lock) Contended() bool {
-	err := flock(c.next, syscall.LOCK_EX|syscall.LOCK_NB, stopPatience)
+	err := flock(c.next, syscall.LOCK_EX|syscall.LOCK_NB, stopTimeout)
 	if err == nil {
-		_ = flock(c.next, syscall.LOCK_UN, stopPatience)
+		_ = flock(c.next, syscall.LOCK_UN, stopTimeout)
 	}
 	return errors.Is(err, syscall.EWOULDBLOCK)
 }
 
-// Release lets the next process begin. The caller takes no client any more.
-func (c *Lock) Release() error { return flock(c.held, syscall.LOCK_UN, stopPatience) }
+// Release lets the next process begin. The caller must not take clients any more.
+func (c *Lock) Release() error { return flock(c.held, syscall.LOCK_UN, stopTimeout) }
 
-// Close gives up the lock and its files.
+// Close releases the lock and closes its files.
 func (c *Lock) Close() {
 	for _, f := range []*os.File{c.held, c.next} {
 		if f != nil {
@@ -80,8 +80,8 @@
 	}
 }
 
-func flock(f *os.File, how int, patience time.Duration) error {
-	_, err := retry.For(patience, nil, func() (struct{}, error) { return struct{}{}, syscall.Flock(int(f.Fd()), how) })
+func flock(f *os.File, operation int, timeout time.Duration) error {
+	_, err := retry.For(timeout, nil, func() (struct{}, error) { return struct{}{}, syscall.Flock(int(f.Fd()), operation) })
 	if err != nil {
 		return fmt.Errorf("handover: lock %s: %w", f.Name(), err)
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-func join(t *testing.T, dir string) *Lock {
+func openLock(t *testing.T, dir string) *Lock {
 	t.Helper()
 	c, err := Open(dir)
 	if err != nil {
@@ -17,59 +17,59 @@
 	return c
 }
 
-func wait(t *testing.T, c *Lock) chan error {
+func acquire(t *testing.T, c *Lock) chan error {
 	t.Helper()
-	got := make(chan error, 1)
-	go func() { got <- c.Acquire() }()
-	return got
+	acquired := make(chan error, 1)
+	go func() { acquired <- c.Acquire() }()
+	return acquired
 }
 
-func has(t *testing.T, got chan error) {
+func waitAcquired(t *testing.T, acquired chan error) {
 	t.Helper()
 	select {
-	case err := <-got:
+	case err := <-acquired:
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(patience):
-		t.Fatal("waited in vain")
+	case <-time.After(testTimeout):
+		t.Fatal("the lock was not acquired in time")
 	}
 }
 
-// Three processes in turn: each begins when the one before has stopped, in the
-// order in which they came, and one that dies holds up nobody.
-func TestRightPassesOn(t *testing.T) {
+// Three processes take turns in the order in which they came: each begins when the
+// one before it has released the lock or has died.
+func TestLockPassesToTheNextProcess(t *testing.T) {
 	dir := t.TempDir()
-	first := join(t, dir)
-	has(t, wait(t, first))
+	first := openLock(t, dir)
+	waitAcquired(t, acquire(t, first))
 	if first.Contended() {
-		t.Error("awaited with nobody there")
+		t.Error("Contended is true though no other process waits")
 	}
-	second := join(t, dir)
-	second2 := wait(t, second)
+	second := openLock(t, dir)
+	secondAcquired := acquire(t, second)
 	for !first.Contended() {
 		time.Sleep(time.Millisecond)
 	}
 	select {
-	case err := <-second2:
-		t.Fatalf("two take clients: %v", err)
+	case err := <-secondAcquired:
+		t.Fatalf("the second process took the lock while the first held it: %v", err)
 	default:
 	}
 	if err := first.Release(); err != nil {
 		t.Fatal(err)
 	}
-	has(t, second2)
-	third := join(t, dir)
-	third2 := wait(t, third)
-	second.Close() // it dies
-	has(t, third2)
+	waitAcquired(t, secondAcquired)
+	third := openLock(t, dir)
+	thirdAcquired := acquire(t, third)
+	second.Close() // as when the process dies
+	waitAcquired(t, thirdAcquired)
 	if third.Contended() {
-		t.Error("awaited, though the one that had waited has begun")
+		t.Error("Contended is true though the waiting process has acquired the lock")
 	}
 }
 
-func TestFolderThatIsNotThere(t *testing.T) {
+func TestOpenFailsWithoutADirectory(t *testing.T) {
 	if _, err := Open(t.TempDir() + "/none"); err == nil {
-		t.Fatal("no error")
+		t.Fatal("Open succeeds in a directory that does not exist")
 	}
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,139 +1,141 @@
-// Package lifecycle holds the one rule on what may be done with a request that an ingress has taken,
-// and with the connection that it came on: whether an attempt may begin or be written now, whether it may
-// be a repeat, which final answer may be given, whether the connection may be closed.
+// Package lifecycle is a state machine of one request, and holds the invariants of request handling in one
+// place: whether an attempt may begin or be written now, whether it may be a retry, which final answer may
+// be given, and whether the client's connection may be closed.
 //
-// What to do is decided elsewhere (package choice). Each step is put to this package before it is taken;
-// one that breaks the rule is not taken, and is counted. It has no I/O and reads no clock.
+// Package choice decides what to do. The caller checks each step here before it takes it; a step that
+// violates an invariant is not taken, and is counted. The package has no I/O and reads no clock.
 package lifecycle
 
 import "time"
 
-// Idempotency tells what a second run of a request would do.
+// Idempotency is the effect of running a request twice.
 type Idempotency uint8
 
 // The kinds of request.
 const (
-	Idempotent    Idempotency = iota // no harm
-	Deduplicated                     // no harm where and while the backends drop repeats
-	NonIdempotent                    // harm
+	Idempotent    Idempotency = iota // a second run does no harm
+	Deduplicated                     // harmless while, and at those backends where, repeats are dropped
+	NonIdempotent                    // a second run does harm
 )
 
-// Rules are those of one class of requests.
+// Rules hold for one class of requests.
 type Rules struct {
 	Idempotency         Idempotency
-	DedupWindow         time.Duration // RunsOnceAway: how long after the first attempt a repeat may be written
-	DedupAcrossBackends bool          // RunsOnceAway: every backend drops repeats, so that clients may repeat as well
-	MaxInFlight         int           // attempts at once
-	MaxAttempts         int           // attempts
+	DedupWindow         time.Duration // Deduplicated: time from the first attempt in which a retry may be written
+	DedupAcrossBackends bool          // Deduplicated: all backends drop repeats, so clients may retry as well
+	MaxInFlight         int           // attempts at the same time
+	MaxAttempts         int           // attempts in total
 }
 
 type state uint8
 
 const (
-	open      state = iota // owed a final answer
-	answered               // has it
-	abandoned              // its client has gone: owed nothing
+	open      state = iota // no final answer given yet
+	answered               // final answer given
+	abandoned              // client disconnected: no answer is owed
 )
 
-// heldUp is how long a process may stand still between two looks at its clock.
-const heldUp = 150 * time.Millisecond
+// maxProcessStall is how long the process may be suspended between two readings of its clock: an attempt
+// that was decided before the deadline may begin this much after it.
+const maxProcessStall = 150 * time.Millisecond
 
-// Request is one request that was taken, to the end of its last attempt. The zero Request is open.
+// Request is the state of one accepted request until its last attempt has ended. The zero state is open.
 type Request struct {
 	Rules    *Rules
-	Deadline time.Duration // until then it waits for attempts
+	Deadline time.Duration // no attempt is waited for after it
 
-	state      state
-	begun      uint8 // attempts
-	out        uint8 // of these, not ended
-	mayHaveRun bool
-	first      time.Duration // when the first attempt began
+	state          state
+	attempts       uint8 // begun
+	inFlight       uint8 // begun and not ended
+	mayHaveRun     bool  // some ended attempt may have run
+	firstAttemptAt time.Duration
 }
 
-// Finished tells whether it is owed nothing any more.
+// Finished reports whether no answer is owed any more: the request was answered or abandoned.
 func (r *Request) Finished() bool { return r.state != open }
 
-// InFlight is how many of its attempts have not ended.
-func (r *Request) InFlight() int { return int(r.out) }
+// InFlight returns the number of attempts that have not ended.
+func (r *Request) InFlight() int { return int(r.inFlight) }
 
-// BeginAttempt is asked before an attempt begins.
+// BeginAttempt checks whether an attempt may begin, and registers it if so.
 func (r *Request) BeginAttempt(now time.Duration) Violation {
 	switch {
 	case r.state != open:
 		return BeginAfterEnd
-	case now >= r.Deadline+heldUp:
+	case now >= r.Deadline+maxProcessStall:
 		return BeginAfterDeadline
-	case int(r.out) >= r.Rules.MaxInFlight:
+	case int(r.inFlight) >= r.Rules.MaxInFlight:
 		return BeginBeside
-	case int(r.begun) >= r.Rules.MaxAttempts:
+	case int(r.attempts) >= r.Rules.MaxAttempts:
 		return BeginTooMany
-	case r.mayHaveRun && !r.repeatable(now):
+	case r.mayHaveRun && !r.mayRunAgain(now):
 		return RepeatMayRunTwice
 	}
-	if r.begun == 0 {
-		r.first = now
+	if r.attempts == 0 {
+		r.firstAttemptAt = now
 	}
-	r.begun++
-	r.out++
+	r.attempts++
+	r.inFlight++
 	return None
 }
 
-// CheckWrite is asked before the first byte of an attempt is written.
+// CheckWrite checks whether the first byte of an attempt may be written.
 func (r *Request) CheckWrite(now time.Duration) Violation {
 	switch {
 	case r.state != open:
 		return WriteAfterEnd
-	case r.mayHaveRun && !r.repeatable(now):
+	case r.mayHaveRun && !r.mayRunAgain(now):
 		return RepeatMayRunTwice
 	}
 	return None
 }
 
-// repeatable tells whether a further run does no harm.
-func (r *Request) repeatable(now time.Duration) bool {
+// mayRunAgain reports whether another run is harmless at this time.
+func (r *Request) mayRunAgain(now time.Duration) bool {
 	switch r.Rules.Idempotency {
 	case Idempotent:
 		return true
 	case Deduplicated:
-		return now < r.first+r.Rules.DedupWindow
+		return now < r.firstAttemptAt+r.Rules.DedupWindow
 	}
 	return false
 }
 
-// AttemptEnded notes the end of an attempt, and whether it may have run.
+// AttemptEnded records the end of an attempt and whether it may have run.
 func (r *Request) AttemptEnded(mayHaveRun bool) {
-	r.out--
+	r.inFlight--
 	r.mayHaveRun = r.mayHaveRun || mayHaveRun
 }
 
-// Answer is asked before a final answer is given. A second one is none, and no violation: of two attempts
-// the later one's outcome comes to nothing.
+// Answer checks whether the final answer may be given now. give is false if the request has its answer
+// already or was abandoned; that is no violation: the later outcome of two attempts is dropped.
 func (r *Request) Answer(refusal bool) (give bool, v Violation) {
 	if r.state != open {
 		return false, None
 	}
 	r.state = answered
-	if refusal && (r.mayHaveRun || r.out > 0) && !r.harmless() {
+	if refusal && (r.mayHaveRun || r.inFlight > 0) && !r.clientMayRetry() {
 		return true, RefuseMayHaveRun
 	}
 	return true, None
 }
 
-// harmless tells whether a client may repeat it though it may have run.
-func (r *Request) harmless() bool {
+// clientMayRetry reports whether a client may retry the request although it may have run.
+func (r *Request) clientMayRetry() bool {
 	return r.Rules.Idempotency == Idempotent || r.Rules.Idempotency == Deduplicated && r.Rules.DedupAcrossBackends
 }
 
-// CheckClose is asked before the ingress closes a connection with so many requests open on it. Their clients
-// free them by going away, by a connection that breaks, and by not reading.
-func CheckClose(open int, freed bool) Violation {
-	if open > 0 && !freed {
+// CheckClose checks whether the ingress may close a connection that has this many open requests. released
+// means that the client no longer expects answers: it disconnected, the connection broke, or the client
+// does not read.
+func CheckClose(open int, released bool) Violation {
+	if open > 0 && !released {
 		return CloseOverOpen
 	}
 	return None
 }
 
-// CheckExit is asked before the process ends with so many requests open.
+// CheckExit checks whether the process may exit with this many open requests.
 func CheckExit(open int) Violation {
 	if open > 0 {
 		return EndOverOpen
@@ -141,7 +143,7 @@
 	return None
 }
 
-// Abandon notes that its client has gone. It tells whether an answer was still owed.
+// Abandon records that the client has disconnected. It reports whether an answer was still owed.
 func (r *Request) Abandon() bool {
 	if r.state != open {
 		return false
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -5,90 +5,92 @@
 	"time"
 )
 
-func request(repeats Idempotency) *Request {
-	return &Request{Rules: &Rules{Idempotency: repeats, DedupWindow: time.Second, MaxInFlight: 1, MaxAttempts: 4}, Deadline: 3 * time.Second}
+func newRequest(idempotency Idempotency) *Request {
+	return &Request{Rules: &Rules{Idempotency: idempotency, DedupWindow: time.Second, MaxInFlight: 1, MaxAttempts: 4}, Deadline: 3 * time.Second}
 }
 
-func want(t *testing.T, what string, got, want Violation) {
+func checkViolation(t *testing.T, step string, got, want Violation) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s: %s, want %s", what, got, want)
+		t.Errorf("%s: violation %s, want %s", step, got, want)
 	}
 }
 
-// Guards against a second run of what must run once: by a repeat, or by a refusal that has its client repeat it.
-func TestWhatMayHaveRunIsNeitherRepeatedNorRefused(t *testing.T) {
+// Guards against a second run of a request that must run once: through a retry by the ingress, or through a
+// refusal after which the client retries.
+func TestRequestThatMayHaveRunIsNeitherRetriedNorRefused(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		repeats    Idempotency
-		mayHaveRun bool
-		at         time.Duration
-		begin      Violation
-		refuse     Violation
+		name        string
+		idempotency Idempotency
+		mayHaveRun  bool
+		retryAt     time.Duration
+		wantRetry   Violation
+		wantRefusal Violation
 	}{
-		{"at will", Idempotent, true, 2 * time.Second, None, None},
-		{"keyed, in its window", Deduplicated, true, 900 * time.Millisecond, None, RefuseMayHaveRun},
-		{"keyed, behind it", Deduplicated, true, time.Second, RepeatMayRunTwice, RefuseMayHaveRun},
-		{"once, never ran", NonIdempotent, false, 2 * time.Second, None, None},
-		{"once, may have run", NonIdempotent, true, time.Millisecond, RepeatMayRunTwice, RefuseMayHaveRun},
+		{"idempotent", Idempotent, true, 2 * time.Second, None, None},
+		{"deduplicated, within the window", Deduplicated, true, 900 * time.Millisecond, None, RefuseMayHaveRun},
+		{"deduplicated, after the window", Deduplicated, true, time.Second, RepeatMayRunTwice, RefuseMayHaveRun},
+		{"non-idempotent, never ran", NonIdempotent, false, 2 * time.Second, None, None},
+		{"non-idempotent, may have run", NonIdempotent, true, time.Millisecond, RepeatMayRunTwice, RefuseMayHaveRun},
 	} {
-		r := request(c.repeats)
-		want(t, c.name+", the first", r.BeginAttempt(0), None)
-		want(t, c.name+", written", r.CheckWrite(0), None)
+		r := newRequest(c.idempotency)
+		checkViolation(t, c.name+", first attempt", r.BeginAttempt(0), None)
+		checkViolation(t, c.name+", write", r.CheckWrite(0), None)
 		r.AttemptEnded(c.mayHaveRun)
-		want(t, c.name+", the second", r.BeginAttempt(c.at), c.begin)
-		if c.begin == None {
+		checkViolation(t, c.name+", retry", r.BeginAttempt(c.retryAt), c.wantRetry)
+		if c.wantRetry == None {
 			r.AttemptEnded(false)
 		}
-		give, v := r.Answer(true)
-		want(t, c.name+", the refusal", v, c.refuse)
+		give, violation := r.Answer(true)
+		checkViolation(t, c.name+", refusal", violation, c.wantRefusal)
 		if !give {
-			t.Errorf("%s: no final answer", c.name)
+			t.Errorf("%s: Answer gives no final answer to an open request", c.name)
 		}
 	}
 }
 
-// Guards against attempts that begin where nothing is owed any more.
-func TestNothingBeginsBehindTheEnd(t *testing.T) {
-	r := request(Idempotent)
-	want(t, "begins", r.BeginAttempt(0), None)
-	want(t, "beside", r.BeginAttempt(0), BeginBeside)
+// Guards against attempts of requests that were answered, abandoned or are past their deadline, and against
+// attempts beyond the limits.
+func TestAttemptLimitsAndStepsAfterTheEnd(t *testing.T) {
+	r := newRequest(Idempotent)
+	checkViolation(t, "first attempt", r.BeginAttempt(0), None)
+	checkViolation(t, "second attempt in flight", r.BeginAttempt(0), BeginBeside)
 	r.AttemptEnded(true)
-	want(t, "past its time", r.BeginAttempt(3*time.Second+heldUp), BeginAfterDeadline)
+	checkViolation(t, "attempt past the deadline", r.BeginAttempt(3*time.Second+maxProcessStall), BeginAfterDeadline)
 	for range 3 {
-		want(t, "repeat", r.BeginAttempt(time.Second), None)
+		checkViolation(t, "retry", r.BeginAttempt(time.Second), None)
 		r.AttemptEnded(false)
 	}
-	want(t, "one too many", r.BeginAttempt(time.Second), BeginTooMany)
+	checkViolation(t, "attempt beyond MaxAttempts", r.BeginAttempt(time.Second), BeginTooMany)
 	if !r.Abandon() || r.Abandon() || !r.Finished() {
-		t.Error("it is abandoned once")
+		t.Error("Abandon does not report true exactly once, or the request is not finished after it")
 	}
-	want(t, "abandoned", r.BeginAttempt(0), BeginAfterEnd)
-	want(t, "abandoned", r.CheckWrite(0), WriteAfterEnd)
+	checkViolation(t, "attempt of an abandoned request", r.BeginAttempt(0), BeginAfterEnd)
+	checkViolation(t, "write of an abandoned request", r.CheckWrite(0), WriteAfterEnd)
 	if give, _ := r.Answer(false); give {
-		t.Error("an answer to an abandoned request")
+		t.Error("Answer gives an answer to an abandoned request")
 	}
-	r = request(Idempotent)
+	r = newRequest(Idempotent)
 	if give, _ := r.Answer(false); !give {
-		t.Error("no answer to an open request")
+		t.Error("Answer gives no answer to an open request")
 	}
 	if give, _ := r.Answer(false); give {
-		t.Error("a second answer")
+		t.Error("Answer gives a second answer")
 	}
-	want(t, "answered", r.BeginAttempt(0), BeginAfterEnd)
+	checkViolation(t, "attempt of an answered request", r.BeginAttempt(0), BeginAfterEnd)
 }
 
-// Guards against violations that nobody hears of.
+// Guards against violations that are not counted, or that share a name.
 func TestViolationsAreCountedByName(t *testing.T) {
-	var c Counts
+	var counts Counts
 	names := map[string]bool{}
 	for v := range NumViolations {
-		if counted := c.Add(v); counted != (v != None) {
-			t.Errorf("%s: counted %v", v, counted)
+		if counted := counts.Add(v); counted != (v != None) {
+			t.Errorf("Add(%s) = %v", v, counted)
 		}
 		names[v.String()] = true
 	}
-	if c.Total() != uint64(NumViolations)-1 || len(names) != int(NumViolations) {
-		t.Errorf("%d counted under %d names, want %d of each but none", c.Total(), len(names), NumViolations)
+	if counts.Total() != uint64(NumViolations)-1 || len(names) != int(NumViolations) {
+		t.Errorf("%d violations counted under %d names, want %d names, each counted once except none", counts.Total(), len(names), NumViolations)
 	}
 }
--- a/internal/lifecycle/violation.go
+++ b/internal/lifecycle/violation.go
@@ -1,33 +1,33 @@
 package lifecycle
 
-// Violation is a step that the rule forbids.
+// Violation is a step that breaks an invariant of request handling.
 type Violation uint8
 
-// The violations.
+// The violations. Each constant is named like its printed value.
 const (
 	None               Violation = iota
-	BeginAfterEnd                // an attempt of a request that has its answer, or whose client has gone
-	BeginAfterDeadline           // an attempt past the request's time
-	BeginBeside                  // an attempt beside as many as may be out
-	BeginTooMany                 // an attempt more than a request may have
-	RepeatMayRunTwice            // an attempt, though an earlier one may have run and must not run twice
-	WriteAfterEnd                // the first byte of an attempt behind the request's end
-	RefuseMayHaveRun             // -BUSY, though an attempt may have run and must not run twice
-	CloseOverOpen                // a connection closed by the ingress with a request open on it
-	EndOverOpen                  // the process ends with a request open
-	NumViolations                // how many there are
+	BeginAfterEnd                // an attempt begins after the request was answered or abandoned
+	BeginAfterDeadline           // an attempt begins after the request's deadline
+	BeginBeside                  // an attempt begins while Rules.MaxInFlight attempts are in flight
+	BeginTooMany                 // an attempt begins after Rules.MaxAttempts attempts
+	RepeatMayRunTwice            // a retry, though an earlier attempt may have run and the request must not run twice
+	WriteAfterEnd                // the first byte of an attempt after the request was answered or abandoned
+	RefuseMayHaveRun             // -BUSY, though an attempt may have run and the request must not run twice
+	CloseOverOpen                // the ingress closes a connection that has an open request
+	EndOverOpen                  // the process exits with an open request
+	NumViolations
 )
 
 var violationNames = [NumViolations]string{"none", "begin-after-end", "begin-after-deadline", "begin-beside", "begin-too-many", "repeat-may-run-twice",
 	"write-after-end", "refuse-may-have-run", "close-over-open", "end-over-open"}
 
-// String names a violation as logs and counts have it.
+// String returns the name used in logs and in the event counts.
 func (v Violation) String() string { return violationNames[v] }
 
-// Counts are how often each violation was met.
+// Counts holds the number of occurrences of each violation.
 type Counts [NumViolations]uint64
 
-// Add counts one, and tells whether it was any.
+// Add counts v and reports whether it is a violation.
 func (c *Counts) Add(v Violation) bool {
 	if v == None {
 		return false
@@ -36,7 +36,7 @@
 	return true
 }
 
-// Total is how many there were.
+// Total returns the number of all violations.
 func (c *Counts) Total() (n uint64) {
 	for _, k := range c {
 		n += k
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,7 +1,8 @@
-// Package resp reads the frames of RESP2, strictly: each function tells at once
-// what can never become whole. A reader that takes it for not whole yet would go
-// on waiting, and buffering, for as long as the other side likes. Each returns
-// n = 0 while what it reads is not whole.
+// Package resp is a strict, incremental parser of RESP2 frames. Each function
+// returns n, the number of bytes consumed, or n = 0 while the input is an
+// incomplete frame. Input that no further bytes can complete is an error at once:
+// a reader that took it for incomplete would wait and buffer for as long as the
+// peer keeps the connection open.
 package resp
 
 import (
@@ -11,20 +12,20 @@
 	"strings"
 )
 
-// Bounds of the platform's protocol, in bytes.
+// Limits of the platform's protocol, in bytes.
 const (
-	MaxValue         = 64 << 10        // of one value that is held as a whole
-	MaxStreamedValue = 4 << 20         // of one value that is passed on as it comes
-	MaxMessage       = MaxValue + 4096 // of one command or answer, the largest value among them
+	MaxValue         = 64 << 10        // of a value that is buffered as a whole
+	MaxStreamedValue = 4 << 20         // of a value that is streamed
+	MaxMessage       = MaxValue + 4096 // of a command or answer, including its value
 	MaxLine          = 1024            // of an error line or a simple string
 )
 
 const (
 	maxLengthDigits = 9
-	maxDigits       = 15 // of a number
+	maxDigits       = 15 // of an integer or decimal
 )
 
-// What can never become whole.
+// Errors for input that no further bytes can turn into a valid frame.
 var (
 	ErrTooLong   = errors.New("message is too long")
 	ErrMalformed = errors.New("message is malformed")
@@ -32,7 +33,7 @@
 
 var nullLength = []byte("-1\r\n")
 
-// Length reads the line behind a type byte: digits alone, or -1 for a null.
+// Length parses the length line after a type byte: digits only, or -1 for null.
 func Length(buf []byte) (v, n int, err error) {
 	rest := buf[1:]
 	if bytes.HasPrefix(rest, nullLength) {
@@ -56,17 +57,17 @@
 	return 0, 0, nil
 }
 
-// Bulk reads a bulk string of at most so many bytes.
-func Bulk(buf []byte, most int) (data []byte, n int, err error) {
-	data, n, err = BulkOrNull(buf, most)
+// Bulk parses a bulk string of at most maxLen bytes; null is an error.
+func Bulk(buf []byte, maxLen int) (data []byte, n int, err error) {
+	data, n, err = BulkOrNull(buf, maxLen)
 	if n > 0 && data == nil {
 		return nil, 0, ErrMalformed
 	}
 	return data, n, err
 }
 
-// BulkOrNull reads a bulk string; a null has no data.
-func BulkOrNull(buf []byte, most int) (data []byte, n int, err error) {
+// BulkOrNull parses a bulk string of at most maxLen bytes; data is nil for null.
+func BulkOrNull(buf []byte, maxLen int) (data []byte, n int, err error) {
 	if len(buf) == 0 {
 		return nil, 0, nil
 	}
@@ -80,7 +81,7 @@
 	if size < 0 {
 		return nil, at, nil
 	}
-	if size > most || size > MaxValue {
+	if size > maxLen || size > MaxValue {
 		return nil, 0, ErrTooLong
 	}
 	end := at + size
@@ -95,7 +96,7 @@
 	return buf[at:end:end], end + 2, nil
 }
 
-// Line reads the line behind a type byte.
+// Line parses the text line after a type byte.
 func Line(buf []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(buf[:min(len(buf), MaxLine)], '\n')
 	switch {
@@ -109,7 +110,7 @@
 	return buf[1 : end-1], end + 1, nil
 }
 
-// Printable tells whether text holds nothing but printable ASCII.
+// Printable reports whether text is printable ASCII only.
 func Printable(text []byte) bool {
 	for _, ch := range text {
 		if ch < ' ' || ch > '~' {
@@ -119,23 +120,24 @@
 	return true
 }
 
-// Decimal reads digits with at most one point inside, and nothing else
-// that a float could be: no sign, exponent, infinity, hexadecimal or underscore.
+// Decimal parses digits with at most one decimal point between them. It rejects
+// the other forms that strconv.ParseFloat takes: sign, exponent, infinity,
+// hexadecimal and underscores.
 func Decimal(s string) (float64, error) {
-	whole, part, point := strings.Cut(s, ".")
-	if len(s) > maxDigits || !digits(whole) || point && !digits(part) {
+	whole, fraction, point := strings.Cut(s, ".")
+	if len(s) > maxDigits || !digits(whole) || point && !digits(fraction) {
 		return 0, ErrMalformed
 	}
 	return strconv.ParseFloat(s, 64)
 }
 
-// Int reads a whole number from least to most.
-func Int(s string, least, most int) (int, error) {
+// Int parses an unsigned integer between lowest and highest, both included.
+func Int(s string, lowest, highest int) (int, error) {
 	if len(s) > maxDigits || !digits(s) {
 		return 0, ErrMalformed
 	}
 	v, err := strconv.Atoi(s)
-	if err == nil && (v < least || v > most) {
+	if err == nil && (v < lowest || v > highest) {
 		err = ErrMalformed
 	}
 	return v, err
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry repeats a step that failed by an error which may be gone a moment later: one of a system
-// call that says nothing of what the call was made on.
+// Package retry repeats an operation that failed with a transient error: an error of a system call that is
+// not about the object of the call.
 package retry
 
 import (
@@ -9,14 +9,13 @@
 	"time"
 )
 
-// pause is the time between two tries.
-const pause = 20 * time.Millisecond
+const retryDelay = 20 * time.Millisecond
 
-// Transient tells whether an error may be gone a moment later.
+// Transient reports whether a retry of the call that failed with err may succeed.
 func Transient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
-		return errors.Is(err, os.ErrNoDeadline) // of a poller that the Go runtime could not watch
+		return errors.Is(err, os.ErrNoDeadline) // the Go runtime could not register the file with its poller
 	}
 	switch errno {
 	case syscall.ENOENT, syscall.EACCES, syscall.EPERM, syscall.EROFS, syscall.EISDIR, syscall.ENOTDIR, syscall.ELOOP,
@@ -26,17 +25,17 @@
 	return true
 }
 
-// For repeats a step while it fails by a passing error, until patience is over. failed is told of the first
-// failure; nil for nobody.
-func For[T any](patience time.Duration, failed func(error), step func() (T, error)) (v T, err error) {
-	end := time.Now().Add(patience)
-	for told := false; ; told = true {
-		if v, err = step(); err == nil || !Transient(err) || time.Now().After(end) {
+// For calls operation until it succeeds, fails with an error that is not transient, or fails after timeout.
+// onFirstFailure, unless nil, is called with the first transient error.
+func For[T any](timeout time.Duration, onFirstFailure func(error), operation func() (T, error)) (v T, err error) {
+	end := time.Now().Add(timeout)
+	for reported := false; ; reported = true {
+		if v, err = operation(); err == nil || !Transient(err) || time.Now().After(end) {
 			return v, err
 		}
-		if !told && failed != nil {
-			failed(err)
+		if !reported && onFirstFailure != nil {
+			onFirstFailure(err)
 		}
-		time.Sleep(pause)
+		time.Sleep(retryDelay)
 	}
 }
