--- a/choice/api.go
+++ b/choice/api.go
@@ -4,7 +4,7 @@
 //
 // A [Gateway] is a pure state machine. The caller tells it what happened
 // ([Gateway.Request], [Gateway.Outcome], [Gateway.Members], [Gateway.Probed],
-// [Gateway.Timer], [Gateway.Gone]) and it acts through [Actions]. It starts no
+// [Gateway.Timer], [Gateway.Disconnected]) and it acts through [Actions]. It starts no
 // goroutine and reads no clock: time is a [time.Duration] on the caller's
 // clock, which may begin anywhere and never goes back. The same seed and
 // events give the same actions. A Gateway is not safe for concurrent use.
@@ -27,7 +27,7 @@
 	MaxUnits    float64       // the most units that one request counts
 
 	MaxAttempts   int  // attempts a request may have
-	SecondCopies  bool // a request may have two attempts out at once
+	Hedging       bool // a request may have two attempts out at once
 	Probing       bool // Actions.Probe is permitted
 	Cancelling    bool // Actions.Cancel is permitted
 	MaxRetryAfter time.Duration
@@ -36,15 +36,15 @@
 	WeightsTrusted bool     // Backend.Weight is the registered size, at least roughly
 	ReportFields   []string // order of the values in a load report; "inflight" and "latency_ms" are known
 
-	ColdFrom      float64       // a backend starts at this part of its capacity, or more
-	ColdFor       time.Duration // and is warm after this at most
-	FallMultiple  float64       // a cold backend sent more than this multiple of its capacity
-	FallFor       time.Duration // for this long falls over
+	ColdCapacity  float64       // a backend starts at this part of its capacity, or more
+	WarmUpTime    time.Duration // and is warm after this at most
+	CrashMultiple float64       // a cold backend sent more than this multiple of its capacity
+	CrashAfter    time.Duration // for this long falls over
 	DrainGrace    time.Duration // sends to a draining backend must have ceased by then
 	CrossZoneCost float64       // price of an attempt that leaves the zone, as a part of a request's worth
 
-	Limit     Limiter // on attempts out; nil: the gateway's own
-	Customers int     // records of customers kept at most, but for those with an attempt out; 0: no bound
+	Limit        Limiter // on attempts out; nil: the gateway's own
+	MaxCustomers int     // records of customers kept at most, but for those with an attempt out; 0: no bound
 }
 
 // Effect tells what repeating a request of a class may do.
@@ -52,9 +52,9 @@
 
 // The effects of a class.
 const (
-	Free       Effect = iota // may be repeated at will
-	Guarded                  // repeats are dropped inside a group of backends, for a time
-	SingleShot               // must never run twice
+	Idempotent   Effect = iota // may be repeated at will
+	Deduplicated               // repeats are dropped inside a group of backends, for a time
+	AtMostOnce                 // must never run twice
 )
 
 // Group is the set of backends that drop each other's repeats.
@@ -74,8 +74,8 @@
 	Worth     float64
 	LateWorth float64 // part of the worth that an answer after the aim earns
 	Effect    Effect
-	Group     Group         // for Guarded
-	Window    time.Duration // for Guarded: how long repeats are dropped
+	Group     Group         // for Deduplicated
+	Window    time.Duration // for Deduplicated: how long repeats are dropped
 }
 
 // Plan is what a customer has bought. Its quotas hold for each customer over
@@ -110,34 +110,34 @@
 
 // Backend is one line of the list of backends.
 type Backend struct {
-	ID      uint32
-	Zone    int // below 0: not known
-	Kind    int
-	Cell    int
-	State   State
-	Weight  float64
-	Started time.Duration // clock time of its last start
-	Dated   bool          // Started is known; otherwise it started long ago
+	ID         uint32
+	Zone       int // below 0: not known
+	Kind       int
+	Cell       int
+	State      State
+	Weight     float64
+	Started    time.Duration // clock time of its last start
+	StartKnown bool          // Started is known; otherwise it started long ago
 }
 
-// Use is one backend in the order in which a gateway turns to them; see
-// [Gateway.Use].
-type Use struct {
-	Backend uint32
-	Part    float64 // how often it is looked at, relative to the others
+// Candidate is one backend in the order in which a gateway turns to them; see
+// [Gateway.SetCandidates].
+type Candidate struct {
+	Backend    uint32
+	PickWeight float64 // how often it is looked at, relative to the others
 }
 
 // BackendView is what a gateway knows of one backend.
 type BackendView struct {
-	ID       uint32
-	Part     float64 // of [Use]
-	Warmth   float64 // the least part of its capacity that it can have
-	Latency  float64 // mean, over that of its classes in the fleet
-	Failures float64 // share of its attempts, of late
-	Out      int     // attempts
-	Used     bool    // new work goes to it
-	Ejected  bool    // left out for its failures
-	Silent   bool    // left out, as it answers nothing
+	ID           uint32
+	PickWeight   float64 // of [Candidate]
+	Capacity     float64 // the least part of its capacity that it can have
+	Latency      float64 // mean, over that of its classes in the fleet
+	FailureRate  float64 // share of its attempts, of late
+	InFlight     int     // attempts
+	Used         bool    // new work goes to it
+	Ejected      bool    // left out for its failures
+	Unresponsive bool    // left out, as it answers nothing
 }
 
 // ListKind tells what a list of backends holds.
@@ -153,21 +153,21 @@
 
 // Request is one try of a client.
 type Request struct {
-	ID       uint32
-	Class    int
-	Plan     int
-	Customer uint64
-	TimeLeft time.Duration // the client gives this try up after it
-	Units    float64       // what it draws from the quota
-	Spread   int           // gateways through which this customer's requests may come
-	First    int           // the first of these
-	Repeat   bool          // a client's repeat, where clients mark it: another gateway refused the customer
+	ID          uint32
+	Class       int
+	Plan        int
+	Customer    uint64
+	TimeLeft    time.Duration // the client gives this try up after it
+	Units       float64       // what it draws from the quota
+	Spread      int           // gateways through which this customer's requests may come
+	First       int           // the first of these
+	ClientRetry bool          // a client's repeat, where clients mark it: another gateway refused the customer
 }
 
 // Status is how an attempt ended.
 type Status int
 
-// The ends of an attempt. Refused, ConnectFailed and Moot prove that it never ran.
+// The ends of an attempt. Refused, ConnectFailed and Unsent prove that it never ran.
 const (
 	OK Status = iota
 	Error
@@ -176,7 +176,7 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	Unsent
 )
 
 // Load is a backend's report of its load, in the order of
@@ -193,7 +193,7 @@
 	Backend uint32
 	Status  Status
 	Elapsed time.Duration
-	Over    bool // the request has its final answer
+	Done    bool // the request has its final answer
 	// Metered tells that Used was reported: the customer's use over all
 	// gateways in the last period added up, as a fraction of its rate (of the
 	// cap on open attempts where the plan has no rate).
@@ -204,8 +204,8 @@
 	Load Load
 }
 
-// Probe is the answer to one Actions.Probe.
-type Probe struct {
+// ProbeResult is the answer to one Actions.Probe.
+type ProbeResult struct {
 	Backend uint32
 	Status  Status
 	Elapsed time.Duration
@@ -225,6 +225,6 @@
 	Cancel(id uint32, attempt int)
 	// Probe checks a backend.
 	Probe(backend uint32)
-	// After asks for a Timer call with the token.
-	After(wait time.Duration, token uint64)
+	// SetTimer asks for a Timer call with the token.
+	SetTimer(wait time.Duration, token uint64)
 }
--- a/choice/attempt.go
+++ b/choice/attempt.go
@@ -20,7 +20,7 @@
 // send starts the next attempt of r, if one is allowed and worth it.
 func (g *Gateway) send(r *request) bool {
 	left := r.deadline - g.now
-	if len(r.attempts) >= g.cfg.MaxAttempts || left <= 0 || r.out > 0 && !g.cfg.SecondCopies {
+	if len(r.attempts) >= g.cfg.MaxAttempts || left <= 0 || r.out > 0 && !g.cfg.Hedging {
 		return false
 	}
 	b := g.pick(r)
@@ -43,9 +43,9 @@
 	r.cust.open++
 	r.attempts = append(r.attempts, attempt{to: b, sent: g.now})
 	g.act.Send(r.ID, b.ID, left)
-	if g.cfg.Classes[r.Class].Effect != SingleShot && (g.cfg.SecondCopies || g.cfg.Cancelling) {
+	if g.cfg.Classes[r.Class].Effect != AtMostOnce && (g.cfg.Hedging || g.cfg.Cancelling) {
 		wait := hedgeAims * g.cfg.Classes[r.Class].Aim.Seconds()
-		g.act.After(seconds(wait), uint64(r.ID)<<8|uint64(len(r.attempts)&0xff))
+		g.act.SetTimer(seconds(wait), uint64(r.ID)<<8|uint64(len(r.attempts)&0xff))
 	}
 	return true
 }
@@ -56,14 +56,14 @@
 	if last == ConnectFailed {
 		price = 0 // it cost no backend any work, so it cannot feed an overload
 	}
-	if last != Moot && g.bank >= price && g.send(r) {
+	if last != Unsent && g.bank >= price && g.send(r) {
 		g.bank -= price
 		return
 	}
 	r.over = true
 	cl := &g.cfg.Classes[r.Class]
-	harmless := r.first() == nil || cl.Effect == Free || cl.Effect == Guarded && cl.Group == GroupAll
-	if harmless && g.now < r.deadline {
+	safe := r.first() == nil || cl.Effect == Idempotent || cl.Effect == Deduplicated && cl.Group == GroupAll
+	if safe && g.now < r.deadline {
 		g.act.Refuse(r.ID, g.advice)
 	} else {
 		g.act.Fail(r.ID)
@@ -78,7 +78,7 @@
 	w := max(latLeast, 1-math.Exp(-(g.now-a.to.heard).Seconds()/latAims/g.longest.Seconds()))
 	if o.Status == OK || o.Status == Timeout {
 		if a.to.lat < slowBackend {
-			g.limit.Answer(r.Class, lat/aim, o.Elapsed)
+			g.limit.Observe(r.Class, lat/aim, o.Elapsed)
 		}
 		unheard := 1.0
 		if o.Status == Timeout {
@@ -93,12 +93,12 @@
 			cl.least = min(cl.mean, cl.least+leastRises*(cl.mean-cl.least))
 		}
 	case Refused:
-		g.limit.Answer(r.Class, math.Inf(1), o.Elapsed)
+		g.limit.Observe(r.Class, math.Inf(1), o.Elapsed)
 	}
 	if o.Status == OK || o.Status == Refused || o.Status == Error {
 		a.to.waiting = g.now
 	}
-	if o.Status != Refused && o.Status != Cancelled && o.Status != Moot {
+	if o.Status != Refused && o.Status != Cancelled && o.Status != Unsent {
 		a.to.heard = g.now
 		g.judge(a.to, o.Status != OK, w)
 	}
--- a/choice/balancer.go
+++ b/choice/balancer.go
@@ -39,7 +39,7 @@
 			b = &backend{lat: 1, part: 1}
 			g.backends[m.ID] = b
 		}
-		if b.Dated != m.Dated || b.Started != m.Started {
+		if b.StartKnown != m.StartKnown || b.Started != m.Started {
 			b.until, b.fails, b.lat, b.tokens, b.filled = 0, 0, 1, g.rng.Float64(), now
 			users := float64(g.cfg.Gateways*g.inUse()) / float64(max(1, len(g.fleet)))
 			if g.rng.Float64()*users < coldFirst {
@@ -61,15 +61,15 @@
 	g.fleet = slices.DeleteFunc(g.fleet, func(b *backend) bool { return b.State != Ready })
 }
 
-// Use names the backends to turn to, in order, and how many of them to use at a time: the first that take
-// work, and as many more as these are cold. Where none does, any of the fleet is used. An empty order stands
-// for the whole fleet. It comes behind each Members, which may have changed what there is.
-func (g *Gateway) Use(now time.Duration, order []Use, size int) {
+// SetCandidates sets the backends to use, in order of preference, and how many of them to use at a time: the
+// first ones that take work, and more while some of these are cold. If none takes work, any ready backend is
+// used. An empty order means the whole fleet. Call it after each Members, which may have changed the fleet.
+func (g *Gateway) SetCandidates(now time.Duration, order []Candidate, size int) {
 	g.step(now)
 	g.order, g.size = g.order[:0], size
 	for _, u := range order {
 		if b := g.backends[u.Backend]; b != nil {
-			b.part = u.Part
+			b.part = u.PickWeight
 			g.order = append(g.order, b)
 		}
 	}
@@ -161,9 +161,9 @@
 	}
 	cl := &g.cfg.Classes[r.Class]
 	switch cl.Effect {
-	case SingleShot:
+	case AtMostOnce:
 		return false
-	case Guarded:
+	case Deduplicated:
 		return g.now-a.sent < cl.Window && (cl.Group == GroupAll ||
 			cl.Group == GroupZone && b.Zone == a.to.Zone && b.Zone >= 0 ||
 			cl.Group == GroupCell && b.Cell == a.to.Cell)
@@ -172,7 +172,7 @@
 }
 
 // Probed takes the answer to a probe.
-func (g *Gateway) Probed(now time.Duration, p Probe) {
+func (g *Gateway) Probed(now time.Duration, p ProbeResult) {
 	g.step(now)
 	b := g.backends[p.Backend]
 	if b != nil && p.Status == OK && g.inflight >= 0 && g.inflight < p.Load.N {
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -26,7 +26,7 @@
 				id := uint32(i + 1)
 				g.Request(now, choice.Request{ID: id, Customer: uint64(i % 200), Spread: size.gateways, Units: 1, TimeLeft: time.Second})
 				if rec.id == id {
-					g.Outcome(now+10*ms, choice.Outcome{ID: id, Backend: rec.backend, Elapsed: 10 * ms, Over: true, Metered: true, Used: 0.5})
+					g.Outcome(now+10*ms, choice.Outcome{ID: id, Backend: rec.backend, Elapsed: 10 * ms, Done: true, Metered: true, Used: 0.5})
 				}
 			}
 		})
@@ -41,7 +41,7 @@
 func (l *lastSend) Fail(uint32)                              {}
 func (l *lastSend) Cancel(uint32, int)                       {}
 func (l *lastSend) Probe(uint32)                             {}
-func (l *lastSend) After(time.Duration, uint64)              {}
+func (l *lastSend) SetTimer(time.Duration, uint64)           {}
 
 // BenchmarkDelta measures what the list costs a gateway: one member changed, and the order named anew.
 func BenchmarkDelta(b *testing.B) {
@@ -61,13 +61,13 @@
 			}
 		})
 		b.Run(fmt.Sprintf("use/%d", n), func(b *testing.B) {
-			var order []choice.Use
+			var order []choice.Candidate
 			for _, m := range list {
-				order = append(order, choice.Use{Backend: m.ID, Part: 1})
+				order = append(order, choice.Candidate{Backend: m.ID, PickWeight: 1})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				g.Use(0, order, 16)
+				g.SetCandidates(0, order, 16)
 			}
 		})
 	}
--- a/choice/ceiling_test.go
+++ b/choice/ceiling_test.go
@@ -12,8 +12,8 @@
 // boundless is a limit that holds nothing back.
 type boundless struct{}
 
-func (boundless) Answer(int, float64, time.Duration)       {}
-func (boundless) Step(time.Duration, choice.Since) float64 { return 1e9 }
+func (boundless) Observe(int, float64, time.Duration)          {}
+func (boundless) Step(time.Duration, choice.StepStats) float64 { return 1e9 }
 
 // siege is all gateways of a customer's set, and one who asks, kills and waits as he likes. The store is that of
 // the customer's ceiling as the platform keeps it, full at first.
@@ -75,7 +75,7 @@
 		n := rapid.IntRange(1, 24).Draw(t, "gateways")
 		cfg := plain()
 		cfg.Gateways = n
-		cfg.Customers = rapid.IntRange(0, 3).Draw(t, "records")
+		cfg.MaxCustomers = rapid.IntRange(0, 3).Draw(t, "records")
 		fill := rapid.SampledFrom([]float64{0.2, 2, 10, 200}).Draw(t, "seconds to fill")
 		plan := choice.Plan{Price: 1, CeilingBurst: float64(n) * rapid.Float64Range(0.5, 4).Draw(t, "burst")}
 		plan.CeilingRate = plan.CeilingBurst / fill
@@ -117,7 +117,7 @@
 				s.now += time.Duration(rapid.Float64Range(0, 1).Draw(t, "wait") * fill * float64(time.Second))
 				s.take(i, 100, units)
 				s.gates[i], s.recs[i] = next, nextRec
-				next.Begin(s.now)
+				next.PredecessorStopped(s.now)
 			case 7: // the same customer under a plan without a ceiling
 				s.id++
 				ask(s.gates[i], s.recs[i], s.now, choice.Request{ID: s.id, Customer: 1, Plan: 1, Spread: n}, -1)
@@ -139,7 +139,7 @@
 // again is not forgotten for them.
 func TestRecordsOfCustomersAreBounded(t *testing.T) {
 	cfg := plain()
-	cfg.Customers = 1000
+	cfg.MaxCustomers = 1000
 	g, rec := open(t, cfg, backends(4))
 	for i := range uint32(100_000) {
 		now := time.Duration(i) * 10 * time.Microsecond
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -41,7 +41,7 @@
 func (r *recorder) Fail(id uint32)                { r.note("fail %d", id); r.failed[id] = true }
 func (r *recorder) Cancel(id uint32, attempt int) { r.note("cancel %d/%d", id, attempt) }
 func (r *recorder) Probe(b uint32)                { r.note("probe %d", b); r.probed = append(r.probed, b) }
-func (r *recorder) After(wait time.Duration, token uint64) {
+func (r *recorder) SetTimer(wait time.Duration, token uint64) {
 	r.note("after %v token %d", wait, token)
 }
 
@@ -49,9 +49,9 @@
 func plain() choice.Config {
 	return choice.Config{
 		Gateways: 4, MeterPeriod: 500 * ms, MaxUnits: 1, MaxAttempts: 3,
-		Classes:  []choice.Class{{Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:    []choice.Plan{{Rate: 10, Burst: 24, Price: 1, OverCost: 1}},
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
+		Classes:      []choice.Class{{Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1}},
+		Plans:        []choice.Plan{{Rate: 10, Burst: 24, Price: 1, OverCost: 1}},
+		ColdCapacity: 0.2, WarmUpTime: 10 * time.Second, CrashMultiple: 3, CrashAfter: 2 * time.Second,
 	}
 }
 
@@ -86,7 +86,7 @@
 	if len(to) == 0 {
 		return false
 	}
-	g.Outcome(now, choice.Outcome{ID: r.ID, Backend: to[0], Status: choice.OK, Elapsed: 10 * ms, Over: true,
+	g.Outcome(now, choice.Outcome{ID: r.ID, Backend: to[0], Status: choice.OK, Elapsed: 10 * ms, Done: true,
 		Metered: used >= 0, Used: max(used, 0)})
 	return true
 }
@@ -295,7 +295,7 @@
 		g.Request(last, choice.Request{ID: 100_000 + i, Customer: uint64(10 + i), Spread: 1, Units: 1, TimeLeft: time.Second})
 	}
 	if !ask(g, rec, last, choice.Request{ID: id + 1, Customer: 0, Spread: 1}, -1) {
-		t.Errorf("one whose store has filled again is refused, %d times for pressure", g.Refusals(choice.ByPressure))
+		t.Errorf("one whose store has filled again is refused, %d times for pressure", g.Refusals(choice.ByOverload))
 	}
 }
 
@@ -352,7 +352,7 @@
 	cfg := plain()
 	cfg.Plans[0].CeilingRate, cfg.Plans[0].CeilingBurst = 20, 48
 	g, rec := open(t, cfg, backends(4))
-	g.Begin(time.Minute)
+	g.PredecessorStopped(time.Minute)
 	if ask(g, rec, time.Minute, choice.Request{ID: 1, Customer: 1, Spread: 2}, -1) {
 		t.Error("passed from a part that the gateway before may have drawn")
 	}
@@ -375,9 +375,9 @@
 	}
 	g.Outcome(0, choice.Outcome{ID: 99})
 	g.Outcome(0, choice.Outcome{ID: 1, Attempt: 7})
-	g.Gone(0, 99)
+	g.Disconnected(0, 99)
 	g.Timer(0, 1<<40)
-	g.Probed(0, choice.Probe{Backend: 99})
+	g.Probed(0, choice.ProbeResult{Backend: 99})
 	if len(rec.sent) != 0 {
 		t.Errorf("sent %v for events that name nothing known", rec.sent)
 	}
@@ -404,7 +404,7 @@
 			st = choice.Error
 			toBad++
 		}
-		g.Outcome(now, choice.Outcome{ID: id, Backend: rec.sent[id][0], Status: st, Elapsed: 5 * ms, Over: true})
+		g.Outcome(now, choice.Outcome{ID: id, Backend: rec.sent[id][0], Status: st, Elapsed: 5 * ms, Done: true})
 	}
 	if toBad > 30 {
 		t.Errorf("%d of 600 went to the backend that fails all, want 30 at most", toBad)
@@ -420,7 +420,7 @@
 		now, id := time.Duration(i)*10*ms, i+1
 		g.Request(now, choice.Request{ID: id, Customer: uint64(i), Spread: 1, Units: 1, TimeLeft: 20 * time.Second})
 		if b := rec.sent[id][0]; b != 2 {
-			g.Outcome(now, choice.Outcome{ID: id, Backend: b, Status: choice.OK, Elapsed: 5 * ms, Over: true})
+			g.Outcome(now, choice.Outcome{ID: id, Backend: b, Status: choice.OK, Elapsed: 5 * ms, Done: true})
 		} else if now > time.Second {
 			late++
 		}
@@ -432,7 +432,7 @@
 
 func TestColdBackendGetsALittleAtATime(t *testing.T) {
 	g, rec := open(t, plain(), backends(3))
-	g.Members(0, choice.Delta, []choice.Backend{{ID: 9, Weight: 1, Dated: true, Started: 1}})
+	g.Members(0, choice.Delta, []choice.Backend{{ID: 9, Weight: 1, StartKnown: true, Started: 1}})
 	out := 0
 	for i := range uint32(20) {
 		g.Request(2, choice.Request{ID: i + 1, Customer: uint64(i), Spread: 1, Units: 1, TimeLeft: time.Second})
@@ -461,7 +461,7 @@
 		}
 		if len(held) > 0 && now%(50*ms) == 0 {
 			g.Outcome(now, choice.Outcome{ID: held[0], Backend: rec.sent[held[0]][0], Status: choice.OK,
-				Elapsed: 800 * ms, Over: true})
+				Elapsed: 800 * ms, Done: true})
 			held = held[1:]
 		}
 	}
@@ -472,7 +472,7 @@
 
 func TestFurtherAttemptsHoldTheRules(t *testing.T) {
 	cfg := plain()
-	cfg.Classes = append(cfg.Classes, choice.Class{Aim: 400 * ms, Deadline: time.Second, Worth: 1, Effect: choice.SingleShot})
+	cfg.Classes = append(cfg.Classes, choice.Class{Aim: 400 * ms, Deadline: time.Second, Worth: 1, Effect: choice.AtMostOnce})
 	for _, c := range []struct {
 		class         int
 		status        choice.Status
@@ -497,7 +497,7 @@
 func TestSameEventsGiveTheSameActions(t *testing.T) {
 	play := func() []string {
 		cfg := plain()
-		cfg.Probing, cfg.ReportFields, cfg.SecondCopies = true, []string{"inflight"}, true
+		cfg.Probing, cfg.ReportFields, cfg.Hedging = true, []string{"inflight"}, true
 		g, rec := open(t, cfg, backends(5))
 		for i := range uint32(800) {
 			now := time.Duration(i) * 4 * ms
@@ -541,7 +541,7 @@
 		if len(rec.sent[id]) != 2 {
 			t.Fatalf("request %d was sent %d times, want a second", id, len(rec.sent[id]))
 		}
-		g.Outcome(now, choice.Outcome{ID: id, Attempt: 1, Backend: rec.sent[id][1], Status: choice.OK, Elapsed: 5 * ms, Over: true})
+		g.Outcome(now, choice.Outcome{ID: id, Attempt: 1, Backend: rec.sent[id][1], Status: choice.OK, Elapsed: 5 * ms, Done: true})
 	}
 }
 
@@ -688,7 +688,7 @@
 	for _, repeat := range []bool{false, true} {
 		g, rec := open(t, cfg, backends(400))
 		for i := range uint32(200) {
-			if ask(g, rec, 0, choice.Request{ID: i + 1, Customer: uint64(i), Spread: 40, Repeat: repeat}, -1) {
+			if ask(g, rec, 0, choice.Request{ID: i + 1, Customer: uint64(i), Spread: 40, ClientRetry: repeat}, -1) {
 				passed[repeat]++
 			}
 		}
@@ -749,7 +749,7 @@
 				r := choice.Request{ID: id, Customer: 1, Spread: 4, Units: 1, TimeLeft: time.Second}
 				g.Request(now, r)
 				if to := rec.sent[id]; len(to) > 0 {
-					o := choice.Outcome{ID: id, Backend: to[0], Elapsed: 10 * ms, Over: true, Metered: true, Used: 1.2}
+					o := choice.Outcome{ID: id, Backend: to[0], Elapsed: 10 * ms, Done: true, Metered: true, Used: 1.2}
 					if id%5 == 0 {
 						o.Metered, o.Used = i == 0, bad
 					}
@@ -773,7 +773,7 @@
 // its own cell, where its repeat is dropped.
 func TestDeletedBackendKeepsItsCell(t *testing.T) {
 	cfg := plain()
-	cfg.Classes[0].Effect, cfg.Classes[0].Group, cfg.Classes[0].Window = choice.Guarded, choice.GroupCell, 10*time.Second
+	cfg.Classes[0].Effect, cfg.Classes[0].Group, cfg.Classes[0].Window = choice.Deduplicated, choice.GroupCell, 10*time.Second
 	for seed := range uint64(20) {
 		r := record()
 		g, err := choice.New(cfg, seed, 0, r)
--- a/choice/concurrency.go
+++ b/choice/concurrency.go
@@ -37,18 +37,18 @@
 // Limiter bounds the attempts out of one gateway, in parts of a prior: what its share of the fleet is taken
 // to work well with before anything has shown.
 type Limiter interface {
-	// Answer takes the latency of an answer or time-out, in aims of its class and in time. A backend that was
-	// full counts as +Inf aims.
-	Answer(class int, aims float64, took time.Duration)
+	// Observe takes the latency of an answer or timeout, as a multiple of its class's aim and as a duration.
+	// A refusal by an overloaded backend counts as +Inf aims.
+	Observe(class int, aims float64, took time.Duration)
 	// Step takes the time and what has been since the last step. It returns how many priors may be out.
-	Step(now time.Duration, s Since) float64
+	Step(now time.Duration, s StepStats) float64
 }
 
-// Since is what has been since a Limiter's last step.
-type Since struct {
-	Out   float64 // attempts out at most
-	Prior float64 // attempts, as it is now
-	Bound bool    // the limit has held work back
+// StepStats is what has been since a Limiter's last step.
+type StepStats struct {
+	MaxInFlight float64 // attempts out at most
+	Baseline    float64 // attempts, as it is now
+	Limited     bool    // the limit has held work back
 }
 
 // limit is the gateway's own Limiter: additive growth that quickens with the time since the last cut, as in
@@ -76,7 +76,7 @@
 	return &l
 }
 
-func (l *limit) Answer(class int, aims float64, took time.Duration) {
+func (l *limit) Observe(class int, aims float64, took time.Duration) {
 	l.took += pressAnswer * (took.Seconds() - l.took)
 	if l.last < l.deaf {
 		return // it tells of what was out before the cut
@@ -90,8 +90,8 @@
 	l.sum += ratio
 	l.n++
 }
-func (l *limit) Step(now time.Duration, s Since) float64 {
-	span, out := (now - l.last).Seconds(), s.Out/max(s.Prior, 1e-9)
+func (l *limit) Step(now time.Duration, s StepStats) float64 {
+	span, out := (now - l.last).Seconds(), s.MaxInFlight/max(s.Baseline, 1e-9)
 	l.last = now
 	l.peak = max(out, l.peak*math.Exp(-span/peakFades))
 	if now < l.deaf {
@@ -118,7 +118,7 @@
 		l.ratio, l.weight, l.peak = 1, pressDoubt, out
 	case l.opened < 1:
 		l.opened = min(1, l.opened*(1+min(limitGrow, limitCut*(1-l.ratio))))
-	case !s.Bound:
+	case !s.Limited:
 		l.opened += (1 - math.Exp(-span/limitForget)) * (limitWidest - l.opened)
 	case l.ratio < limitCalm:
 		l.opened += limitGrow * (1 + since*since)
@@ -171,6 +171,6 @@
 		return
 	}
 	g.nextStep = now + g.limitStep()
-	g.opened = g.limit.Step(now, Since{float64(g.most), g.prior(), g.bound})
+	g.opened = g.limit.Step(now, StepStats{float64(g.most), g.prior(), g.bound})
 	g.most, g.bound = g.out, false
 }
--- a/choice/gateway.go
+++ b/choice/gateway.go
@@ -33,14 +33,15 @@
 	}
 	g.requests[in.ID] = r
 	if !g.send(r) {
-		g.refusals[ByBackends]++
+		g.refusals[ByNoBackend]++
 		delete(g.requests, in.ID)
 		g.act.Refuse(r.ID, g.advice)
 	}
 }
 
-// Begin tells that another gateway in this one's place has stopped just now. It comes before any request.
-func (g *Gateway) Begin(now time.Duration) { g.begun = now }
+// PredecessorStopped tells that the gateway this one replaces has stopped just now. It must be called before
+// any request.
+func (g *Gateway) PredecessorStopped(now time.Duration) { g.begun = now }
 
 // Outcome takes the end of an attempt, and answers the request or tries again.
 func (g *Gateway) Outcome(now time.Duration, o Outcome) {
@@ -51,7 +52,7 @@
 	}
 	a := &r.attempts[o.Attempt]
 	a.ended = true
-	a.never = o.Status == Refused || o.Status == ConnectFailed || o.Status == Moot
+	a.never = o.Status == Refused || o.Status == ConnectFailed || o.Status == Unsent
 	a.to.out--
 	g.out--
 	r.out--
@@ -60,7 +61,7 @@
 		g.metered(r.cust, o.Used, now-o.Age)
 	}
 	g.learn(r, a, o)
-	r.over = r.over || o.Over
+	r.over = r.over || o.Done
 	if r.over {
 		g.cancelRest(r)
 	} else if r.out == 0 {
@@ -79,11 +80,11 @@
 		return
 	}
 	last := &r.attempts[len(r.attempts)-1]
-	g.limit.Answer(r.Class, (now-last.sent).Seconds()/g.cfg.Classes[r.Class].Aim.Seconds(), now-last.sent)
+	g.limit.Observe(r.Class, (now-last.sent).Seconds()/g.cfg.Classes[r.Class].Aim.Seconds(), now-last.sent)
 	if g.bank < 1 || float64(g.out) > g.room()*(1-limitSpare) && !g.silent(last.to) {
 		return
 	}
-	if g.cfg.SecondCopies {
+	if g.cfg.Hedging {
 		if g.send(r) {
 			g.bank--
 		}
@@ -92,8 +93,8 @@
 	}
 }
 
-// Gone ends a request whose client has left.
-func (g *Gateway) Gone(now time.Duration, id uint32) {
+// Disconnected ends a request whose client has left.
+func (g *Gateway) Disconnected(now time.Duration, id uint32) {
 	g.step(now)
 	r := g.requests[id]
 	if r == nil {
--- a/choice/health.go
+++ b/choice/health.go
@@ -21,11 +21,11 @@
 // warmth is the least part of its capacity that a backend can have now.
 func (g *Gateway) warmth(b *backend) float64 {
 	age := g.now - b.Started
-	if !b.Dated || g.cfg.ColdFor <= 0 || age >= g.cfg.ColdFor {
+	if !b.StartKnown || g.cfg.WarmUpTime <= 0 || age >= g.cfg.WarmUpTime {
 		return 1
 	}
-	from := max(g.cfg.ColdFrom, 0.02)
-	return from + (1-from)*max(0, age.Seconds())/g.cfg.ColdFor.Seconds()
+	from := max(g.cfg.ColdCapacity, 0.02)
+	return from + (1-from)*max(0, age.Seconds())/g.cfg.WarmUpTime.Seconds()
 }
 
 // coldRoom bounds what goes to a cold backend by a token bucket that fills at so many times its warmth of
--- a/choice/meter.go
+++ b/choice/meter.go
@@ -135,8 +135,8 @@
 	return used >= 0 && used*g.quota(p) <= most
 }
 
-// Metered takes a reading that came behind an answer, when its attempt had ended already; age as in Outcome.
-func (g *Gateway) Metered(now time.Duration, who uint64, plan int, used float64, age time.Duration) {
+// LateReading takes a meter reading that arrived after its attempt had ended; age is as in Outcome.
+func (g *Gateway) LateReading(now time.Duration, who uint64, plan int, used float64, age time.Duration) {
 	g.step(now)
 	if c := g.customers[account{who, plan}]; c != nil {
 		g.metered(c, used, now-age)
--- a/choice/population_test.go
+++ b/choice/population_test.go
@@ -115,9 +115,9 @@
 		if len(p.recorder.sent[p.asked]) == 0 {
 			t.Fatalf("a calm customer was refused behind %v", used)
 		}
-		p.gateway.Outcome(p.now, choice.Outcome{ID: p.asked, Status: choice.OK, Over: true, Metered: true, Used: used})
+		p.gateway.Outcome(p.now, choice.Outcome{ID: p.asked, Status: choice.OK, Done: true, Metered: true, Used: used})
 	}
-	if got := p.gateway.Misread(); got != 13 {
+	if got := p.gateway.InvalidReadings(); got != 13 {
 		t.Errorf("%d readings counted as set aside, want 13", got)
 	}
 	p.ask(calmPlan, 1, 1e12)
@@ -133,7 +133,7 @@
 	p := newPopulation(t)
 	p.ask(heavyPlan, 60, 4)
 	terms := choice.Terms{Plans: append(manyGateways().Plans, choice.Plan{Rate: 1, Burst: 3, Price: 1, OverCost: 1}), MaxAttempts: 3}
-	if err := p.gateway.Change(p.now, terms); err != nil {
+	if err := p.gateway.SetTerms(p.now, terms); err != nil {
 		t.Fatal(err)
 	}
 	if got := p.ask(plansOfManyGateways, 500, noReading); got < 0.98 {
@@ -147,11 +147,11 @@
 	cfg.MaxUnits = 6
 	g, rec := open(t, cfg, backends(4))
 	ask(g, rec, time.Second, choice.Request{ID: 1, Customer: 1, Plan: ceilingPlan, Spread: 1}, 1200) // 600 units, of 6 x 350
-	if got := g.Misread(); got != 0 {
+	if got := g.InvalidReadings(); got != 0 {
 		t.Errorf("a reading of 600 units was set aside, though 350 requests may have counted 6 each")
 	}
 	ask(g, rec, 2*time.Second, choice.Request{ID: 2, Customer: 2, Plan: ceilingPlan, Spread: 1}, 6000)
-	if got := g.Misread(); got != 1 {
+	if got := g.InvalidReadings(); got != 1 {
 		t.Errorf("%d readings set aside, want that of 3,000 units", got)
 	}
 }
--- a/choice/quota.go
+++ b/choice/quota.go
@@ -27,7 +27,7 @@
 	c := g.customers[key]
 	if c == nil {
 		p := &g.cfg.Plans[in.Plan]
-		if g.cfg.Customers > 0 && len(g.kept) >= g.cfg.Customers {
+		if g.cfg.MaxCustomers > 0 && len(g.kept) >= g.cfg.MaxCustomers {
 			g.forgetOne()
 		}
 		// The part of the ceiling begins empty when the gateway starts, since one before it may have drawn
@@ -55,7 +55,7 @@
 func (g *Gateway) admit(c *customer, r *request) bool {
 	g.roll(c)
 	u := r.Units
-	surge := g.surge(c, r.Repeat)
+	surge := g.surge(c, r.ClientRetry)
 	chance := min(1, max(c.chance/surge, leastChance))
 	p := c.plan
 	if p.Rate <= 0 && p.Open <= 0 {
@@ -67,20 +67,20 @@
 	if !pressed {
 		g.clear += clearAverage
 	}
-	cause := ByChance
+	cause := ByProbability
 	if pressed {
-		chance, cause = 0, ByPressure
+		chance, cause = 0, ByOverload
 	} else if !g.ceilingHolds(c, u) {
 		chance, cause = 0, ByCeiling
 	} else if p.Open > 0 && float64(c.open) >= math.Ceil(float64(p.Open)/c.spread) {
-		chance, cause = 0, ByOpen
+		chance, cause = 0, ByOpenAttempts
 	} else if covered {
 		chance = 1
 	} else if p.Rate > 0 && g.now-c.storeAt < time.Duration(boundPeriods*float64(g.cfg.MeterPeriod)) {
 		others := max(0, c.mean-c.own) / g.cfg.MeterPeriod.Seconds() * max(1, surge)
 		doubt := doubtShare * math.Sqrt(others*(g.now-c.storeAt).Seconds())
 		if g.share(c, 1, others) < u+doubt {
-			chance, cause = 0, ByDoubt
+			chance, cause = 0, ByUncertainty
 		}
 	}
 	s := &c.slots[c.head%slotsKept]
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -107,7 +107,7 @@
 	var first *seenAttempt // the first attempt that may have run
 	for i := range r.sent {
 		a := &r.sent[i]
-		if a.out && !k.cfg.SecondCopies {
+		if a.out && !k.cfg.Hedging {
 			k.breach(2, "request %d has two attempts out", id)
 		}
 		if !a.safe && first == nil {
@@ -116,9 +116,9 @@
 	}
 	if first != nil {
 		switch cl.Effect {
-		case choice.SingleShot:
+		case choice.AtMostOnce:
 			k.breach(2, "request %d may have run and is sent again", id)
-		case choice.Guarded:
+		case choice.Deduplicated:
 			inside := cl.Group == choice.GroupAll || cl.Group == choice.GroupZone && first.to.Zone == b.Zone && b.Zone >= 0 ||
 				cl.Group == choice.GroupCell && first.to.Cell == b.Cell
 			if !inside || k.now-first.at > cl.Window {
@@ -129,7 +129,7 @@
 	if len(r.sent) == 0 {
 		k.draw(r)
 	}
-	if age := k.now - b.Started; b.Dated && age < k.cfg.ColdFor {
+	if age := k.now - b.Started; b.StartKnown && age < k.cfg.WarmUpTime {
 		k.cold(b, age)
 		b.work = append(b.work, k.now)
 		k.backends[backend] = b
@@ -161,13 +161,13 @@
 func (k *checker) cold(b seenBackend, age time.Duration) {
 	n := 1
 	for _, at := range b.work {
-		if at > k.now-k.cfg.FallFor {
+		if at > k.now-k.cfg.CrashAfter {
 			n++
 		}
 	}
-	share := k.cfg.ColdFrom + (1-k.cfg.ColdFrom)*age.Seconds()/k.cfg.ColdFor.Seconds()
-	if most := k.cfg.FallMultiple*share*coldCapacity*k.cfg.FallFor.Seconds() + 8; float64(n) > most {
-		k.breach(4, "cold backend %d was sent %d in %v, more than %.0f", b.ID, n, k.cfg.FallFor, most)
+	share := k.cfg.ColdCapacity + (1-k.cfg.ColdCapacity)*age.Seconds()/k.cfg.WarmUpTime.Seconds()
+	if most := k.cfg.CrashMultiple*share*coldCapacity*k.cfg.CrashAfter.Seconds() + 8; float64(n) > most {
+		k.breach(4, "cold backend %d was sent %d in %v, more than %.0f", b.ID, n, k.cfg.CrashAfter, most)
 	}
 }
 
@@ -175,7 +175,7 @@
 	r := k.reqs[id]
 	a := &r.sent[attempt]
 	a.out = false
-	a.safe = st == choice.Refused || st == choice.ConnectFailed || st == choice.Moot
+	a.safe = st == choice.Refused || st == choice.ConnectFailed || st == choice.Unsent
 	r.ended = r.ended || over
 }
 
@@ -186,7 +186,7 @@
 	}
 	for _, a := range r.sent {
 		cl := k.cfg.Classes[r.Class]
-		if !a.safe && (cl.Effect == choice.SingleShot || cl.Effect == choice.Guarded && cl.Group != choice.GroupAll) {
+		if !a.safe && (cl.Effect == choice.AtMostOnce || cl.Effect == choice.Deduplicated && cl.Group != choice.GroupAll) {
 			k.breach(2, "request %d may have run and is refused", id)
 		}
 	}
@@ -218,7 +218,7 @@
 		{"sent after the end", "rule 1", func(k *checker) { k.refuse(1); k.send(1, 1) }},
 		{"single shot again", "rule 2", func(k *checker) { k.send(2, 1); k.outcome(2, 0, choice.Error, false); k.send(2, 2) }},
 		{"single shot refused", "rule 2", func(k *checker) { k.send(2, 1); k.outcome(2, 0, choice.Timeout, false); k.refuse(2) }},
-		{"two out", "rule 2", func(k *checker) { k.cfg.SecondCopies = false; k.send(1, 1); k.send(1, 2) }},
+		{"two out", "rule 2", func(k *checker) { k.cfg.Hedging = false; k.send(1, 1); k.send(1, 2) }},
 		{"outside the group", "rule 2", func(k *checker) { k.send(3, 1); k.outcome(3, 0, choice.Reset, false); k.send(3, 2) }},
 		{"draining", "rule 3", func(k *checker) {
 			k.members(choice.Delta, []choice.Backend{{ID: 1, State: choice.Draining}})
@@ -231,7 +231,7 @@
 			k.send(1, 1)
 		}},
 		{"cold", "rule 4", func(k *checker) {
-			k.members(choice.Delta, []choice.Backend{{ID: 1, Dated: true, Started: k.now}})
+			k.members(choice.Delta, []choice.Backend{{ID: 1, StartKnown: true, Started: k.now}})
 			for i := range uint32(200) {
 				k.request(0, choice.Request{ID: 100 + i, TimeLeft: time.Second})
 				k.send(100+i, 1)
@@ -265,9 +265,9 @@
 	cfg := choice.Config{
 		Gateways: 3, Tick: 2 * time.Millisecond, MeterPeriod: 500 * time.Millisecond, MaxUnits: 2,
 		Classes: []choice.Class{
-			{Aim: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 1, Effect: choice.Free},
-			{Aim: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 4, Effect: choice.SingleShot},
-			{Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 2, Effect: choice.Guarded,
+			{Aim: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 1, Effect: choice.Idempotent},
+			{Aim: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 4, Effect: choice.AtMostOnce},
+			{Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 2, Effect: choice.Deduplicated,
 				Group: choice.Group((kind + 1) % 3), Window: 700 * time.Millisecond},
 		},
 		Plans: []choice.Plan{
@@ -276,9 +276,9 @@
 			{Open: 3, Price: 1, OverCost: 1},
 			{Rate: 10, Burst: 20, Open: 5, Price: 1, OverCost: 1},
 		},
-		MaxAttempts: 4, SecondCopies: kind%2 == 1, Cancelling: kind != 2, Probing: kind == 3,
+		MaxAttempts: 4, Hedging: kind%2 == 1, Cancelling: kind != 2, Probing: kind == 3,
 		ReportFields: []string{"inflight"}, RetryAfter: true, MaxRetryAfter: time.Second, WeightsTrusted: true,
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second, DrainGrace: 500 * time.Millisecond,
+		ColdCapacity: 0.2, WarmUpTime: 10 * time.Second, CrashMultiple: 3, CrashAfter: 2 * time.Second, DrainGrace: 500 * time.Millisecond,
 	}
 	switch kind {
 	case 3:
@@ -331,9 +331,9 @@
 		r.ended = true
 	}
 }
-func (p port) Cancel(uint32, int)          {}
-func (p port) Probe(uint32)                {}
-func (p port) After(time.Duration, uint64) {}
+func (p port) Cancel(uint32, int)             {}
+func (p port) Probe(uint32)                   {}
+func (p port) SetTimer(time.Duration, uint64) {}
 
 func (w *world) start(g int) {
 	cfg := w.cfg
@@ -354,7 +354,7 @@
 	over := r.ended || st == choice.OK
 	w.k.outcome(p.id, p.attempt, st, over)
 	w.gates[p.gate].Outcome(w.k.now, choice.Outcome{
-		ID: p.id, Attempt: p.attempt, Backend: p.backend, Status: st, Elapsed: w.k.now - p.sent, Over: over,
+		ID: p.id, Attempt: p.attempt, Backend: p.backend, Status: st, Elapsed: w.k.now - p.sent, Done: over,
 		Metered: st == choice.OK, Used: float64(rapid.IntRange(0, 300).Draw(w.t, "used")) / 100,
 	})
 }
@@ -400,7 +400,7 @@
 		b := &w.list[rapid.IntRange(0, len(w.list)-1).Draw(t, "backend")]
 		b.State = choice.State(rapid.SampledFrom([]int{0, 0, 1, 2}).Draw(t, "state"))
 		if b.State == choice.Ready && rapid.Bool().Draw(t, "restarts") {
-			b.Started, b.Dated = w.k.now, true
+			b.Started, b.StartKnown = w.k.now, true
 		}
 		w.k.members(choice.Delta, []choice.Backend{*b})
 		for _, gate := range w.gates {
@@ -427,7 +427,7 @@
 		if len(w.out) > 0 {
 			p := w.out[rapid.IntRange(0, len(w.out)-1).Draw(t, "gone")]
 			w.k.reqs[p.id].ended = true
-			w.gates[p.gate].Gone(w.k.now, p.id)
+			w.gates[p.gate].Disconnected(w.k.now, p.id)
 		} else {
 			w.gates[g].Timer(w.k.now, uint64(w.nextID)<<8|1)
 		}
@@ -469,7 +469,7 @@
 	cfg := plain()
 	cfg.Gateways = 400
 	list := backends(20)
-	list[7].Dated, list[7].Started = true, 0
+	list[7].StartKnown, list[7].Started = true, 0
 	k := newChecker(cfg)
 	k.members(choice.Cached, list)
 	for self := range cfg.Gateways {
--- a/choice/terms.go
+++ b/choice/terms.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Change takes new terms. What is known of customers stays, and what this gateway's part of each ceiling
+// SetTerms takes new terms. What is known of customers stays, and what this gateway's part of each ceiling
 // holds, filled by the old terms until now. The error names what cannot be served: then all stays.
-func (g *Gateway) Change(now time.Duration, t Terms) error {
+func (g *Gateway) SetTerms(now time.Duration, t Terms) error {
 	g.step(now)
 	next, old := g.cfg, g.cfg.Plans
 	next.Plans, next.MaxAttempts, next.MaxRetryAfter = slices.Clone(t.Plans), t.MaxAttempts, t.MaxRetryAfter
--- a/choice/terms_test.go
+++ b/choice/terms_test.go
@@ -32,7 +32,7 @@
 		next, has := old, make([]bool, n) // the newest version, and who decides by it
 		cfg := plain()
 		cfg.Gateways = n
-		cfg.Customers = rapid.IntRange(0, 3).Draw(t, "records")
+		cfg.MaxCustomers = rapid.IntRange(0, 3).Draw(t, "records")
 		cfg.Plans = []choice.Plan{old, {Price: 1}}
 		s := &siege{t: t, cfg: cfg, gates: make([]*choice.Gateway, n), recs: make([]*recorder, n), store: old.CeilingBurst}
 		for i := range n {
@@ -49,7 +49,7 @@
 			return choice.Terms{Plans: []choice.Plan{p, {Price: 1}}, MaxAttempts: 3}
 		}
 		change := func(i int, p choice.Plan) {
-			if err := s.gates[i].Change(s.now, terms(p)); err != nil {
+			if err := s.gates[i].SetTerms(s.now, terms(p)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -137,7 +137,7 @@
 				passes(0, 0)
 			}
 			now := time.Minute
-			if err := g.Change(now, choice.Terms{Plans: []choice.Plan{{Price: 1, CeilingRate: to, CeilingBurst: to}, {Price: 1}}, MaxAttempts: 3}); err != nil {
+			if err := g.SetTerms(now, choice.Terms{Plans: []choice.Plan{{Price: 1, CeilingRate: to, CeilingBurst: to}, {Price: 1}}, MaxAttempts: 3}); err != nil {
 				t.Fatal(err)
 			}
 			passed := 0.0
@@ -173,7 +173,7 @@
 	}
 	run(0, 20*time.Second, 1)
 	before := run(20*time.Second, 30*time.Second, 1)
-	if err := g.Change(30*time.Second, choice.Terms{Plans: []choice.Plan{{Rate: 40, Burst: 40, Price: 1, OverCost: 1}}, MaxAttempts: 3}); err != nil {
+	if err := g.SetTerms(30*time.Second, choice.Terms{Plans: []choice.Plan{{Rate: 40, Burst: 40, Price: 1, OverCost: 1}}, MaxAttempts: 3}); err != nil {
 		t.Fatal(err)
 	}
 	run(30*time.Second, 50*time.Second, 1)
@@ -181,7 +181,7 @@
 	if after < 2*before {
 		t.Errorf("%d requests in 10 s at 10 a second, and %d at 40", before, after)
 	}
-	if err := g.Change(time.Minute, choice.Terms{Plans: []choice.Plan{{Open: 2, Price: 1, OverCost: 1}}, MaxAttempts: 3}); err != nil {
+	if err := g.SetTerms(time.Minute, choice.Terms{Plans: []choice.Plan{{Open: 2, Price: 1, OverCost: 1}}, MaxAttempts: 3}); err != nil {
 		t.Fatal(err)
 	}
 	if n := run(time.Minute, 61*time.Second, 0.1); n < 95 {
@@ -195,7 +195,7 @@
 	g, rec := open(t, cfg, backends(3))
 	for name, bad := range map[string]choice.Terms{"no attempts": {Plans: cfg.Plans}, "no plans": {MaxAttempts: 3},
 		"a rate below 0": {Plans: []choice.Plan{{Rate: -1}}, MaxAttempts: 3}} {
-		if g.Change(0, bad) == nil {
+		if g.SetTerms(0, bad) == nil {
 			t.Errorf("%s is taken", name)
 		}
 	}
@@ -236,7 +236,7 @@
 		if c.drawn >= 0 {
 			take(c.drawn, 1, 0)
 		}
-		if err := g.Change(c.at, choice.Terms{Plans: []choice.Plan{c.to, {}}, MaxAttempts: 3}); err != nil {
+		if err := g.SetTerms(c.at, choice.Terms{Plans: []choice.Plan{c.to, {}}, MaxAttempts: 3}); err != nil {
 			t.Fatal(err)
 		}
 		ask(g, rec, c.at+c.later, choice.Request{ID: 1 << 30, Customer: 2, Plan: 1, Spread: 1}, -1)
--- a/choice/view.go
+++ b/choice/view.go
@@ -9,12 +9,12 @@
 
 // The causes, in the order in which a try meets them.
 const (
-	ByPressure Cause = iota // the limit on attempts out
-	ByCeiling               // this gateway's part of the hard ceiling
-	ByOpen                  // its part of the attempts that the plan lets be open
-	ByDoubt                 // others may have drawn what the meter last showed
-	ByChance                // the admission probability
-	ByBackends              // no backend takes it
+	ByOverload     Cause = iota // the limit on attempts out
+	ByCeiling                   // this gateway's part of the hard ceiling
+	ByOpenAttempts              // its part of the attempts that the plan lets be open
+	ByUncertainty               // others may have drawn what the meter last showed
+	ByProbability               // the admission probability
+	ByNoBackend                 // no backend takes it
 	causes
 )
 
@@ -34,23 +34,23 @@
 // Refusals is how many tries this gateway has refused for a cause.
 func (g *Gateway) Refusals(c Cause) uint64 { return g.refusals[c] }
 
-// Misread is how many readings this gateway has set aside because no meter can show them: negative, not a
+// InvalidReadings is how many readings this gateway has set aside because no meter can show them: negative, not a
 // number, or beyond the customer's ceiling.
-func (g *Gateway) Misread() uint64 { return g.misread }
+func (g *Gateway) InvalidReadings() uint64 { return g.misread }
 
 // LimitView is how the limit on attempts out stands.
 type LimitView struct {
-	Room    float64 // attempts that may be out
-	Prior   float64 // attempts that its share of the fleet is taken to work well with, before it has shown
-	Out     int     // attempts out
-	Latency float64 // of answers, over the calm one: above 1 the limit falls; 0: not known
+	MaxInFlight  float64 // attempts that may be out
+	Baseline     float64 // attempts that its share of the fleet is taken to work well with, before it has shown
+	InFlight     int     // attempts out
+	LatencyRatio float64 // of answers, over the calm one: above 1 the limit falls; 0: not known
 }
 
 // Limit tells how the limit stands.
 func (g *Gateway) Limit() LimitView {
-	v := LimitView{Room: g.room(), Prior: g.prior(), Out: g.out}
+	v := LimitView{MaxInFlight: g.room(), Baseline: g.prior(), InFlight: g.out}
 	if l, own := g.limit.(*limit); own {
-		v.Latency = l.ratio
+		v.LatencyRatio = l.ratio
 	}
 	return v
 }
@@ -67,18 +67,18 @@
 		if b.State != Ready {
 			continue
 		}
-		v := BackendView{ID: b.ID, Part: b.part, Warmth: g.warmth(b), Latency: b.lat, Failures: b.fails}
-		v.Out, v.Ejected, v.Silent = b.out, now < b.until, g.silent(b)
-		if v.Used = !v.Ejected && !v.Silent && warm < size; v.Used {
-			warm += v.Warmth
+		v := BackendView{ID: b.ID, PickWeight: b.part, Capacity: g.warmth(b), Latency: b.lat, FailureRate: b.fails}
+		v.InFlight, v.Ejected, v.Unresponsive = b.out, now < b.until, g.silent(b)
+		if v.Used = !v.Ejected && !v.Unresponsive && warm < size; v.Used {
+			warm += v.Capacity
 		}
 		all = append(all, v)
 	}
 	return all
 }
 
-// Avoided is how many of the listed backends get no work now but for want of others.
-func (g *Gateway) Avoided(now time.Duration) (n int) {
+// UnavailableBackends is how many of the listed backends get no work now but for want of others.
+func (g *Gateway) UnavailableBackends(now time.Duration) (n int) {
 	g.now = now
 	for _, b := range g.backends {
 		if b.State == Draining || b.State == Ready && (now < b.until || g.silent(b)) {
--- a/cmd/bench/capacity/scale_test.go
+++ b/cmd/bench/capacity/scale_test.go
@@ -246,7 +246,7 @@
 func (actions) Fail(uint32)                        {}
 func (actions) Cancel(uint32, int)                 {}
 func (actions) Probe(uint32)                       {}
-func (actions) After(time.Duration, uint64)        {}
+func (actions) SetTimer(time.Duration, uint64)     {}
 
 // TestRecordsOfTenants: a record takes so many bytes whatever the number of tenants, and no
 // more than the bound of them are kept.
@@ -256,7 +256,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg.Customers = bound
+		cfg.MaxCustomers = bound
 		g, err := choice.New(cfg, 1, 0, actions{})
 		if err != nil {
 			t.Fatal(err)
@@ -267,7 +267,7 @@
 		for i := range tenants {
 			now := time.Duration(i) * 100 * time.Microsecond
 			g.Request(now, choice.Request{ID: uint32(i + 1), Customer: uint64(i + 1), TimeLeft: time.Second, Units: 1, Spread: 1})
-			g.Gone(now, uint32(i+1))
+			g.Disconnected(now, uint32(i+1))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/cmd/bench/limits/main.go
+++ b/cmd/bench/limits/main.go
@@ -103,10 +103,10 @@
 		Seed: seed, For: f.lasts(),
 		Config: choice.Config{
 			MaxAttempts: 4, Cancelling: true, RetryAfter: true, MaxRetryAfter: time.Second,
-			FallMultiple: 3, FallFor: 1500 * ms, DrainGrace: 500 * ms, CrossZoneCost: 0.01,
+			CrashMultiple: 3, CrashAfter: 1500 * ms, DrainGrace: 500 * ms, CrossZoneCost: 0.01,
 			Classes: []choice.Class{
 				{Aim: f.aim, Deadline: 4 * f.aim, Worth: 2, LateWorth: 0.1},
-				{Aim: f.aim, Deadline: 3 * f.aim, Worth: 6, Effect: choice.SingleShot},
+				{Aim: f.aim, Deadline: 3 * f.aim, Worth: 6, Effect: choice.AtMostOnce},
 			},
 			Plans: []choice.Plan{{Price: 1}},
 		},
--- a/cmd/bench/limits/ways.go
+++ b/cmd/bench/limits/ways.go
@@ -26,7 +26,7 @@
 // seen gathers the answers of a step.
 type seen struct{ sum, least, n float64 }
 
-func (s *seen) Answer(_ int, aims float64, _ time.Duration) {
+func (s *seen) Observe(_ int, aims float64, _ time.Duration) {
 	aims = min(aims, 1) // a refusal is as bad as the aim missed
 	if s.n == 0 || aims < s.least {
 		s.least = aims
@@ -45,21 +45,21 @@
 // constant is what an operator who knows the fleet would set.
 type constant float64
 
-func (constant) Answer(int, float64, time.Duration)                  {}
-func (c constant) Step(time.Duration, choice.Since) (opened float64) { return float64(c) }
+func (constant) Observe(int, float64, time.Duration)                     {}
+func (c constant) Step(time.Duration, choice.StepStats) (opened float64) { return float64(c) }
 
 // landed is the limit before this comparison: it shrinks from the prior and grows back to it.
 type landed struct {
 	sum, n, ratio, opened float64
 }
 
-func (l *landed) Answer(_ int, aims float64, _ time.Duration) {
+func (l *landed) Observe(_ int, aims float64, _ time.Duration) {
 	l.sum += min(2, aims/0.35)
 	l.n++
 }
 
-func (l *landed) Step(_ time.Duration, s choice.Since) float64 {
-	if l.n > 0 || s.Out == 0 {
+func (l *landed) Step(_ time.Duration, s choice.StepStats) float64 {
+	if l.n > 0 || s.MaxInFlight == 0 {
 		n := max(l.n, 1)
 		l.ratio += min(0.3, 0.2*n) * (l.sum/n - l.ratio)
 	}
@@ -75,12 +75,12 @@
 	opened float64
 }
 
-func (l *aimd) Step(_ time.Duration, s choice.Since) float64 {
+func (l *aimd) Step(_ time.Duration, s choice.StepStats) float64 {
 	mean, _, n := l.take()
 	if n > 0 && mean > 0.5 {
 		l.opened = max(0.05, l.opened*0.75)
-	} else if s.Bound {
-		l.opened += 1 / max(s.Prior, 1e-9)
+	} else if s.Limited {
+		l.opened += 1 / max(s.Baseline, 1e-9)
 	}
 	return l.opened
 }
@@ -92,7 +92,7 @@
 	opened, base float64
 }
 
-func (l *vegas) Step(_ time.Duration, s choice.Since) float64 {
+func (l *vegas) Step(_ time.Duration, s choice.StepStats) float64 {
 	mean, least, n := l.take()
 	if n == 0 {
 		return l.opened
@@ -100,15 +100,15 @@
 	if l.base == 0 || least < l.base {
 		l.base = least
 	}
-	limit := l.opened * s.Prior
+	limit := l.opened * s.Baseline
 	queued, step := limit*(1-l.base/mean), math.Log10(max(limit, 1))+1
 	switch {
 	case queued > 6*step:
 		limit -= step
-	case queued < 3*step && s.Bound:
+	case queued < 3*step && s.Limited:
 		limit += step
 	}
-	l.opened = max(0.05, limit/max(s.Prior, 1e-9))
+	l.opened = max(0.05, limit/max(s.Baseline, 1e-9))
 	return l.opened
 }
 
@@ -118,7 +118,7 @@
 	opened, long float64
 }
 
-func (l *gradient) Step(_ time.Duration, s choice.Since) float64 {
+func (l *gradient) Step(_ time.Duration, s choice.StepStats) float64 {
 	mean, _, n := l.take()
 	if n == 0 {
 		return l.opened
@@ -130,12 +130,12 @@
 	if l.long > 2*mean {
 		l.long *= 0.95
 	}
-	limit := l.opened * s.Prior
-	if !s.Bound && s.Out < limit/2 {
+	limit := l.opened * s.Baseline
+	if !s.Limited && s.MaxInFlight < limit/2 {
 		return l.opened
 	}
 	next := limit*max(0.5, min(1, 1.5*l.long/mean)) + math.Sqrt(limit)
-	l.opened = max(0.05, (0.8*limit+0.2*next)/max(s.Prior, 1e-9))
+	l.opened = max(0.05, (0.8*limit+0.2*next)/max(s.Baseline, 1e-9))
 	return l.opened
 }
 
@@ -147,9 +147,9 @@
 	until, next          time.Duration
 }
 
-func (l *probed) Step(now time.Duration, s choice.Since) float64 {
+func (l *probed) Step(now time.Duration, s choice.StepStats) float64 {
 	mean, _, n := l.take()
-	few := 3 / max(s.Prior, 1e-9)
+	few := 3 / max(s.Baseline, 1e-9)
 	if now >= l.next {
 		l.next, l.until, l.sum, l.n = now+30*time.Second, now+time.Second, 0, 0
 	}
@@ -163,12 +163,12 @@
 	if n == 0 || l.base == 0 {
 		return l.opened
 	}
-	limit := l.opened * s.Prior
+	limit := l.opened * s.Baseline
 	limit = limit*max(0.5, min(2, 1.25*l.base/mean)) + math.Sqrt(limit)
-	if !s.Bound {
-		limit = min(limit, max(2*s.Out, l.opened*s.Prior))
+	if !s.Limited {
+		limit = min(limit, max(2*s.MaxInFlight, l.opened*s.Baseline))
 	}
-	l.opened = max(few, limit/max(s.Prior, 1e-9))
+	l.opened = max(few, limit/max(s.Baseline, 1e-9))
 	return l.opened
 }
 
@@ -182,7 +182,7 @@
 	last         time.Duration
 }
 
-func (l *bbr) Step(now time.Duration, s choice.Since) float64 {
+func (l *bbr) Step(now time.Duration, s choice.StepStats) float64 {
 	mean, _, n := l.take()
 	span := max((now - l.last).Seconds(), 0.01)
 	l.last = now
@@ -202,6 +202,6 @@
 	if l.at%8 == 0 {
 		gain *= 1.25
 	}
-	l.opened = max(0.05, gain*rate*base*l.aim/max(s.Prior, 1e-9)+2/max(s.Prior, 1e-9))
+	l.opened = max(0.05, gain*rate*base*l.aim/max(s.Baseline, 1e-9)+2/max(s.Baseline, 1e-9))
 	return l.opened
 }
--- a/cmd/bench/quotas/main.go
+++ b/cmd/bench/quotas/main.go
@@ -54,10 +54,10 @@
 		Seed: seed, For: lasts,
 		Config: choice.Config{
 			MeterPeriod: 500 * ms, MaxUnits: 1, MaxAttempts: 4, Cancelling: true, RetryAfter: true, MaxRetryAfter: time.Second,
-			ColdFrom: 0.15, ColdFor: 17 * time.Second, FallMultiple: 3, FallFor: 1500 * ms, DrainGrace: 500 * ms, CrossZoneCost: 0.01,
+			ColdCapacity: 0.15, WarmUpTime: 17 * time.Second, CrashMultiple: 3, CrashAfter: 1500 * ms, DrainGrace: 500 * ms, CrossZoneCost: 0.01,
 			Classes: []choice.Class{
 				{Aim: 600 * ms, Deadline: 2500 * ms, Worth: 2, LateWorth: 0.1},
-				{Aim: 600 * ms, Deadline: 1500 * ms, Worth: 6, Effect: choice.SingleShot},
+				{Aim: 600 * ms, Deadline: 1500 * ms, Worth: 6, Effect: choice.AtMostOnce},
 			},
 			Plans: []choice.Plan{
 				{Rate: 1.6, Burst: 7, Price: 1.1, OverCost: 1},
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -36,11 +36,11 @@
 	n.reply.Send(n.num, id, backend, timeout)
 	n.fleet.Sent()
 }
-func (n *instance) Refuse(id uint32, after time.Duration)  { n.reply.Refuse(n.num, id, after) }
-func (n *instance) Fail(id uint32)                         { n.reply.Fail(n.num, id) }
-func (n *instance) Cancel(id uint32, attempt int)          { n.reply.Cancel(n.num, id, attempt) }
-func (n *instance) Probe(backend uint32)                   { n.reply.Probe(n.num, backend) }
-func (n *instance) After(wait time.Duration, token uint64) { n.reply.After(n.num, wait, token) }
+func (n *instance) Refuse(id uint32, after time.Duration)     { n.reply.Refuse(n.num, id, after) }
+func (n *instance) Fail(id uint32)                            { n.reply.Fail(n.num, id) }
+func (n *instance) Cancel(id uint32, attempt int)             { n.reply.Cancel(n.num, id, attempt) }
+func (n *instance) Probe(backend uint32)                      { n.reply.Probe(n.num, backend) }
+func (n *instance) SetTimer(wait time.Duration, token uint64) { n.reply.After(n.num, wait, token) }
 
 // run serves batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
@@ -141,7 +141,7 @@
 	case wire.CodeProbed:
 		n.Probed(now, e.Probe)
 	case wire.CodeGone:
-		n.Gone(now, e.ID)
+		n.Disconnected(now, e.ID)
 	case wire.CodeTimer:
 		n.Timer(now, e.Token)
 	}
--- a/internal/emulate/backend.go
+++ b/internal/emulate/backend.go
@@ -99,17 +99,17 @@
 // line is a backend in the list.
 func (s *server) line() choice.Backend {
 	return choice.Backend{ID: s.id, Zone: s.spec.Zone, Cell: s.spec.Cell, State: s.state, Weight: max(s.spec.Weight, 0),
-		Started: s.started, Dated: s.dated}
+		Started: s.started, StartKnown: s.dated}
 }
 
 // warmth is the part of its capacity that it has.
 func (s *server) warmth() float64 {
 	c := &s.world.Config
 	age := s.world.now - s.started
-	if !s.dated || c.ColdFor <= 0 || age >= c.ColdFor {
+	if !s.dated || c.WarmUpTime <= 0 || age >= c.WarmUpTime {
 		return 1
 	}
-	return c.ColdFrom + (1-c.ColdFrom)*age.Seconds()/c.ColdFor.Seconds()
+	return c.ColdCapacity + (1-c.ColdCapacity)*age.Seconds()/c.WarmUpTime.Seconds()
 }
 
 // take takes a request whose last byte has come.
@@ -160,10 +160,10 @@
 func (s *server) count(work float64) {
 	c := &s.world.Config
 	warmth := s.warmth()
-	if warmth >= 1 || c.FallFor <= 0 || c.FallMultiple <= 0 {
+	if warmth >= 1 || c.CrashAfter <= 0 || c.CrashMultiple <= 0 {
 		return
 	}
-	slot := int64(s.world.now / (c.FallFor / fallSlots))
+	slot := int64(s.world.now / (c.CrashAfter / fallSlots))
 	for ; s.slot < slot; s.slot++ {
 		s.sent[(s.slot+1)%fallSlots] = 0
 	}
@@ -172,7 +172,7 @@
 	for _, v := range s.sent {
 		sum += v
 	}
-	most := c.FallMultiple * warmth * float64(s.spec.Cores) * c.FallFor.Seconds()
+	most := c.CrashMultiple * warmth * float64(s.spec.Cores) * c.CrashAfter.Seconds()
 	s.world.figures.Coldest = max(s.world.figures.Coldest, sum/most)
 	if sum > most && !s.fell {
 		s.fell = true
--- a/internal/emulate/deployment.go
+++ b/internal/emulate/deployment.go
@@ -160,9 +160,9 @@
 
 func (r *DeploymentRanges) drawConfig(rng *rand.Rand) choice.Config {
 	c := choice.Config{
-		MeterPeriod: r.MeterPeriod.drawDuration(rng), MaxUnits: 1, MaxAttempts: 3, SecondCopies: true, Probing: true, Cancelling: true,
+		MeterPeriod: r.MeterPeriod.drawDuration(rng), MaxUnits: 1, MaxAttempts: 3, Hedging: true, Probing: true, Cancelling: true,
 		RetryAfter: true, MaxRetryAfter: time.Second, WeightsTrusted: true,
-		ColdFrom: 0.25, ColdFor: 17 * time.Second, FallMultiple: 4, FallFor: 3 * time.Second, DrainGrace: time.Second, CrossZoneCost: 0.01,
+		ColdCapacity: 0.25, WarmUpTime: 17 * time.Second, CrashMultiple: 4, CrashAfter: 3 * time.Second, DrainGrace: time.Second, CrossZoneCost: 0.01,
 		Classes: []choice.Class{{Aim: r.Aim.drawDuration(rng), Deadline: r.Deadline.drawDuration(rng), Worth: 1, LateWorth: 0.2}},
 	}
 	count := len(r.Plans)
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -18,10 +18,10 @@
 		Config: choice.Config{
 			MeterPeriod: 500 * ms, MaxUnits: 1, MaxAttempts: 4, Probing: true, Cancelling: true, RetryAfter: true,
 			MaxRetryAfter: time.Second, ReportFields: []string{"inflight"}, WeightsTrusted: true,
-			ColdFrom: 0.15, ColdFor: 17 * time.Second, FallMultiple: 3, FallFor: 1500 * ms, DrainGrace: 500 * ms, CrossZoneCost: 0.01,
+			ColdCapacity: 0.15, WarmUpTime: 17 * time.Second, CrashMultiple: 3, CrashAfter: 1500 * ms, DrainGrace: 500 * ms, CrossZoneCost: 0.01,
 			Classes: []choice.Class{
 				{Aim: time.Second, Deadline: 4300 * ms, Worth: 2, LateWorth: 0.2},
-				{Aim: time.Second, Deadline: 2600 * ms, Worth: 6, Effect: choice.SingleShot},
+				{Aim: time.Second, Deadline: 2600 * ms, Worth: 6, Effect: choice.AtMostOnce},
 			},
 			Plans: []choice.Plan{
 				{Rate: 1.5, Burst: 7, Price: 1.1, OverCost: 1},
--- a/internal/emulate/gateway.go
+++ b/internal/emulate/gateway.go
@@ -141,7 +141,7 @@
 		w.figures.Known++
 	}
 	g.decide.Request(w.now, choice.Request{ID: t.id, Class: d.class, Plan: d.of.plan, Customer: d.of.id, TimeLeft: d.until - w.now - answerMargin,
-		Units: 1, Spread: d.of.spread, First: d.of.first, Repeat: d.tries > 1 && !w.Clients.Unmarked})
+		Units: 1, Spread: d.of.spread, First: d.of.first, ClientRetry: d.tries > 1 && !w.Clients.Unmarked})
 	if !w.Whole {
 		g.fleet.Step(w.now)
 	}
@@ -256,7 +256,7 @@
 	}
 	g.fleet.Ended()
 	g.decide.Outcome(w.now, choice.Outcome{ID: t.id, Attempt: a.num, Backend: a.to.id, Status: status, Elapsed: w.now - a.sent,
-		Over: t.over, Metered: metered, Used: used})
+		Done: t.over, Metered: metered, Used: used})
 	g.forget(t)
 }
 
@@ -307,7 +307,7 @@
 		if !g.up || g.life != life || s.Cut || s.fell {
 			return
 		}
-		p := choice.Probe{Backend: backend, Status: choice.OK}
+		p := choice.ProbeResult{Backend: backend, Status: choice.OK}
 		for i, f := range w.Config.ReportFields {
 			p.Load.N = i + 1
 			if f == "inflight" {
@@ -318,8 +318,8 @@
 	})
 }
 
-// After sets a timer.
-func (g *gateway) After(wait time.Duration, token uint64) {
+// SetTimer sets a timer.
+func (g *gateway) SetTimer(wait time.Duration, token uint64) {
 	life := g.life
 	g.world.after(wait, func() {
 		if g.up && g.life == life {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -26,7 +26,7 @@
 	set     *subset.Set
 	ready   map[uint32]subset.Backend // those that take new work
 	out     int                       // attempts
-	uses    []choice.Use
+	uses    []choice.Candidate
 	changes []subset.Change // scratch
 }
 
@@ -90,14 +90,14 @@
 // use tells the gateway what to use.
 func (f *Fleet) use(now time.Duration) {
 	if f.set.Whole() {
-		f.gateway.Use(now, nil, 0)
+		f.gateway.SetCandidates(now, nil, 0)
 		return
 	}
 	f.uses = f.uses[:0]
 	for _, u := range f.set.Order() {
-		f.uses = append(f.uses, choice.Use{Backend: u.ID, Part: u.Part})
+		f.uses = append(f.uses, choice.Candidate{Backend: u.ID, PickWeight: u.Part})
 	}
-	f.gateway.Use(now, f.uses, f.set.Size())
+	f.gateway.SetCandidates(now, f.uses, f.set.Size())
 }
 
 // Sent notes an attempt.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -31,11 +31,11 @@
 	g.times[backend]++
 	g.Fleet.Sent()
 }
-func (g *gate) Refuse(uint32, time.Duration) {}
-func (g *gate) Fail(uint32)                  {}
-func (g *gate) Cancel(uint32, int)           {}
-func (g *gate) Probe(uint32)                 {}
-func (g *gate) After(time.Duration, uint64)  {}
+func (g *gate) Refuse(uint32, time.Duration)   {}
+func (g *gate) Fail(uint32)                    {}
+func (g *gate) Cancel(uint32, int)             {}
+func (g *gate) Probe(uint32)                   {}
+func (g *gate) SetTimer(time.Duration, uint64) {}
 
 func key(b choice.Backend) uint64 { return subset.KeyOf(fmt.Sprint("s-", b.ID)) }
 
@@ -48,9 +48,9 @@
 
 var config = choice.Config{
 	Gateways: 300, Self: 17, MaxUnits: 1, MaxAttempts: 1, Cancelling: true,
-	Classes:  []choice.Class{{Aim: 400 * ms, Deadline: 60 * time.Second, Worth: 1}},
-	Plans:    []choice.Plan{{Price: 1}},
-	ColdFrom: 0.15, ColdFor: 10 * time.Second, FallMultiple: 3, FallFor: 1500 * ms,
+	Classes:      []choice.Class{{Aim: 400 * ms, Deadline: 60 * time.Second, Worth: 1}},
+	Plans:        []choice.Plan{{Price: 1}},
+	ColdCapacity: 0.15, WarmUpTime: 10 * time.Second, CrashMultiple: 3, CrashAfter: 1500 * ms,
 }
 
 func open(t *testing.T) *gate { return openWith(t, config) }
@@ -84,7 +84,7 @@
 
 func (g *gate) end(id uint32, status choice.Status) {
 	g.Fleet.Ended()
-	g.Outcome(g.now+20*ms, choice.Outcome{ID: id, Backend: g.sent[id], Status: status, Elapsed: 20 * ms, Over: status == choice.OK})
+	g.Outcome(g.now+20*ms, choice.Outcome{ID: id, Backend: g.sent[id], Status: status, Elapsed: 20 * ms, Done: status == choice.OK})
 }
 
 // warm has the gateway serve for a while, and returns what it uses.
@@ -139,7 +139,7 @@
 			var list []choice.Backend
 			for _, b := range backends(1, 100) {
 				if used[b.ID] > 0 {
-					b.Started, b.Dated = g.now, true
+					b.Started, b.StartKnown = g.now, true
 					list = append(list, b)
 				}
 			}
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -114,7 +114,7 @@
 	switch {
 	case seen&optNeeded != optNeeded:
 		return nil, errors.New("class, plan, time limit, units or set is missing")
-	case ask != (cfg.Choice.Classes[c.class].Effect == choice.Free):
+	case ask != (cfg.Choice.Classes[c.class].Effect == choice.Idempotent):
 		return nil, errors.New("the command does not serve this class")
 	}
 	return c, nil
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -205,7 +205,7 @@
 		}
 		r := newRig(t, func(cfg *Config) {
 			cl := &cfg.Choice.Classes[1]
-			cl.Effect, cl.Group, cl.Window = choice.Guarded, choice.GroupZone, time.Hour
+			cl.Effect, cl.Group, cl.Window = choice.Deduplicated, choice.GroupZone, time.Hour
 			cfg.Choice.Probing = false
 		}, members...)
 		c := r.dial()
--- a/internal/ingress/figures.go
+++ b/internal/ingress/figures.go
@@ -54,7 +54,7 @@
 	}
 	line("inflight", "", uint64(l.figures.open))
 	line("hosts_listed", "", uint64(l.pool.Listed()))
-	line("hosts_down", "", uint64(l.gateway.Avoided(l.Now())))
+	line("hosts_down", "", uint64(l.gateway.UnavailableBackends(l.Now())))
 	if t := l.terms; t != nil {
 		line("config_version", "", t.version)
 		line("config_settled", "", t.settled)
@@ -76,20 +76,20 @@
 		switch {
 		case v.Ejected:
 			state = "ejected"
-		case v.Silent:
+		case v.Unresponsive:
 			state = "silent"
 		case v.Used:
 			state = "used"
 		}
 		b = fmt.Appendf(b, "%s state=%s part=%.2f warmth=%.2f latency=%.2f failures=%.2f out=%d\n",
-			names[v.ID], state, v.Part, v.Warmth, v.Latency, v.Failures, v.Out)
+			names[v.ID], state, v.PickWeight, v.Capacity, v.Latency, v.FailureRate, v.InFlight)
 	}
 	v := l.gateway.Limit()
-	b = fmt.Appendf(b, "limit room=%.1f prior=%.1f out=%d latency=%.2f\nrefused", v.Room, v.Prior, v.Out, v.Latency)
+	b = fmt.Appendf(b, "limit room=%.1f prior=%.1f out=%d latency=%.2f\nrefused", v.MaxInFlight, v.Baseline, v.InFlight, v.LatencyRatio)
 	for _, c := range choice.Causes() {
 		b = fmt.Appendf(b, " %s=%d", c, l.gateway.Refusals(c))
 	}
-	return fmt.Appendf(b, "\nreadings misread=%d\n", l.gateway.Misread())
+	return fmt.Appendf(b, "\nreadings misread=%d\n", l.gateway.InvalidReadings())
 }
 
 // AppendEvents appends how often connections were closed, attempts ended and calls failed,
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -44,7 +44,7 @@
 		over: func(i *installation) { i.attempts[0].at.node.Kill() }},
 	"a second copy": {backends: 2, class: "lookup", attempts: 1,
 		change: func(cfg *Config) {
-			cfg.Choice.SecondCopies = true
+			cfg.Choice.Hedging = true
 			cfg.Choice.Classes[0].Aim = 616 * ms // the copy goes after 0.65 of it
 		}},
 }
--- a/internal/ingress/inbox_test.go
+++ b/internal/ingress/inbox_test.go
@@ -73,7 +73,7 @@
 				view := i.ingress.loop.gateway.View(i.net.Now())
 				slices.SortFunc(view, func(a, b choice.BackendView) int { return cmp.Compare(a.ID, b.ID) })
 				for _, v := range view {
-					all = append(all, fmt.Sprint(v.ID, v.Used, v.Part))
+					all = append(all, fmt.Sprint(v.ID, v.Used, v.PickWeight))
 				}
 				used, of := i.ingress.loop.fleet.Size()
 				return append(all, fmt.Sprint(used, of))
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -122,7 +122,7 @@
 	on.Add(l.pool)
 	var err error
 	decide := cfg.Choice
-	decide.Customers = cfg.Limits.MemoryMB << 20 / customersShare / customerBytes
+	decide.MaxCustomers = cfg.Limits.MemoryMB << 20 / customersShare / customerBytes
 	if l.gateway, err = choice.New(decide, cfg.Seed, l.Now(), l); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
@@ -165,7 +165,7 @@
 	if l.ids.add(r.name, now) {
 		l.gateway.Request(now, choice.Request{
 			ID: r.id, Class: r.class, Plan: r.plan, Customer: r.customer, TimeLeft: r.deadline - now,
-			Units: r.units, Spread: r.spread, First: r.first, Repeat: r.repeat,
+			Units: r.units, Spread: r.spread, First: r.first, ClientRetry: r.repeat,
 		})
 	} else {
 		// The copy of another's open request: its value belongs to that one alone.
@@ -222,7 +222,7 @@
 				l.ids.remove(r.name) // nothing was sent on: it may come again
 			}
 			l.withdraw(r)
-			l.gateway.Gone(l.Now(), r.id)
+			l.gateway.Disconnected(l.Now(), r.id)
 			l.forget(r)
 		}
 	}
@@ -241,7 +241,7 @@
 func (l *loop) Ended(a *upstream.Attempt, reply upstream.Reply, elapsed time.Duration) {
 	defer l.settle()
 	if a.Probe {
-		l.gateway.Probed(l.Now(), choice.Probe{
+		l.gateway.Probed(l.Now(), choice.ProbeResult{
 			Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Load: reply.Load})
 		return
 	}
@@ -261,7 +261,7 @@
 		l.answer(r, outcome{kind: served, value: reply.Value})
 	}
 	l.gateway.Outcome(l.Now(), choice.Outcome{
-		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Over: r.life.Over(),
+		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Done: r.life.Over(),
 		Metered: reply.Metered, Used: reply.Used, Age: reply.Age, Load: reply.Load,
 	})
 	l.forget(r)
@@ -270,7 +270,7 @@
 // Figures takes what stood behind a large value.
 func (l *loop) Figures(a *upstream.Attempt, reply upstream.Reply) {
 	if r := a.Owner.(*request); reply.Metered {
-		l.gateway.Metered(l.Now(), r.customer, r.plan, reply.Used, reply.Age)
+		l.gateway.LateReading(l.Now(), r.customer, r.plan, reply.Used, reply.Age)
 		l.settle()
 	}
 }
@@ -351,7 +351,7 @@
 			ID: l.pool.Member(known), Zone: index(l.cfg.zones, m.Locality), Kind: index(l.cfg.kinds, m.Flavor),
 			Cell: m.Cell, State: state, Weight: m.Size,
 		}
-		b.Started, b.Dated = l.started(m)
+		b.Started, b.StartKnown = l.started(m)
 		if state == choice.Removed {
 			l.starts.forget(m.ID)
 		}
@@ -408,8 +408,8 @@
 		r.attempts = r.list[:0]
 	}
 	*a = upstream.Attempt{Message: r, Owner: r, Number: len(r.attempts), Backend: backend, Deadline: l.Now() + timeout,
-		Repeatable: l.cfg.Choice.Classes[r.class].Effect == choice.Free}
-	if class := &l.cfg.Choice.Classes[r.class]; class.Effect == choice.Guarded && a != &r.initial {
+		Repeatable: l.cfg.Choice.Classes[r.class].Effect == choice.Idempotent}
+	if class := &l.cfg.Choice.Classes[r.class]; class.Effect == choice.Deduplicated && a != &r.initial {
 		a.Before = r.sent + class.Window // later its repeat is not dropped any more
 	} else if a == &r.initial {
 		r.sent = l.Now()
@@ -453,21 +453,21 @@
 
 // mayHaveRun tells what the end of an attempt says of it.
 func mayHaveRun(s choice.Status) bool {
-	return s != choice.Refused && s != choice.ConnectFailed && s != choice.Moot
+	return s != choice.Refused && s != choice.ConnectFailed && s != choice.Unsent
 }
 
 // rulesOf are the rules of each class.
 func rulesOf(cfg choice.Config) (rules []lifecycle.Rules) {
 	mostOut := 1
-	if cfg.SecondCopies {
+	if cfg.Hedging {
 		mostOut = 2
 	}
 	for _, c := range cfg.Classes {
 		r := lifecycle.Rules{Window: c.Window, Everywhere: c.Group == choice.GroupAll, MostOut: mostOut, MostInAll: cfg.MaxAttempts}
 		switch c.Effect {
-		case choice.Guarded:
+		case choice.Deduplicated:
 			r.Repeats = lifecycle.RunsOnceAway
-		case choice.SingleShot:
+		case choice.AtMostOnce:
 			r.Repeats = lifecycle.RunsOnce
 		}
 		rules = append(rules, r)
@@ -495,8 +495,8 @@
 	l.pool.Start(&upstream.Attempt{Message: loadProbe, Probe: true, Repeatable: true, Backend: backend, Deadline: l.Now() + probeTimeout})
 }
 
-// After sets a timer.
-func (l *loop) After(wait time.Duration, token uint64) {
+// SetTimer sets a timer.
+func (l *loop) SetTimer(wait time.Duration, token uint64) {
 	a := l.spare
 	if a == nil {
 		a = &alarm{loop: l}
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -136,7 +136,7 @@
 // Begin ends a Hold. What that process has drawn on ceilings until now is not
 // drawn once more.
 func (i *Ingress) Begin() {
-	i.loop.gateway.Begin(i.loop.Now())
+	i.loop.gateway.PredecessorStopped(i.loop.Now())
 	i.front.waits = false
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -319,7 +319,7 @@
 func (p *Pool) Withdraw(a *Attempt) {
 	if c := a.conn; c != nil && !c.state.mayHaveRun() {
 		c.close()
-		p.end(a, Reply{Status: choice.Moot, Cause: CauseWithdrawn})
+		p.end(a, Reply{Status: choice.Unsent, Cause: CauseWithdrawn})
 	}
 }
 
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -651,7 +651,7 @@
 			t.Fatalf("%s: it was written", name)
 		}
 		b.do(func() { b.Withdraw(a); b.Withdraw(a) })
-		b.want(choice.Moot)
+		b.want(choice.Unsent)
 		if b.Open() != 0 {
 			t.Errorf("%s: %d connections stay", name, b.Open())
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -64,7 +64,7 @@
 
 // The wire's words for effects, groups and load fields.
 var (
-	effects = map[string]choice.Effect{"free": choice.Free, "guarded": choice.Guarded, "single_shot": choice.SingleShot}
+	effects = map[string]choice.Effect{"free": choice.Idempotent, "guarded": choice.Deduplicated, "single_shot": choice.AtMostOnce}
 	groups  = map[string]choice.Group{"": choice.GroupAll, "all": choice.GroupAll, "zone": choice.GroupZone, "cell": choice.GroupCell}
 	fields  = map[string]string{"rif": "inflight", "lat_ms": "latency_ms", "q": "queue", "busy": "util", "rate": "qps", "fail_rate": "eps"}
 )
@@ -79,11 +79,11 @@
 	cfg = choice.Config{
 		Gateways: s.Balancers, Self: s.Self, Zone: s.Zone, Tick: millis(s.Tick),
 		MeterPeriod: millis(s.Specifics.MeterPeriod), MaxUnits: s.Specifics.MaxUnits,
-		MaxAttempts: s.Bounds.TryLimit, SecondCopies: s.Bounds.SecondCopies, Probing: s.Bounds.Probing,
+		MaxAttempts: s.Bounds.TryLimit, Hedging: s.Bounds.SecondCopies, Probing: s.Bounds.Probing,
 		Cancelling: s.Bounds.Cancelling, MaxRetryAfter: millis(s.Bounds.MaxRetryAfter), RetryAfter: s.Bounds.RetryAfter,
 		WeightsTrusted: s.Weights == "nominal" || s.Weights == "rough",
-		ColdFrom:       s.Invariants.ColdFrom, ColdFor: millis(s.Invariants.ColdFor),
-		FallMultiple: s.Invariants.FallMultiple, FallFor: millis(s.Invariants.FallFor),
+		ColdCapacity:   s.Invariants.ColdFrom, WarmUpTime: millis(s.Invariants.ColdFor),
+		CrashMultiple: s.Invariants.FallMultiple, CrashAfter: millis(s.Invariants.FallFor),
 		DrainGrace: millis(s.Invariants.DrainGrace), CrossZoneCost: s.Prices.CrossZone,
 	}
 	for _, f := range s.Report.Fields {
@@ -97,7 +97,7 @@
 		if !ok {
 			return cfg, false, fmt.Errorf("settings: class %d: effect %q is unknown", i, c.Effect)
 		}
-		if effect == choice.Guarded && c.Group == "" { // taken for all, repeats would run twice
+		if effect == choice.Deduplicated && c.Group == "" { // taken for all, repeats would run twice
 			return cfg, false, fmt.Errorf("settings: class %d: dedup_scope is missing", i)
 		}
 		group, ok := groups[c.Group]
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -103,7 +103,7 @@
 	Backends []choice.Backend
 	Request  choice.Request
 	Outcome  choice.Outcome
-	Probe    choice.Probe
+	Probe    choice.ProbeResult
 	ID       uint32
 	Token    uint64
 }
@@ -150,7 +150,7 @@
 		e.Request = choice.Request{
 			ID: le.Uint32(r[6:]), Class: int(r[10]), Plan: int(le.Uint32(r[11:])), Customer: le.Uint64(r[15:]),
 			TimeLeft: millis(getFloat(r, 23)), Units: getFloat32(r, 31),
-			Spread: int(getFloat32(r, 35)), First: int(getFloat32(r, 39)), Repeat: r[43]&2 != 0,
+			Spread: int(getFloat32(r, 35)), First: int(getFloat32(r, 39)), ClientRetry: r[43]&2 != 0,
 		}
 	case CodeOutcome:
 		st, ok := status(le.Uint16(r[15:]))
@@ -160,7 +160,7 @@
 		used := le.Uint16(r[26:])
 		e.Outcome = choice.Outcome{
 			ID: le.Uint32(r[6:]), Attempt: int(r[10]), Backend: le.Uint32(r[11:]), Status: st,
-			Elapsed: millis(getFloat(r, 17)), Over: r[25] != 0, Load: load(r[30:]),
+			Elapsed: millis(getFloat(r, 17)), Done: r[25] != 0, Load: load(r[30:]),
 		}
 		if used > 0 {
 			e.Outcome.Metered, e.Outcome.Used = true, float64(used-1)/100
@@ -170,7 +170,7 @@
 		if !ok {
 			return fail("outcome %d is unknown", le.Uint16(r[14:]))
 		}
-		e.Probe = choice.Probe{Backend: le.Uint32(r[16:]), Status: st, Elapsed: millis(getFloat(r, 6)), Load: load(r[20:])}
+		e.Probe = choice.ProbeResult{Backend: le.Uint32(r[16:]), Status: st, Elapsed: millis(getFloat(r, 6)), Load: load(r[20:])}
 	case CodeGone:
 		e.ID = le.Uint32(r[6:])
 	case CodeTimer:
@@ -207,7 +207,7 @@
 		return m, fmt.Errorf("state %d of backend %d is unknown", d[9], m.ID)
 	}
 	if at := getFloat(d, 14); at != 0 {
-		m.Started, m.Dated = millis(at), true
+		m.Started, m.StartKnown = millis(at), true
 	}
 	return m, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -66,18 +66,18 @@
 	if e := ev[0]; e.Code != CodeInit || e.Inst != 4 || e.Seed != 7 || string(e.Config) != "{}" {
 		t.Errorf("init read as %+v", e)
 	}
-	want := choice.Backend{ID: 5, Zone: 2, Kind: 1, Cell: 3, State: choice.Draining, Weight: 2, Started: time.Second, Dated: true}
+	want := choice.Backend{ID: 5, Zone: 2, Kind: 1, Cell: 3, State: choice.Draining, Weight: 2, Started: time.Second, StartKnown: true}
 	if e := ev[1]; e.Code != CodeList || e.List != 2 || len(e.Backends) != 1 || e.Backends[0] != want {
 		t.Errorf("list read as %+v", e)
 	}
 	if e := ev[2]; e.Code != CodeMembers || e.Kind != choice.Full || e.List != 2 {
 		t.Errorf("members read as %+v", e)
 	}
-	request := choice.Request{ID: 17, Class: 1, Plan: 2, Customer: 42, TimeLeft: 500 * time.Millisecond, Units: 2, Spread: 3, First: 1, Repeat: true}
+	request := choice.Request{ID: 17, Class: 1, Plan: 2, Customer: 42, TimeLeft: 500 * time.Millisecond, Units: 2, Spread: 3, First: 1, ClientRetry: true}
 	if e := ev[3]; e.Request != request {
 		t.Errorf("request read as %+v", e.Request)
 	}
-	outcome := choice.Outcome{ID: 17, Attempt: 1, Backend: 5, Status: choice.Error, Elapsed: 20 * time.Millisecond, Over: true,
+	outcome := choice.Outcome{ID: 17, Attempt: 1, Backend: 5, Status: choice.Error, Elapsed: 20 * time.Millisecond, Done: true,
 		Metered: true, Used: 1, Load: choice.Load{N: 2, Values: [4]float64{1, 2}}}
 	if e := ev[4]; e.Outcome != outcome {
 		t.Errorf("outcome read as %+v", e.Outcome)
@@ -85,7 +85,7 @@
 	if ev[5].ID != 17 || ev[6].Token != 77 {
 		t.Errorf("gone and timer read as %+v, %+v", ev[5], ev[6])
 	}
-	probe := choice.Probe{Backend: 5, Status: choice.ConnectFailed, Elapsed: 20 * time.Millisecond, Load: choice.Load{N: 1, Values: [4]float64{1}}}
+	probe := choice.ProbeResult{Backend: 5, Status: choice.ConnectFailed, Elapsed: 20 * time.Millisecond, Load: choice.Load{N: 1, Values: [4]float64{1}}}
 	if e := ev[7]; e.Probe != probe {
 		t.Errorf("probe read as %+v", e.Probe)
 	}
@@ -168,11 +168,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	class := choice.Class{Aim: 300 * time.Millisecond, Deadline: 900 * time.Millisecond, Worth: 2, Effect: choice.Guarded,
+	class := choice.Class{Aim: 300 * time.Millisecond, Deadline: 900 * time.Millisecond, Worth: 2, Effect: choice.Deduplicated,
 		Group: choice.GroupCell, Window: 50 * time.Millisecond}
 	plan := choice.Plan{Rate: 1.5, Burst: 4, CeilingRate: 3, CeilingBurst: 8, CeilingTolerance: 1, Open: 2, Price: 3}
-	if !ask || cfg.Gateways != 3 || cfg.Self != 2 || cfg.Zone != 1 || cfg.MaxAttempts != 4 || !cfg.SecondCopies ||
-		cfg.MaxRetryAfter != 700*time.Millisecond || cfg.ColdFor != 9*time.Second || cfg.FallMultiple != 2.5 ||
+	if !ask || cfg.Gateways != 3 || cfg.Self != 2 || cfg.Zone != 1 || cfg.MaxAttempts != 4 || !cfg.Hedging ||
+		cfg.MaxRetryAfter != 700*time.Millisecond || cfg.WarmUpTime != 9*time.Second || cfg.CrashMultiple != 2.5 ||
 		cfg.MeterPeriod != 250*time.Millisecond || !cfg.WeightsTrusted || cfg.ReportFields[0] != "inflight" ||
 		cfg.ReportFields[1] != "novel" || cfg.Classes[0] != class || cfg.Plans[0] != plan {
 		t.Errorf("settings read as %+v", cfg)
