--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -49,8 +49,8 @@
 	knownLine  = []byte("-ERR the request id is in use\r\n")
 )
 
-// Gone tells whether the client has left.
-func (s *slot) Gone() bool { return s.client.net == nil || s.client.net.Gone() }
+// Disconnected tells whether the client has left.
+func (s *slot) Disconnected() bool { return s.client.net == nil || s.client.net.Gone() }
 
 // Answer gives the slot its one answer.
 func (s *slot) Answer(o outcome) {
@@ -80,7 +80,7 @@
 		s.data = append(s.data, "\r\n"...)
 	case failed:
 		s.data = failedLine
-	case known:
+	case duplicate:
 		s.data = knownLine
 		c.wrong++
 	}
@@ -124,7 +124,7 @@
 			return
 		}
 		c.writeBy = 0
-		f.held -= c.unread
+		f.held -= c.replyBytes
 		f.unstall(c)
 		c.arm()
 	}
@@ -161,7 +161,7 @@
 		c.shut()
 		return
 	}
-	if c.readable || len(c.half) > 0 {
+	if c.readable || len(c.partial) > 0 {
 		c.pump() // what was not taken while so much was due
 		return
 	}
@@ -173,7 +173,7 @@
 func (c *client) write(b []byte) bool {
 	f := c.front
 	n, err := c.net.Write(b)
-	c.unread -= n
+	c.replyBytes -= n
 	f.loop.memory.give(n)
 	if c.stall != nil {
 		f.held -= n
@@ -191,7 +191,7 @@
 		c.unwritten = append([]byte(nil), b[n:]...)
 		c.writeBy = f.loop.Now() + writeTimeout
 		c.stall = f.stalled.PushBack(c)
-		f.held += c.unread
+		f.held += c.replyBytes
 		c.arm()
 		c.bound()
 		return false
@@ -205,7 +205,7 @@
 
 // owe takes note of an answer that is due.
 func (c *client) owe(n int) {
-	c.unread += n
+	c.replyBytes += n
 	if c.stall != nil {
 		c.front.held += n
 		c.bound()
@@ -217,7 +217,7 @@
 // Their answers have failed, and are not kept for ever.
 func (c *client) bound() {
 	f := c.front
-	if c.unread > mostHeld {
+	if c.replyBytes > mostHeld {
 		c.close(closedUnread, nil)
 	}
 	for int64(f.held) > f.loop.memory.most/heldPart && f.stalled.Len() > 0 {
--- a/internal/ingress/attempttime_test.go
+++ b/internal/ingress/attempttime_test.go
@@ -14,53 +14,53 @@
 // descriptor, for another backend's answer, or for the process that stood still.
 func TestAttemptTellsNoMoreThanIsLeft(t *testing.T) {
 	const limit = 3 * time.Second
-	lateConnection := func(i *installation) {
+	lateConnection := func(i *simulation) {
 		i.net.Faults.Latency = waitMost
 		i.run(2 * ms)
 		i.net.Faults.Latency = latency
 	}
-	stall := func(i *installation) {
+	stall := func(i *simulation) {
 		i.node.Pause()
 		i.run(waitMost)
 		i.node.Resume()
 	}
-	busy := func(i *installation, a *playedAttempt, after time.Duration) {
+	busy := func(i *simulation, a *playedAttempt, after time.Duration) {
 		if len(i.attempts) < 3 {
 			i.net.After(after, func() { a.say("-BUSY\r\n") })
 		}
 	}
 	for name, play := range map[string]struct {
-		before   func(i *installation)                   // the client connects
-		ahead    int                                     // commands in the same breath
-		sent     func(i *installation)                   // the request, just now
-		came     func(i *installation, a *playedAttempt) // an attempt came to its backend
-		attempts int                                     // that come in all, at least
+		before   func(i *simulation)                   // the client connects
+		ahead    int                                   // commands in the same breath
+		sent     func(i *simulation)                   // the request, just now
+		came     func(i *simulation, a *playedAttempt) // an attempt came to its backend
+		attempts int                                   // that come in all, at least
 	}{
 		"at once":                         {attempts: 1},
-		"turned away at once":             {attempts: 3, came: func(i *installation, a *playedAttempt) { busy(i, a, 0) }},
-		"turned away late":                {attempts: 3, came: func(i *installation, a *playedAttempt) { busy(i, a, waitMost) }},
+		"turned away at once":             {attempts: 3, came: func(i *simulation, a *playedAttempt) { busy(i, a, 0) }},
+		"turned away late":                {attempts: 3, came: func(i *simulation, a *playedAttempt) { busy(i, a, waitMost) }},
 		"a connection that comes up late": {attempts: 1, sent: lateConnection},
-		"a further one on a connection that comes up late": {attempts: 2, came: func(i *installation, a *playedAttempt) {
+		"a further one on a connection that comes up late": {attempts: 2, came: func(i *simulation, a *playedAttempt) {
 			if len(i.attempts) == 1 {
 				a.say("-BUSY\r\n")
 				i.net.After(latency/2, func() { i.net.Faults.Latency = waitMost })
 				i.net.After(2*ms, func() { i.net.Faults.Latency = latency })
 			}
 		}},
-		"a descriptor": {attempts: 1, sent: func(i *installation) {
+		"a descriptor": {attempts: 1, sent: func(i *simulation) {
 			i.node.Files = i.node.Open()
 			i.run(waitMost)
 			i.node.Files = 0
 		}},
 		"a place at the ingress": {attempts: 1,
-			before: func(i *installation) { i.node.Files = i.node.Open() },
-			sent: func(i *installation) {
+			before: func(i *simulation) { i.node.Files = i.node.Open() },
+			sent: func(i *simulation) {
 				i.run(waitMost)
 				i.node.Files = 0
 			}},
 		"its turn behind a crowd of commands": {attempts: 1,
 			ahead: mostPending,
-			sent: func(i *installation) {
+			sent: func(i *simulation) {
 				i.run(waitMost)
 				if n := i.ingress.front.clients[0].pending; n != mostPending {
 					i.Fatalf("%d commands are open, want %d", n, mostPending)
@@ -71,18 +71,18 @@
 				i.attempts = nil
 			}},
 		"a stall before the request is read": {attempts: 1, sent: stall},
-		"a stall while the connection comes up": {attempts: 1, sent: func(i *installation) {
+		"a stall while the connection comes up": {attempts: 1, sent: func(i *simulation) {
 			i.run(latency + ms/10)
 			stall(i)
 		}},
-		"a stall before a further one": {attempts: 2, came: func(i *installation, a *playedAttempt) {
+		"a stall before a further one": {attempts: 2, came: func(i *simulation, a *playedAttempt) {
 			if len(i.attempts) == 1 {
 				i.node.Pause()
 				a.say("-BUSY\r\n")
 				i.net.After(waitMost, i.node.Resume)
 			}
 		}},
-		"a stall while the connection of a further one comes up": {attempts: 2, came: func(i *installation, a *playedAttempt) {
+		"a stall while the connection of a further one comes up": {attempts: 2, came: func(i *simulation, a *playedAttempt) {
 			if len(i.attempts) == 1 {
 				a.say("-BUSY\r\n")
 				i.net.After(latency+ms/10, i.node.Pause)
@@ -94,7 +94,7 @@
 			for _, class := range []string{"lookup", "payment"} {
 				for _, rested := range []bool{false, true} { // connections of requests before
 					for seed := uint64(1); seed <= 4; seed++ {
-						i := newInstallation(t, seed, 3, nil)
+						i := newSimulation(t, seed, 3, nil)
 						if play.before != nil {
 							play.before(i)
 						}
--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -56,7 +56,7 @@
 			c.breakOff()
 			return false
 		}
-		c.unread += len(b)
+		c.replyBytes += len(b)
 		f.loop.memory.force(len(b))
 		if !c.write(b) {
 			return false
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -47,9 +47,9 @@
 
 	first, last *slot // answers due, in order
 	pending     int
-	half        []byte // what has been read of a command that is not whole, or is not to be taken yet
+	partial     []byte // what has been read of a command that is not whole, or is not to be taken yet
 	unwritten   []byte // what its client did not take of the answers last written
-	unread      int    // bytes of answers that are due or unwritten
+	replyBytes  int    // bytes of answers that are due or unwritten
 
 	readAt   time.Duration // when what was last read had come
 	readBy   time.Duration // the first command, or the rest of one, must be here; 0: no bound
@@ -93,7 +93,7 @@
 
 // takes tells whether a further command may be read.
 func (c *client) takes() bool {
-	return c.net != nil && !c.closing && !c.parting && c.resume == 0 && c.pending < mostPending && c.unread < mostUnread && !c.pouring()
+	return c.net != nil && !c.closing && !c.parting && c.resume == 0 && c.pending < mostPending && c.replyBytes < mostUnread && !c.pouring()
 }
 
 // pouring tells whether a value is being passed on as it comes. If it breaks off the connection ends, and
@@ -132,12 +132,12 @@
 // read reads once, and starts the commands that are whole.
 func (c *client) read() {
 	buf := c.front.buf
-	if len(c.half) > 0 {
-		if len(c.half) == cap(c.half) && !c.grow() {
+	if len(c.partial) > 0 {
+		if len(c.partial) == cap(c.partial) && !c.grow() {
 			c.fail(closedNoMemory, errNoMemory)
 			return
 		}
-		buf = c.half[len(c.half):cap(c.half)]
+		buf = c.partial[len(c.partial):cap(c.partial)]
 	}
 	// A request's time counts from when it came: it may have waited for a place,
 	// for its connection's turn, or while the process stood still.
@@ -160,8 +160,8 @@
 	}
 	c.heldUp = false // readable stays: a read may give less than there is, and what it leaves is not told again
 	c.readAt = c.front.loop.Now() - waited
-	if len(c.half) > 0 {
-		c.half = c.half[:len(c.half)+n]
+	if len(c.partial) > 0 {
+		c.partial = c.partial[:len(c.partial)+n]
 		c.commands(nil)
 	} else {
 		c.commands(buf[:n])
@@ -170,11 +170,11 @@
 
 // grow makes room in half to read on.
 func (c *client) grow() bool {
-	size := min(2*cap(c.half), resp.MaxMessage+leastHalf)
-	if size == cap(c.half) || !c.front.loop.memory.take(size-cap(c.half)) {
+	size := min(2*cap(c.partial), resp.MaxMessage+leastHalf)
+	if size == cap(c.partial) || !c.front.loop.memory.take(size-cap(c.partial)) {
 		return false
 	}
-	c.half = append(make([]byte, 0, size), c.half...)
+	c.partial = append(make([]byte, 0, size), c.partial...)
 	return true
 }
 
@@ -182,19 +182,19 @@
 func (c *client) keep(rest []byte) bool {
 	memory := c.front.loop.memory
 	if len(rest) == 0 {
-		memory.give(cap(c.half))
-		c.half = nil
+		memory.give(cap(c.partial))
+		c.partial = nil
 		return true
 	}
-	if cap(c.half) >= len(rest) {
-		c.half = c.half[:copy(c.half[:cap(c.half)], rest)]
+	if cap(c.partial) >= len(rest) {
+		c.partial = c.partial[:copy(c.partial[:cap(c.partial)], rest)]
 		return true
 	}
 	size := max(leastHalf, len(rest))
-	if !memory.take(size - cap(c.half)) {
+	if !memory.take(size - cap(c.partial)) {
 		return false
 	}
-	c.half = append(make([]byte, 0, size), rest...)
+	c.partial = append(make([]byte, 0, size), rest...)
 	return true
 }
 
@@ -203,7 +203,7 @@
 func (c *client) commands(read []byte) {
 	buf := read
 	if buf == nil {
-		buf = c.half
+		buf = c.partial
 	}
 	all := len(buf)
 	for len(buf) > 0 && c.takes() {
@@ -279,7 +279,7 @@
 	limit := min(cmd.limit, cfg.Choice.Classes[cmd.class].Deadline)
 	r := &request{command: cmd, size: size, deadline: c.readAt + limit - min(answerMargin, limit/marginPart)}
 	r.slot = slot{client: c, request: r}
-	r.answer = &r.slot
+	r.replyTo = &r.slot
 	c.asked = true
 	c.push(&r.slot)
 	owner.events.taken(c, r)
@@ -302,7 +302,7 @@
 func (c *client) reportActivity() {
 	switch {
 	case c.net == nil:
-	case c.first != nil, len(c.unwritten) > 0, len(c.half) > 0, c.closing:
+	case c.first != nil, len(c.unwritten) > 0, len(c.partial) > 0, c.closing:
 		c.front.admission.MarkBusy(&c.place, c.asked)
 	default:
 		c.front.admission.MarkIdle(&c.place, c.front.loop.Now())
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -463,7 +463,7 @@
 	r.ask(func(l *loop) { // the second waits for the first, so both answers find it unwritten
 		l.Fail(2)
 		l.Refuse(2, 0)
-		l.settle()
+		l.deliverAnswers()
 	})
 	one.Answer("v")
 	two.Answer("v")
--- a/internal/ingress/closes_test.go
+++ b/internal/ingress/closes_test.go
@@ -24,29 +24,29 @@
 func TestEndOverUnreadBytesTakesNoAnswer(t *testing.T) {
 	const served = "$1\r\nv\r\n"
 	for name, play := range map[string]struct {
-		say  string                // by the client
-		more string                // by the client, again and again; PING if empty
-		then func(i *installation) // 10 ms later
-		want string                // what is due; lines to commands that were taken may follow
-		last string                // and then this, if not empty
+		say  string              // by the client
+		more string              // by the client, again and again; PING if empty
+		then func(i *simulation) // 10 ms later
+		want string              // what is due; lines to commands that were taken may follow
+		last string              // and then this, if not empty
 	}{
 		"broken frame": {say: ask("payment", newID(), 5000) + "junk\r\n", last: "-ERR ",
-			then: func(i *installation) { i.attempts[0].serve("v") }, want: served},
-		"too many wrong commands": {say: strings.Repeat(encode("GET", "x"), mostWrong), then: func(*installation) {},
+			then: func(i *simulation) { i.attempts[0].serve("v") }, want: served},
+		"too many wrong commands": {say: strings.Repeat(encode("GET", "x"), mostWrong), then: func(*simulation) {},
 			want: strings.Repeat("-ERR unknown command\r\n", mostWrong-1), last: "-ERR too many"},
-		"half a command": {say: "*3\r\n$60000\r\n", more: "x", then: func(*installation) {}, last: "-ERR the command did not"},
-		"drain": {say: ask("payment", newID(), 5000), want: served, then: func(i *installation) {
+		"half a command": {say: "*3\r\n$60000\r\n", more: "x", then: func(*simulation) {}, last: "-ERR the command did not"},
+		"drain": {say: ask("payment", newID(), 5000), want: served, then: func(i *simulation) {
 			i.do(i.ingress.Drain)
 			i.attempts[0].serve("v")
 		}},
-		"finish": {say: ask("payment", newID(), 5000), want: served, then: func(i *installation) {
+		"finish": {say: ask("payment", newID(), 5000), want: served, then: func(i *simulation) {
 			i.do(i.ingress.Drain)
 			i.do(i.ingress.CloseListener)
 			i.do(i.ingress.Finish)
 			i.attempts[0].serve("v")
 		}},
 		"a value that breaks off": {say: ask("payment", newID(), 5000) + ask("lookup", newID(), 5000), want: served, last: "$2000000\r\n",
-			then: func(i *installation) {
+			then: func(i *simulation) {
 				first, large := i.attempts[0], i.attempts[1]
 				if first.args[0] != "Q.DO" {
 					first, large = large, first
@@ -59,7 +59,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 4; seed++ {
-				i := newInstallation(t, seed, 2, nil)
+				i := newSimulation(t, seed, 2, nil)
 				c := i.dial("")
 				i.run(3 * ms)
 				c.say(play.say)
--- a/internal/ingress/closing.go
+++ b/internal/ingress/closing.go
@@ -25,7 +25,7 @@
 // anew by its client; one that was read would be taken, and lost.
 func (c *client) shut() {
 	if c.first != nil {
-		c.front.loop.violates(lifecycle.Close(c.pending, false), c.first.request)
+		c.front.loop.recordViolation(lifecycle.Close(c.pending, false), c.first.request)
 	}
 	c.front.loop.events.closed(c, c.why, nil)
 	c.net.CloseWrite()
@@ -121,7 +121,7 @@
 		if c.net == nil || c.readBy > 0 || !c.timed {
 			break // it was whole, or has moved the bound
 		}
-		if len(c.half) > 0 {
+		if len(c.partial) > 0 {
 			c.fail(closedHalf, errHalf)
 		} else {
 			c.fail(closedSilent, errSilent)
@@ -148,7 +148,7 @@
 	f.admission.Release(&c.place)
 	open := c.forsake()
 	if len(open) > 0 {
-		f.loop.violates(lifecycle.Close(len(open), why.frees()), open[0])
+		f.loop.recordViolation(lifecycle.Close(len(open), why.frees()), open[0])
 	}
 	f.loop.gone(open)
 }
@@ -168,10 +168,10 @@
 	f := c.front
 	if c.stall != nil {
 		f.unstall(c)
-		f.held -= c.unread
+		f.held -= c.replyBytes
 	}
-	f.loop.memory.give(c.unread)
-	c.unread, c.unwritten = 0, nil
+	f.loop.memory.give(c.replyBytes)
+	c.replyBytes, c.unwritten = 0, nil
 	c.keep(nil)
 	for s := c.first; s != nil; s = s.next {
 		if !s.filled && s.request != nil {
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -53,7 +53,7 @@
 	limitAt, limitTo int      // where the value of d stands in the options
 	class, plan      int
 	customer         uint64
-	name             uint64 // the client's id, new with every try
+	requestID        uint64 // the client's id, new with every try
 	limit            time.Duration
 	units            float64
 	spread, first    int
@@ -84,7 +84,7 @@
 	if c.customer, err = parseHex(args[1]); err != nil || c.customer >= maxCustomer {
 		return nil, errors.New("bad customer")
 	}
-	if c.name, err = parseHex(args[2]); err != nil {
+	if c.requestID, err = parseHex(args[2]); err != nil {
 		return nil, errors.New("bad request id")
 	}
 	var seen option
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -132,7 +132,7 @@
 		for _, open := range l.requests {
 			l.answer(open, outcome{kind: failed})
 		}
-		l.settle()
+		l.deliverAnswers()
 	})
 	c.want("-ERR failed")
 	got := wait(t, "the next request", b.Got)
@@ -324,7 +324,7 @@
 			c.write(whole[:s.first])
 			r.eventually("the request to have come that far", func(l *loop) bool {
 				clients := r.server.front.clients
-				return len(clients) == 1 && (l.pool.Open() == 1 || s.first < len(whole) && len(clients[0].half) > 0)
+				return len(clients) == 1 && (l.pool.Open() == 1 || s.first < len(whole) && len(clients[0].partial) > 0)
 			})
 			r.stop()
 			r.eventually("the drain", func(*loop) bool { return r.server.front.draining })
--- a/internal/ingress/discovery_test.go
+++ b/internal/ingress/discovery_test.go
@@ -181,7 +181,7 @@
 			if len(l.pool.Known()) != 1 || l.pool.Known()["new"] <= 1 {
 				t.Errorf("the backends are %v, want the new one alone under an id of its own", l.pool.Known())
 			}
-			l.members(choice.Full, MemberList{Complete: true, Members: []Member{
+			l.updateMembers(choice.Full, MemberList{Complete: true, Members: []Member{
 				{ID: "new", HostPort: b.Addr, Phase: PhaseServing, Size: 1, UpSince: time.Now().UnixMilli()}, b.member("old")}})
 		})
 	}
--- a/internal/ingress/events.go
+++ b/internal/ingress/events.go
@@ -45,9 +45,9 @@
 	return false
 }
 
-var kindNames = [...]string{served: "served", refused: "refused", failed: "failed", known: "known"}
+var kindNames = [...]string{served: "served", refused: "refused", failed: "failed", duplicate: "known"}
 
-func (k kind) String() string { return kindNames[k] }
+func (k outcomeKind) String() string { return kindNames[k] }
 
 // eventLog counts why connections were closed, attempts ended and system calls failed,
 // and with details logs each of these and what became of each request.
@@ -64,7 +64,7 @@
 // taken notes a request that was read whole.
 func (e *eventLog) taken(c *client, r *request) {
 	if e.details != nil {
-		e.details.Info("request taken", "request", fmt.Sprintf("%016x", r.name), "connection", c.number, "class", r.class,
+		e.details.Info("request taken", "request", fmt.Sprintf("%016x", r.requestID), "connection", c.number, "class", r.class,
 			"read_at", c.readAt, "deadline", r.deadline)
 	}
 }
@@ -75,7 +75,7 @@
 		e.retries++
 	}
 	if e.details != nil {
-		e.details.Info("attempt begins", "request", fmt.Sprintf("%016x", r.name), "attempt", a.Number, "backend", a.Backend, "deadline", a.Deadline)
+		e.details.Info("attempt begins", "request", fmt.Sprintf("%016x", r.requestID), "attempt", a.Number, "backend", a.Backend, "deadline", a.Deadline)
 	}
 }
 
@@ -83,22 +83,22 @@
 func (e *eventLog) ended(r *request, a *upstream.Attempt, reply upstream.Reply) {
 	e.ends[reply.Cause]++
 	if e.details != nil {
-		e.details.Info("attempt ended", "request", fmt.Sprintf("%016x", r.name), "attempt", a.Number, "backend", a.Backend,
-			"status", statusName(reply.Status), "cause", reply.Cause, "error", reply.Err, "over", r.life.Over())
+		e.details.Info("attempt ended", "request", fmt.Sprintf("%016x", r.requestID), "attempt", a.Number, "backend", a.Backend,
+			"status", statusName(reply.Status), "cause", reply.Cause, "error", reply.Err, "over", r.state.Over())
 	}
 }
 
 // answered notes the final answer of a request.
-func (e *eventLog) answered(r *request, k kind) {
+func (e *eventLog) answered(r *request, k outcomeKind) {
 	if e.details != nil {
-		e.details.Info("request answered", "request", fmt.Sprintf("%016x", r.name), "kind", k, "attempts", len(r.attempts))
+		e.details.Info("request answered", "request", fmt.Sprintf("%016x", r.requestID), "kind", k, "attempts", len(r.attempts))
 	}
 }
 
 // abandoned notes a request whose client's connection has gone.
 func (e *eventLog) abandoned(r *request) {
 	if e.details != nil {
-		e.details.Info("request abandoned", "request", fmt.Sprintf("%016x", r.name), "attempts", len(r.attempts), "out", r.life.Out())
+		e.details.Info("request abandoned", "request", fmt.Sprintf("%016x", r.requestID), "attempts", len(r.attempts), "out", r.state.Out())
 	}
 }
 
@@ -106,8 +106,8 @@
 func (e *eventLog) closed(c *client, why closeReason, err error) {
 	e.closes[why]++
 	if e.details != nil {
-		e.details.Info("connection closed", "connection", c.number, "reason", why, "error", err, "pending", c.pending, "half", len(c.half),
-			"unread", c.unread)
+		e.details.Info("connection closed", "connection", c.number, "reason", why, "error", err, "pending", c.pending, "half", len(c.partial),
+			"unread", c.replyBytes)
 	}
 }
 
--- a/internal/ingress/figures.go
+++ b/internal/ingress/figures.go
@@ -14,7 +14,7 @@
 	Calls                  uint64 // attempts written whole to backends
 }
 
-func (c *ClassFigures) count(k kind) {
+func (c *ClassFigures) count(k outcomeKind) {
 	switch k {
 	case served:
 		c.Success++
--- a/internal/ingress/figures_test.go
+++ b/internal/ingress/figures_test.go
@@ -102,7 +102,7 @@
 			backend := open.attempts[0].Backend
 			l.Fail(id)
 			l.Send(id, backend, time.Second)
-			l.settle()
+			l.deliverAnswers()
 		}
 	})
 	c.want("-ERR failed")
@@ -132,7 +132,7 @@
 				t.Error("an attempt is forbidden though its client waits")
 			}
 			c.nc.Close()
-			for end := time.Now().Add(patience); (!open.answer.Gone() || l.Now()-open.began < justRead) && time.Now().Before(end); {
+			for end := time.Now().Add(patience); (!open.replyTo.Disconnected() || l.Now()-open.takenAt < recentRead) && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			if a := open.attempts[0]; l.MayWrite(a) {
@@ -311,7 +311,7 @@
 	open.send("Q.ASK", anyone, newID(), lookup)
 	got := wait(t, "a command", b.Got)
 	first.stop()
-	second.eventually("it takes clients", func(*loop) bool { return !second.server.front.waits })
+	second.eventually("it takes clients", func(*loop) bool { return !second.server.front.onHold })
 	ping() // by the second, while the first still owes an answer
 	if n := second.clients(nil); n != 1 {
 		t.Errorf("the second one has %d clients, want 1", n)
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -47,7 +47,7 @@
 	lastLook   bool          // the listener closes once nothing waits in its queue
 	draining   bool
 	finished   bool          // takes no request but those that have come
-	waits      bool          // another process of this ingress takes the clients still
+	onHold     bool          // another process of this ingress takes the clients still
 	empty      chan struct{} // closed when no further connection is taken and none is left
 }
 
@@ -99,7 +99,7 @@
 
 // Next tells when there is something to do though nothing happens.
 func (f *front) Next() (at time.Duration, any bool) {
-	takes := f.acceptable && f.ln != nil && !f.waits && !f.lastLook
+	takes := f.acceptable && f.ln != nil && !f.onHold && !f.lastLook
 	if len(f.again) > 0 || len(f.dirty) > 0 || takes && f.retryAt == 0 && f.admission.HasRoom() {
 		return 0, true
 	}
@@ -118,7 +118,7 @@
 
 // waiting tells that a connection waits in the listener's queue and finds no room.
 func (f *front) waiting() bool {
-	return f.acceptable && f.ln != nil && !f.waits && !f.admission.HasRoom()
+	return f.acceptable && f.ln != nil && !f.onHold && !f.admission.HasRoom()
 }
 
 // acceptor is told of the listener.
@@ -230,7 +230,7 @@
 	if len(f.unwatched) > 0 { // the poller could take no further one either
 		return
 	}
-	for n := 0; f.acceptable && f.ln != nil && !f.waits && f.retryAt == 0 && (f.admission.HasRoom() || f.tries(now)); n++ {
+	for n := 0; f.acceptable && f.ln != nil && !f.onHold && f.retryAt == 0 && (f.admission.HasRoom() || f.tries(now)); n++ {
 		if n == acceptBatch {
 			f.retryAt = now + pacePause
 			return
@@ -363,7 +363,7 @@
 	if f.ln == nil {
 		return
 	}
-	if f.cfg.Passed != "" || f.waits {
+	if f.cfg.Passed != "" || f.onHold {
 		f.endListener()
 		return
 	}
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -20,28 +20,28 @@
 type aWait struct {
 	backends int
 	class    string
-	attempts int                   // that begin before
-	change   func(*Config)         // of the configuration
-	before   func(i *installation) // the request is sent
-	behind   func(i *installation) // it, at once
-	over     func(i *installation) // it is, waitMost after
+	attempts int                 // that begin before
+	change   func(*Config)       // of the configuration
+	before   func(i *simulation) // the request is sent
+	behind   func(i *simulation) // it, at once
+	over     func(i *simulation) // it is, waitMost after
 }
 
 var waits = map[string]aWait{
 	"a connection that comes up late": {backends: 1, class: "payment",
-		behind: func(i *installation) { i.net.Faults.Latency = waitMost }}, // of the connection alone
+		behind: func(i *simulation) { i.net.Faults.Latency = waitMost }}, // of the connection alone
 	"a descriptor": {backends: 1, class: "payment",
-		behind: func(i *installation) { i.node.Files = i.node.Open() },
-		over:   func(i *installation) { i.node.Files = 0 }},
+		behind: func(i *simulation) { i.node.Files = i.node.Open() },
+		over:   func(i *simulation) { i.node.Files = 0 }},
 	"a place at the ingress": {backends: 1, class: "payment",
-		before: func(i *installation) { i.node.Files = i.node.Open() },
-		over:   func(i *installation) { i.node.Files = 0 }},
+		before: func(i *simulation) { i.node.Files = i.node.Open() },
+		over:   func(i *simulation) { i.node.Files = 0 }},
 	"a repeat of what was turned away": {backends: 2, class: "payment", attempts: 1,
-		over: func(i *installation) { i.attempts[0].say("-BUSY\r\n") }},
+		over: func(i *simulation) { i.attempts[0].say("-BUSY\r\n") }},
 	"a repeat of what has failed": {backends: 2, class: "lookup", attempts: 1,
-		over: func(i *installation) { i.attempts[0].say("-ERR failed\r\n") }},
+		over: func(i *simulation) { i.attempts[0].say("-ERR failed\r\n") }},
 	"a repeat of what was reset": {backends: 2, class: "lookup", attempts: 1,
-		over: func(i *installation) { i.attempts[0].at.node.Kill() }},
+		over: func(i *simulation) { i.attempts[0].at.node.Kill() }},
 	"a second copy": {backends: 2, class: "lookup", attempts: 1,
 		change: func(cfg *Config) {
 			cfg.Choice.SecondCopies = true
@@ -51,15 +51,15 @@
 
 // play plays a wait. leave, which may be nil, is called so long before its end. The
 // process may stand still for a time up to roundLate behind the end.
-func (w aWait) play(t *testing.T, seed uint64, cancelling bool, leave func(*virtualClient), before, still time.Duration) (i *installation, gone time.Duration) {
+func (w aWait) play(t *testing.T, seed uint64, cancelling bool, leave func(*virtualClient), before, still time.Duration) (i *simulation, gone time.Duration) {
 	t.Helper()
-	i = newInstallation(t, seed, w.backends, func(cfg *Config) {
+	i = newSimulation(t, seed, w.backends, func(cfg *Config) {
 		cfg.Choice.Cancelling = cancelling
 		if w.change != nil {
 			w.change(cfg)
 		}
 	})
-	call := func(f func(*installation)) {
+	call := func(f func(*simulation)) {
 		if f != nil {
 			f(i)
 		}
--- a/internal/ingress/inbox_test.go
+++ b/internal/ingress/inbox_test.go
@@ -48,7 +48,7 @@
 // go, come back, start anew, move, or take an address over.
 func TestRunOfChangesLeavesTheSame(t *testing.T) {
 	for seed := range uint64(30) {
-		one, run := newInstallation(t, seed, 8, nil), newInstallation(t, seed, 8, nil)
+		one, run := newSimulation(t, seed, 8, nil), newSimulation(t, seed, 8, nil)
 		rng := rand.New(rand.NewPCG(seed, 0))
 		revision := int64(1)
 		for round := range 10 {
@@ -65,7 +65,7 @@
 				run.ingress.tell(l)
 			}
 			run.do(func() {})
-			state := func(i *installation) (all []string) {
+			state := func(i *simulation) (all []string) {
 				known := i.ingress.loop.pool.Known()
 				for _, name := range slices.Sorted(maps.Keys(known)) {
 					all = append(all, fmt.Sprint(name, "=", known[name]))
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -22,7 +22,7 @@
 	heldShare      = 6    // what is held for clients may take this part of the memory
 	customersShare = 5    // and what is known of customers this one, at
 	customerBytes  = 1400 // for each, with its places in the gateway's map and row
-	justRead       = 5 * time.Millisecond
+	recentRead     = 5 * time.Millisecond
 	idsMargin      = time.Second // ids are known for so long beyond the longest time of a request
 )
 
@@ -54,19 +54,19 @@
 	terms    *terms            // nil while no version of configuration was in force
 }
 
-// kind is how a request ends for its client.
-type kind uint8
+// outcomeKind is how a request ends for its client.
+type outcomeKind uint8
 
 const (
-	served kind = iota
+	served outcomeKind = iota
 	refused
 	failed
-	known // not taken: a request with its id is open, or was of late
+	duplicate // not taken: a request with its id is open, or was of late
 )
 
 // outcome is the one final answer of a request, in no protocol's words.
 type outcome struct {
-	kind  kind
+	kind  outcomeKind
 	value []byte        // served: as the backend gave it
 	body  body          // in place of value, where that is large; whoever gets it reads it to its end or closes it
 	after time.Duration // refused: when to come again; 0: no advice
@@ -76,8 +76,8 @@
 // never called while the gateway is at work.
 type answerer interface {
 	Answer(outcome)
-	// Gone tells whether whoever waits for the answer has left, as far as the system knows.
-	Gone() bool
+	// Disconnected tells whether whoever waits for the answer has left, as far as the system knows.
+	Disconnected() bool
 }
 
 type answer struct {
@@ -91,12 +91,12 @@
 	*command
 	id       uint32 // the gateway's: the clients' ids are longer
 	size     int
-	answer   answerer
+	replyTo  answerer
 	slot     slot // the answer's place, where the client speaks RESP
 	deadline time.Duration
-	began    time.Duration // when it was taken
+	takenAt  time.Duration // when it was taken
 	sent     time.Duration // its first attempt
-	life     lifecycle.Request
+	state    lifecycle.Request
 	attempts []*upstream.Attempt
 
 	initial upstream.Attempt // most need no other
@@ -129,14 +129,14 @@
 	if l.fleet, err = fleet.New(cfg.Choice, l.gateway, l.Now()); err != nil {
 		return nil, err
 	}
-	l.members(choice.Cached, cfg.Known)
+	l.updateMembers(choice.Cached, cfg.Known)
 	return l, nil
 }
 
-// settle hands out the answers that the gateway has given. It is called behind
+// deliverAnswers hands out the answers that the gateway has given. It is called behind
 // every call of the gateway. To hand out one may end other requests, whose
 // clients do not read; their part is done before it returns, too.
-func (l *loop) settle() {
+func (l *loop) deliverAnswers() {
 	if l.settling {
 		return
 	}
@@ -158,22 +158,22 @@
 	}
 	r.id = l.lastID
 	l.requests[r.id] = r
-	r.began = l.Now()
-	r.life = lifecycle.Request{Rules: &l.rules[r.class], Deadline: r.deadline}
+	r.takenAt = l.Now()
+	r.state = lifecycle.Request{Rules: &l.rules[r.class], Deadline: r.deadline}
 	l.figures.open++
 	now := l.Now()
-	if l.ids.add(r.name, now) {
+	if l.ids.add(r.requestID, now) {
 		l.gateway.Request(now, choice.Request{
 			ID: r.id, Class: r.class, Plan: r.plan, Customer: r.customer, TimeLeft: r.deadline - now,
 			Units: r.units, Spread: r.spread, First: r.first, Repeat: r.repeat,
 		})
 	} else {
 		// The copy of another's open request: its value belongs to that one alone.
-		l.answer(r, outcome{kind: known})
+		l.answer(r, outcome{kind: duplicate})
 	}
 	l.fleet.Step(now)
 	l.forget(r)
-	l.settle()
+	l.deliverAnswers()
 }
 
 // recentIDs knows the clients' ids for a span at least, and for two at most.
@@ -203,7 +203,7 @@
 
 // forget drops a request that is over and has nothing out.
 func (l *loop) forget(r *request) {
-	if r.life.Over() && r.life.Out() == 0 && l.requests[r.id] == r {
+	if r.state.Over() && r.state.Out() == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
 		l.memory.give(r.size)
 	}
@@ -215,18 +215,18 @@
 		return
 	}
 	for _, r := range open {
-		if r.life.Abandon() {
+		if r.state.Abandon() {
 			l.figures.open--
 			l.events.abandoned(r)
 			if len(r.attempts) == 0 {
-				l.ids.remove(r.name) // nothing was sent on: it may come again
+				l.ids.remove(r.requestID) // nothing was sent on: it may come again
 			}
 			l.withdraw(r)
 			l.gateway.Gone(l.Now(), r.id)
 			l.forget(r)
 		}
 	}
-	l.settle()
+	l.deliverAnswers()
 }
 
 // withdraw drops what a request that is over waits to send, whether or not the
@@ -239,7 +239,7 @@
 
 // Ended takes the end of an attempt or a probe.
 func (l *loop) Ended(a *upstream.Attempt, reply upstream.Reply, elapsed time.Duration) {
-	defer l.settle()
+	defer l.deliverAnswers()
 	if a.Probe {
 		l.gateway.Probed(l.Now(), choice.Probe{
 			Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Load: reply.Load})
@@ -247,12 +247,12 @@
 	}
 	r := a.Owner.(*request)
 	if reply.Cause != upstream.CauseForbidden {
-		r.life.Ended(mayHaveRun(reply.Status))
+		r.state.Ended(mayHaveRun(reply.Status))
 	}
 	l.events.ended(r, a, reply)
 	l.fleet.Ended()
 	if reply.Stream != nil {
-		if r.life.Over() {
+		if r.state.Over() {
 			reply.Stream.Close()
 		} else {
 			l.answer(r, outcome{kind: served, body: reply.Stream})
@@ -261,7 +261,7 @@
 		l.answer(r, outcome{kind: served, value: reply.Value})
 	}
 	l.gateway.Outcome(l.Now(), choice.Outcome{
-		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Over: r.life.Over(),
+		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Over: r.state.Over(),
 		Metered: reply.Metered, Used: reply.Used, Age: reply.Age, Load: reply.Load,
 	})
 	l.forget(r)
@@ -271,7 +271,7 @@
 func (l *loop) Figures(a *upstream.Attempt, reply upstream.Reply) {
 	if r := a.Owner.(*request); reply.Metered {
 		l.gateway.Metered(l.Now(), r.customer, r.plan, reply.Used, reply.Age)
-		l.settle()
+		l.deliverAnswers()
 	}
 }
 
@@ -302,11 +302,11 @@
 	if r == nil {
 		return
 	}
-	give, wrong := r.life.Answer(o.kind == refused)
+	give, wrong := r.state.Answer(o.kind == refused)
 	if !give {
 		return
 	}
-	if l.violates(wrong, r) {
+	if l.recordViolation(wrong, r) {
 		o = outcome{kind: failed} // promises nothing
 	}
 	l.events.answered(r, o.kind)
@@ -315,11 +315,11 @@
 		l.figures.open--
 		l.figures.classes[r.class].count(o.kind)
 	}
-	l.answers = append(l.answers, answer{r.answer, o})
+	l.answers = append(l.answers, answer{r.replyTo, o})
 }
 
-// members takes a list of backends from discovery.
-func (l *loop) members(kind choice.ListKind, list MemberList) {
+// updateMembers takes a list of backends from discovery.
+func (l *loop) updateMembers(kind choice.ListKind, list MemberList) {
 	now := l.Now()
 	l.starts.observe(now, l.Wall())
 	backends := make([]choice.Backend, 0, len(list.Members))
@@ -363,12 +363,12 @@
 		l.starts.keep(named)
 	}
 	l.fleet.Members(now, kind, backends, func(b choice.Backend) uint64 { return keys[b.ID] })
-	l.settle()
+	l.deliverAnswers()
 	l.checkReady()
 }
 
-// open marks that discovery was asked for the list, whether or not it answered.
-func (l *loop) open() {
+// markAsked marks that discovery was asked for the list, whether or not it answered.
+func (l *loop) markAsked() {
 	l.asked = true
 	l.checkReady()
 }
@@ -417,7 +417,7 @@
 	r.attempts = append(r.attempts, a)
 	l.events.sent(r, a)
 	l.fleet.Sent()
-	if l.violates(r.life.Begin(l.Now()), r) {
+	if l.recordViolation(r.state.Begin(l.Now()), r) {
 		l.pool.Forbid(a)
 		return
 	}
@@ -430,22 +430,22 @@
 		return true
 	}
 	r := a.Owner.(*request)
-	if l.violates(r.life.Write(l.Now()), r) {
+	if l.recordViolation(r.state.Write(l.Now()), r) {
 		return false
 	}
 	// Just after its reading nothing can have happened that is not known. Later an event that tells of the
 	// client's end may be late.
-	return l.Now()-r.began < justRead && !l.Late() || !r.answer.Gone()
+	return l.Now()-r.takenAt < recentRead && !l.Late() || !r.replyTo.Disconnected()
 }
 
-// violates counts and logs a step that the rule on requests forbids. Whoever asked does not take it.
-func (l *loop) violates(v lifecycle.Violation, r *request) bool {
+// recordViolation counts and logs a step that the rule on requests forbids. Whoever asked does not take it.
+func (l *loop) recordViolation(v lifecycle.Violation, r *request) bool {
 	if !l.events.violations.Add(v) {
 		return false
 	}
 	name := uint64(0)
 	if r != nil {
-		name = r.name
+		name = r.requestID
 	}
 	slog.Error("a step that the rule on requests forbids was not taken", "violation", v, "request", fmt.Sprintf("%016x", name))
 	return true
@@ -522,5 +522,5 @@
 	token := a.token
 	a.next, l.spare = l.spare, a
 	l.gateway.Timer(l.Now(), token)
-	l.settle()
+	l.deliverAnswers()
 }
--- a/internal/ingress/moment_test.go
+++ b/internal/ingress/moment_test.go
@@ -11,18 +11,18 @@
 // A request that comes about when the ingress ends a connection at rest is answered,
 // or left unread. What is read is sent on, and would be lost behind the end.
 func TestRequestAboutTheEndOfItsConnectionIsAnsweredOrLeft(t *testing.T) {
-	for name, end := range map[string]func(*installation){
-		"drain": func(i *installation) { i.do(i.ingress.Drain) },
-		"drain and finish": func(i *installation) {
+	for name, end := range map[string]func(*simulation){
+		"drain": func(i *simulation) { i.do(i.ingress.Drain) },
+		"drain and finish": func(i *simulation) {
 			i.do(func() { i.ingress.Drain(); i.ingress.CloseListener(); i.ingress.Finish() })
 		},
-		"standby":             func(i *installation) { i.do(i.ingress.Standby) },
-		"descriptors run out": func(i *installation) { i.do(func() { i.ingress.front.shrink(i.node.Now()) }) },
+		"standby":             func(i *simulation) { i.do(i.ingress.Standby) },
+		"descriptors run out": func(i *simulation) { i.do(func() { i.ingress.front.shrink(i.node.Now()) }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			// play has a request come so long after the end is called for, and tells what came of it.
 			play := func(after time.Duration, seed uint64) (served bool, endedAt time.Duration) {
-				i := newInstallation(t, seed, 2, nil)
+				i := newSimulation(t, seed, 2, nil)
 				i.answer = func(a *playedAttempt) { a.serve("v") }
 				c := i.dial("")
 				i.run(3 * ms)
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -58,7 +58,7 @@
 	if m.Complete {
 		kind = choice.Full
 	}
-	i.loop.members(kind, m)
+	i.loop.updateMembers(kind, m)
 }
 
 // tell takes what discovery tells, from any goroutine.
@@ -73,7 +73,7 @@
 }
 
 // Asked tells that discovery was asked for the list, whether or not it answered.
-func (i *Ingress) Asked() { i.loop.open() }
+func (i *Ingress) Asked() { i.loop.markAsked() }
 
 // Drain closes each connection as soon as it has nothing open. New ones are
 // taken still, until CloseListener.
@@ -131,13 +131,13 @@
 
 // Hold keeps the ingress from taking clients until Begin: another process of it
 // does so still. It is called before the reactor runs.
-func (i *Ingress) Hold() { i.front.waits = true }
+func (i *Ingress) Hold() { i.front.onHold = true }
 
 // Begin ends a Hold. What that process has drawn on ceilings until now is not
 // drawn once more.
 func (i *Ingress) Begin() {
 	i.loop.gateway.Begin(i.loop.Now())
-	i.front.waits = false
+	i.front.onHold = false
 }
 
 // Server is one running ingress, on sockets.
@@ -255,7 +255,7 @@
 	select {
 	case <-empty:
 	case <-time.After(longest + lastAnswers):
-		s.loop.Do(func() { s.loop.violates(lifecycle.End(s.loop.figures.open), nil) })
+		s.loop.Do(func() { s.loop.recordViolation(lifecycle.End(s.loop.figures.open), nil) })
 	}
 	return nil
 }
--- a/internal/ingress/virtual_test.go
+++ b/internal/ingress/virtual_test.go
@@ -15,10 +15,10 @@
 
 const ms = time.Millisecond
 
-// installation is an ingress in virtual time, between a client's machine and
+// simulation is an ingress in virtual time, between a client's machine and
 // backends that the test plays. A run takes no real time, and its verdict hangs
 // on no machine.
-type installation struct {
+type simulation struct {
 	*testing.T
 	net      *simnet.Net
 	node     *simnet.Node // the ingress's
@@ -34,16 +34,16 @@
 // latency is one way, without jitter.
 const latency = ms / 2
 
-// newInstallation starts an ingress and so many backends. What comes to these
+// newSimulation starts an ingress and so many backends. What comes to these
 // is noted, and goes to answer, if there is one.
-func newInstallation(t *testing.T, seed uint64, backends int, change func(*Config)) *installation {
+func newSimulation(t *testing.T, seed uint64, backends int, change func(*Config)) *simulation {
 	t.Helper()
-	i := &installation{T: t, net: simnet.New(seed)}
+	i := &simulation{T: t, net: simnet.New(seed)}
 	i.net.Faults = simnet.Faults{Latency: latency}
 	i.node, i.client = i.net.Node("10.0.0.1"), i.net.Node("10.0.2.1")
 	list := MemberList{Revision: 1, Complete: true}
 	for n := range backends {
-		b := &playedBackend{installation: i, node: i.net.Node(fmt.Sprintf("10.0.1.%d", n+1)), name: strconv.Itoa(n + 1)}
+		b := &playedBackend{simulation: i, node: i.net.Node(fmt.Sprintf("10.0.1.%d", n+1)), name: strconv.Itoa(n + 1)}
 		b.node.Start(func(l *reactor.Loop) {
 			var err error
 			if b.ln, err = l.Listen(b.node.IP+":7", b); err != nil {
@@ -73,17 +73,17 @@
 }
 
 // run lets time go on.
-func (i *installation) run(d time.Duration) { i.net.Until(i.net.Now() + d) }
+func (i *simulation) run(d time.Duration) { i.net.Until(i.net.Now() + d) }
 
 // do runs f as a part of the ingress's next round.
-func (i *installation) do(f func()) {
+func (i *simulation) do(f func()) {
 	i.node.Loop.Post(f)
 	i.net.Until(i.net.Now())
 }
 
 // playedBackend is one backend that the test plays.
 type playedBackend struct {
-	*installation
+	*simulation
 	node *simnet.Node
 	ln   reactor.Listener
 	name string
@@ -175,7 +175,7 @@
 
 // virtualClient is one client's connection.
 type virtualClient struct {
-	*installation
+	*simulation
 	conn  reactor.Conn
 	out   []byte
 	up    bool
@@ -185,9 +185,9 @@
 }
 
 // dial connects a client, and says text once the connection is up.
-func (i *installation) dial(text string) *virtualClient {
+func (i *simulation) dial(text string) *virtualClient {
 	i.Helper()
-	c := &virtualClient{installation: i, out: []byte(text)}
+	c := &virtualClient{simulation: i, out: []byte(text)}
 	var err error
 	if c.conn, err = i.client.Dial(virtualAddress, c); err != nil {
 		i.Fatal(err)
