--- a/cmd/wickarch/main.go
+++ b/cmd/wickarch/main.go
@@ -32,7 +32,7 @@
 	follow := flag.String("follow", "", "a file such as deploy/follower.toml, to follow the configuration that coordinators give out")
 	check := flag.Bool("check", false, "check these files, print every fault with its line, and end")
 	flag.Parse()
-	var own config.Own
+	var own config.Options
 	if *file != "" {
 		var err error
 		if own, err = config.Load(*file); err != nil {
@@ -66,8 +66,8 @@
 	if err != nil {
 		return err
 	}
-	cfg.Own = own
-	cfg.Limits = cfg.Limits.Held()
+	cfg.Options = own
+	cfg.Limits = cfg.Limits.CapToRlimit()
 	cfg.Limits.Apply()
 	srv, err := atStart(ctx, func() (*ingress.Server, error) { return ingress.Listen(cfg) })
 	if errors.Is(err, context.Canceled) {
@@ -78,7 +78,7 @@
 	}
 	if *follow != "" {
 		f := follower.New(followed, srv.Ingress, slog.Default())
-		srv.Beside(func(ctx context.Context) { f.Run(ctx, ingress.Configurable{Server: srv}) })
+		srv.RunInBackground(func(ctx context.Context) { f.Run(ctx, ingress.Configurable{Server: srv}) })
 	}
 	slog.Info("serving", "name", cfg.Name, "address", srv.Addr())
 	go followSignals(reload, func() error {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -99,7 +99,7 @@
 	if len(c.Coordinators) == 0 {
 		file.Fault("coordinators", "the addresses of all of them")
 	}
-	file.Addresses("coordinators", c.Coordinators)
+	file.CheckAddresses("coordinators", c.Coordinators)
 	if len(c.Hooks.Start) == 0 {
 		if c.Program.Admin == "" {
 			file.Fault("program.admin", "the second address of the ingress, as its configuration names it (mgmt)")
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -11,8 +11,8 @@
 	"wickarch/internal/tomlfile"
 )
 
-// Own is the whole file. Parts that it leaves out are nil.
-type Own struct {
+// Options is the whole file. Parts that it leaves out are nil.
+type Options struct {
 	Admission *Admission `toml:"door"`
 	Log       *Log       `toml:"log"`
 }
@@ -76,22 +76,22 @@
 }
 
 // Load reads and checks a file. The error holds every fault, each with its line.
-func Load(path string) (Own, error) {
+func Load(path string) (Options, error) {
 	return tomlfile.Load(path, Parse)
 }
 
 // Parse reads and checks the text of a file, and returns all its faults in the
 // order of their lines, each as "LINE: what is wrong".
-func Parse(text string) (own Own, faults []error) {
+func Parse(text string) (own Options, faults []error) {
 	file, faults := tomlfile.Decode(text, &own)
 	if file == nil {
-		return Own{}, faults
+		return Options{}, faults
 	}
 	if own.Admission != nil {
 		m := own.Admission.Apply(admission.Defaults(sampleSockets, sampleSockets))
 		if err := m.Check(); err != nil {
 			name, _, _ := strings.Cut(err.Error(), ":")
-			file.Fault(file.First("door", name, "high", "low", "floor", "spare", "places"), "%v", err)
+			file.Fault(file.FirstKey("door", name, "high", "low", "floor", "spare", "places"), "%v", err)
 		}
 	}
 	return own, file.Faults()
--- a/internal/follower/config.go
+++ b/internal/follower/config.go
@@ -44,7 +44,7 @@
 	if n := len(c.Coordinators); n < 1 || n > 16 {
 		file.Fault("coordinators", "the addresses of all of them")
 	}
-	file.Addresses("coordinators", c.Coordinators)
+	file.CheckAddresses("coordinators", c.Coordinators)
 	if c.PatienceMS < 0 || c.Patience() <= distribution.DefaultTiming().Hold {
 		file.Fault("patience_ms", "above the %v for which a question is held", distribution.DefaultTiming().Hold)
 	}
--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -218,9 +218,9 @@
 func (c *client) bound() {
 	f := c.front
 	if c.unread > mostHeld {
-		c.close(closedUnread, nil)
+		c.close(closedUnreadAnswers, nil)
 	}
 	for int64(f.held) > f.loop.memory.most/heldPart && f.stalled.Len() > 0 {
-		f.stalled.Front().Value.(*client).close(closedUnread, nil)
+		f.stalled.Front().Value.(*client).close(closedUnreadAnswers, nil)
 	}
 }
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -21,7 +21,7 @@
 		func(got received) { _, _ = got.Conn.Write([]byte("*3\r\n$9\r\nhal")); got.Conn.Close() },
 	} {
 		c := r.dial()
-		c.send("Q.DO", anyone, newID(), payment, "BODY")
+		c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 		select {
 		case got := <-one.Got:
 			end(got)
@@ -30,8 +30,8 @@
 		}
 		c.want("-ERR failed")
 	}
-	idle(t, "a second attempt", one.Got)
-	idle(t, "a second attempt", two.Got)
+	wantNone(t, "a second attempt", one.Got)
+	wantNone(t, "a second attempt", two.Got)
 }
 
 // One that was turned away has not run, and goes to the other backend.
@@ -39,7 +39,7 @@
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
 	c := r.dial()
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	var first, second received
 	select {
 	case first = <-one.Got:
@@ -66,14 +66,14 @@
 	r := newRig(t, nil, b.member("b"), dead)
 	c := r.dial()
 	for range 10 { // some of them try the dead one first
-		c.send("Q.DO", anyone, newID(), payment, "BODY")
+		c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 		wait(t, "the request", b.Got).Answer("v")
 		c.want("$1\r\nv")
 	}
 }
 
-// rest waits until so many connections could carry a request.
-func (r *rig) rest(connections int) {
+// awaitReusable waits until so many connections could carry a request.
+func (r *rig) awaitReusable(connections int) {
 	r.Helper()
 	r.eventually("the connections to have rested", func(l *loop) bool { return l.pool.Kept() == connections })
 }
--- a/internal/ingress/body_test.go
+++ b/internal/ingress/body_test.go
@@ -39,7 +39,7 @@
 		if err := c.nc.(*net.TCPConn).SetReadBuffer(256 << 10); err != nil { // or the kernel holds all of it
 			t.Error(err)
 		}
-		c.send("Q.ASK", anyone, newID(), lookup)
+		c.send("Q.ASK", someCustomer, newID(), lookup)
 		got := wait(t, "a command", b.Got)
 		go got.Answer(largeValue(n)) // until all of it is taken
 		clients = append(clients, c)
@@ -51,12 +51,12 @@
 		}
 	}
 	r.eventually("all clients are behind", func(l *loop) bool { return r.server.front.stalled.Len() == many })
-	r.ask(func(l *loop) {
+	r.onLoop(func(l *loop) {
 		if most := int64(many * (pourChunk + 64)); l.memory.used > most {
 			t.Errorf("%d bytes are held for %d values, want %d at most", l.memory.used, many, most)
 		}
 	})
-	if f := r.figures(); f["inflight"] != many || f["success.lookup"] != 0 {
+	if f := r.metrics(); f["inflight"] != many || f["success.lookup"] != 0 {
 		t.Errorf("inflight=%d success=%d on the way, want %d and 0", f["inflight"], f["success.lookup"], many)
 	}
 	for n, c := range clients {
@@ -65,7 +65,7 @@
 	// Each connection goes on behind it.
 	clients[0].send("PING")
 	clients[0].want("+PONG")
-	if f := r.figures(); f["inflight"] != 0 || f["success.lookup"] != many {
+	if f := r.metrics(); f["inflight"] != 0 || f["success.lookup"] != many {
 		t.Errorf("inflight=%d success=%d at the end, want 0 and %d", f["inflight"], f["success.lookup"], many)
 	}
 	r.eventually("nothing is held", func(l *loop) bool { return l.memory.used == 0 })
@@ -78,14 +78,14 @@
 	c := r.dial()
 	var got []received
 	for range 3 {
-		c.send("Q.ASK", anyone, newID(), lookup)
+		c.send("Q.ASK", someCustomer, newID(), lookup)
 		got = append(got, wait(t, "a command", b.Got))
 	}
 	got[2].Answer("last")
 	go got[1].Answer(largeValue(1))
 	got[0].Answer("first")
 	c.want("$5\r\nfirst")
-	r.ask(func(*loop) { r.server.Drain() })
+	r.onLoop(func(*loop) { r.server.Drain() })
 	c.body(largeValue(1))
 	c.want("$4\r\nlast")
 	c.wantEnd()
@@ -96,7 +96,7 @@
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"))
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	got := wait(t, "a command", b.Got)
 	value := largeValue(7)
 	go func() {
@@ -110,7 +110,7 @@
 	if rest, _ := io.ReadAll(c.in); len(rest) > len(value)/2 || string(rest) != value[:len(rest)] {
 		t.Errorf("%d bytes came of a value of which %d were sent", len(rest), len(value)/2)
 	}
-	if f := r.figures(); f["inflight"] != 0 || f["failure.lookup"] != 1 {
+	if f := r.metrics(); f["inflight"] != 0 || f["failure.lookup"] != 1 {
 		t.Errorf("inflight=%d failure=%d, want 0 and 1", f["inflight"], f["failure.lookup"])
 	}
 }
@@ -121,7 +121,7 @@
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"))
 	c := r.dial()
-	c.write(encode("Q.ASK", anyone, newID(), lookup) + encode("Q.DO", anyone, newID(), payment, "BODY"))
+	c.write(encode("Q.ASK", someCustomer, newID(), lookup) + encode("Q.DO", someCustomer, newID(), payment, "BODY"))
 	first, second := wait(t, "a command", b.Got), wait(t, "another", b.Got)
 	if first.Args[0] != "Q.ASK" {
 		first, second = second, first
@@ -134,19 +134,19 @@
 	}()
 	c.want("-ERR failed")
 	c.want("$4\r\npaid")
-	if f := r.figures(); f["inflight"] != 0 || f["failure.lookup"] != 1 || f["success.payment"] != 1 {
+	if f := r.metrics(); f["inflight"] != 0 || f["failure.lookup"] != 1 || f["success.payment"] != 1 {
 		t.Errorf("inflight=%d failure=%d success=%d, want 0, 1 and 1", f["inflight"], f["failure.lookup"], f["success.payment"])
 	}
 	r.eventually("nothing is held", func(l *loop) bool { return l.memory.used == 0 })
 
 	// What comes while a value is passed on waits for its end, and is taken behind it.
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	third := wait(t, "the next", b.Got)
 	go third.Answer(largeValue(8))
 	if _, err := c.in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	c.body(largeValue(8))
 	wait(t, "the last", b.Got).Answer("last")
 	c.want("$4\r\nlast")
@@ -159,7 +159,7 @@
 	r := newRig(t, nil, b.member("s-1"))
 	c := r.dial()
 	short := strings.Replace(lookup, "d=20000", "d=400", 1)
-	c.write(encode("Q.ASK", anyone, newID(), short) + encode("Q.DO", anyone, newID(), payment, "BODY"))
+	c.write(encode("Q.ASK", someCustomer, newID(), short) + encode("Q.DO", someCustomer, newID(), payment, "BODY"))
 	first, second := wait(t, "a command", b.Got), wait(t, "another", b.Got)
 	if first.Args[0] != "Q.ASK" {
 		first, second = second, first
@@ -179,7 +179,7 @@
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("s-1"))
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	got := wait(t, "a command", b.Got)
 	go got.Answer(largeValue(1))
 	if _, err := c.in.ReadByte(); err != nil {
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -260,7 +260,7 @@
 		// is turned away leaves the CPU to the others.
 		c.wrong++
 		if c.wrong >= mostWrong {
-			c.fail(closedWrong, errWrong)
+			c.fail(closedInvalidCommands, errWrong)
 			return
 		}
 		if c.wrong > 1 {
@@ -282,7 +282,7 @@
 	r.answer = &r.slot
 	c.asked = true
 	c.push(&r.slot)
-	owner.events.taken(c, r)
+	owner.events.requestAccepted(c, r)
 	owner.request(r)
 }
 
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -15,7 +15,7 @@
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
-	c.send("q.do", anyone, someID, "k=abc,"+payment+",r=1", "BODY")
+	c.send("q.do", someCustomer, someID, "k=abc,"+payment+",r=1", "BODY")
 	got := wait(t, "the request", b.Got)
 	var limit int
 	if _, err := fmt.Sscanf(got.Args[3], "k=abc,c=payment,t=basic,d=%d,units=1,spread=1,first=0,r=1", &limit); err != nil {
@@ -25,7 +25,7 @@
 		t.Errorf("the backend is told %d ms, want less than the client's 20000", limit)
 	}
 	got.Args[3] = ""
-	if want := fmt.Sprint([]string{"q.do", anyone, someID, "", "BODY"}); fmt.Sprint(got.Args) != want {
+	if want := fmt.Sprint([]string{"q.do", someCustomer, someID, "", "BODY"}); fmt.Sprint(got.Args) != want {
 		t.Errorf("the backend got %v, want %s", got.Args, want)
 	}
 	got.Answer("done")
@@ -36,8 +36,8 @@
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
-	c.write(encode("Q.ASK", anyone, "0000000000000001", lookup) +
-		encode("Q.ASK", anyone, "0000000000000002", lookup) + encode("PING"))
+	c.write(encode("Q.ASK", someCustomer, "0000000000000001", lookup) +
+		encode("Q.ASK", someCustomer, "0000000000000002", lookup) + encode("PING"))
 	one, two := wait(t, "a request", b.Got), wait(t, "the one behind it", b.Got)
 	if one.Args[2] > two.Args[2] {
 		one, two = two, one
@@ -56,19 +56,19 @@
 		if !strings.Contains(lookup, from) {
 			t.Fatalf("%q is not in the options", from)
 		}
-		return []string{"Q.ASK", anyone, someID, strings.Replace(lookup, from, to, 1)}
+		return []string{"Q.ASK", someCustomer, someID, strings.Replace(lookup, from, to, 1)}
 	}
 	for _, words := range [][]string{
 		{"GET", "x"},
 		{"Q.ASK"},
-		{"Q.ASK", anyone, someID, lookup, "BODY"},
-		{"Q.ASK", anyone, lookup},
-		{"Q.DO", anyone, someID, payment},
+		{"Q.ASK", someCustomer, someID, lookup, "BODY"},
+		{"Q.ASK", someCustomer, lookup},
+		{"Q.DO", someCustomer, someID, payment},
 		{"Q.ASK", "00000000b4d6552", someID, lookup},
 		{"Q.ASK", "00000000b4d6552x", someID, lookup},
 		{"Q.ASK", "ffffffffffffffff", someID, lookup},
-		{"Q.ASK", anyone, "", lookup},
-		{"Q.ASK", anyone, "+b1f03aa5c7e2d41", lookup},
+		{"Q.ASK", someCustomer, "", lookup},
+		{"Q.ASK", someCustomer, "+b1f03aa5c7e2d41", lookup},
 		ask("lookup", "order"), ask("basic", "team"),
 		ask("d=20000", "d=NaN"), ask("d=20000", "d=1e4"), ask("d=20000", "d=0"), ask("d=20000", "d=-5"), ask("d=20000", "d="),
 		ask("units=1", "units=-1"), ask("units=1", "units=0"), ask("units=1", "units=2"), ask("units=1", "units=1e0"),
@@ -77,11 +77,11 @@
 		ask("first=0", "first=1"), ask("first=0", "first=-1"), ask("first=0", "first=0.0"), ask(",first=0", ""),
 		ask("first=0", "first=0,r=2"), ask("first=0", "first=0,r=x"), ask("first=0", "first=0,r="),
 		ask("first=0", "first=0,units=1"), ask("first=0", "first=0,c=lookup"), ask("first=0", "first=0,d=5"),
-		{"Q.ASK", anyone, someID, "c=lookup,t=basic"},
-		{"Q.ASK", anyone, someID, "c=lookup,,"},
-		{"Q.ASK", anyone, someID, ""},
-		{"Q.ASK", anyone, someID, payment},
-		{"Q.DO", anyone, someID, lookup, "BODY"},
+		{"Q.ASK", someCustomer, someID, "c=lookup,t=basic"},
+		{"Q.ASK", someCustomer, someID, "c=lookup,,"},
+		{"Q.ASK", someCustomer, someID, ""},
+		{"Q.ASK", someCustomer, someID, payment},
+		{"Q.DO", someCustomer, someID, lookup, "BODY"},
 	} {
 		c := r.dial()
 		c.send(words...)
@@ -92,8 +92,8 @@
 		c.want("+PONG")
 		c.nc.Close()
 	}
-	idle(t, "a forwarded request", b.Got)
-	r.ask(func(l *loop) {
+	wantNone(t, "a forwarded request", b.Got)
+	r.onLoop(func(l *loop) {
 		if len(l.requests) > 0 || l.lastID > 0 {
 			t.Error("the gateway was told of a wrong request")
 		}
@@ -126,19 +126,19 @@
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c, stranger := r.dial(), r.dial()
-	c.send("Q.ASK", anyone, someID, lookup)
+	c.send("Q.ASK", someCustomer, someID, lookup)
 	got := wait(t, "the request", b.Got)
-	stranger.send("Q.ASK", anyone, someID, lookup)
+	stranger.send("Q.ASK", someCustomer, someID, lookup)
 	if got := stranger.line(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("the copy is answered %q, want -ERR", got)
 	}
 	got.Answer("v")
 	c.want("$1\r\nv")
-	stranger.send("Q.ASK", anyone, someID, lookup) // nor a moment after
+	stranger.send("Q.ASK", someCustomer, someID, lookup) // nor a moment after
 	if got := stranger.line(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("the late copy is answered %q, want -ERR", got)
 	}
-	idle(t, "a copy sent on", b.Got)
+	wantNone(t, "a copy sent on", b.Got)
 }
 
 func TestIDsAreForgottenAfterTheirTime(t *testing.T) {
@@ -223,7 +223,7 @@
 func TestPingFailsUntilBackendsAreKnown(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t, b.member("b"))
-	r := serve(t, d, nil)
+	r := startRig(t, d, nil)
 	c := r.dial()
 	c.send("PING")
 	if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
@@ -231,7 +231,7 @@
 	}
 	d.Open()
 	wait(t, "a watch", d.Watched)
-	r.ask(func(*loop) {}) // what came before the watch has been taken
+	r.onLoop(func(*loop) {}) // what came before the watch has been taken
 	c.send("PING")
 	c.want("+PONG")
 }
@@ -241,16 +241,16 @@
 	d := newFakeDiscovery(t)
 	addr := d.Addr()
 	d.Close()
-	r := serve(t, d, func(cfg *Config) {
+	r := startRig(t, d, func(cfg *Config) {
 		cfg.Discovery = addr
-		cfg.Known = MemberList{Complete: true, Members: []Member{b.member("b")}}
+		cfg.CachedMembers = MemberList{Complete: true, Members: []Member{b.member("b")}}
 	})
 	c := r.dial()
 	for line := ""; line != "+PONG"; {
 		c.send("PING")
 		line = c.line()
 	}
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "the request", b.Got).Answer("v")
 	c.want("$1\r\nv")
 }
@@ -260,7 +260,7 @@
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	got := wait(t, "the request", b.Got)
 	c.nc.Close()
 	if nc := wait(t, "the end of the attempt", b.Closed); nc != got.Conn {
@@ -273,26 +273,26 @@
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Plans[0].CeilingRate, cfg.Choice.Plans[0].CeilingBurst = 1e-9, 1 }, b.member("b"))
 	c := r.dial()
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	var ms int
 	if got := c.line(); !strings.HasPrefix(got, "-BUSY ") {
 		t.Errorf("over the ceiling the answer is %q", got)
 	} else if _, err := fmt.Sscanf(got, "-BUSY %d", &ms); err != nil || ms <= 0 || ms > 1000 {
 		t.Errorf("advice of %d ms, %v", ms, err)
 	}
-	idle(t, "a forwarded request", b.Got)
+	wantNone(t, "a forwarded request", b.Got)
 }
 
 // Open requests past the memory for them are refused; held, they would end the process.
 func TestRequestsPastTheMemoryAreRefused(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
-	r.ask(func(l *loop) { l.memory.most = 3000 })
+	r.onLoop(func(l *loop) { l.memory.most = 3000 })
 	c := r.dial()
 	body := strings.Repeat("x", 2000)
-	c.send("Q.DO", anyone, newID(), payment, body)
+	c.send("Q.DO", someCustomer, newID(), payment, body)
 	first := wait(t, "the request", b.Got)
-	c.send("Q.DO", anyone, newID(), payment, body)
+	c.send("Q.DO", someCustomer, newID(), payment, body)
 	c.send("PING")
 	r.eventually("the commands to be taken", func(*loop) bool {
 		pending := 0
@@ -306,7 +306,7 @@
 	c.want("-BUSY")
 	c.want("+PONG")
 	r.eventually("the memory to be free", func(l *loop) bool { return l.memory.used == 0 })
-	c.send("Q.DO", anyone, newID(), payment, body)
+	c.send("Q.DO", someCustomer, newID(), payment, body)
 	wait(t, "a request after the first has ended", b.Got).Answer("w")
 	c.want("$1\r\nw")
 }
@@ -317,18 +317,18 @@
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	got := wait(t, "the request", b.Got)
 	over := make(chan struct{})
 	defer close(over)
-	r.server.late = func() { <-over }
+	r.server.waitForLateClients = func() { <-over }
 	r.stop()
 	r.eventually("the drain", func(*loop) bool {
 		return r.server.front.draining
 	})
 	got.Answer("last")
 	for ended := false; !ended; {
-		r.clients(func(c *client) { ended = ended || c.endBy > 0 })
+		r.countClients(func(c *client) { ended = ended || c.endBy > 0 })
 	}
 	c.send("PING")
 	c.want("$4\r\nlast")
@@ -341,14 +341,14 @@
 	quiet, busy := r.dial(), r.dial()
 	quiet.send("PING")
 	quiet.want("+PONG")
-	busy.send("Q.DO", anyone, newID(), payment, "BODY")
+	busy.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	got := wait(t, "the request", b.Got)
 	over := make(chan struct{})
-	r.server.late = func() { <-over }
+	r.server.waitForLateClients = func() { <-over }
 	r.stop()
 	quiet.wantEnd()
 	late := r.dial() // clients still come for a while
-	late.send("Q.DO", anyone, newID(), payment, "BODY")
+	late.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	second := wait(t, "a request after the stop", b.Got)
 	second.Answer("late")
 	late.want("$4\r\nlate")
@@ -378,7 +378,7 @@
 	const sent = mostPending + 72
 	var all strings.Builder
 	for range sent {
-		all.WriteString(encode("Q.ASK", anyone, newID(), lookup))
+		all.WriteString(encode("Q.ASK", someCustomer, newID(), lookup))
 	}
 	c.write(all.String())
 	r.eventually("the bound to be reached", func(*loop) (yes bool) {
@@ -389,7 +389,7 @@
 	})
 	over := make(chan struct{})
 	defer close(over)
-	r.server.late = func() { <-over }
+	r.server.waitForLateClients = func() { <-over }
 	r.stop()
 	r.eventually("the drain", func(*loop) bool {
 		return r.server.front.draining
@@ -419,10 +419,10 @@
 func TestIdleClientMakesRoomForANewOne(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets = 4 }, b.member("b")) // two for clients
-	for r.clients(nil) > 0 {                                                    // that of the rig is gone
+	for r.countClients(nil) > 0 {                                               // that of the rig is gone
 	}
 	busy := r.dial()
-	busy.send("Q.ASK", anyone, newID(), lookup)
+	busy.send("Q.ASK", someCustomer, newID(), lookup)
 	got := wait(t, "the request", b.Got)
 	quiet := r.dial()
 	quiet.send("PING")
@@ -440,7 +440,7 @@
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
 	asked := time.Now()
-	c.send("Q.DO", anyone, newID(), strings.Replace(payment, "d=20000", "d=2000", 1), "BODY")
+	c.send("Q.DO", someCustomer, newID(), strings.Replace(payment, "d=20000", "d=2000", 1), "BODY")
 	got := wait(t, "the request", b.Got)
 	c.want("-ERR failed")
 	if took := time.Since(asked); took < 1500*time.Millisecond {
@@ -458,9 +458,9 @@
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
-	c.write(encode("Q.ASK", anyone, newID(), lookup) + encode("Q.ASK", anyone, newID(), lookup))
+	c.write(encode("Q.ASK", someCustomer, newID(), lookup) + encode("Q.ASK", someCustomer, newID(), lookup))
 	one, two := wait(t, "a request", b.Got), wait(t, "another", b.Got)
-	r.ask(func(l *loop) { // the second waits for the first, so both answers find it unwritten
+	r.onLoop(func(l *loop) { // the second waits for the first, so both answers find it unwritten
 		l.Fail(2)
 		l.Refuse(2, 0)
 		l.settle()
@@ -504,7 +504,7 @@
 func TestClientsThatEndAtOnceAreClosedInBatches(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
-	for r.clients(nil) > 0 { // that of the rig is gone
+	for r.countClients(nil) > 0 { // that of the rig is gone
 	}
 	const all = 2*partBatch + 10
 	for range all {
--- a/internal/ingress/closes_test.go
+++ b/internal/ingress/closes_test.go
@@ -80,8 +80,8 @@
 				if !due || !c.ended {
 					t.Fatalf("seed %d: the client got %.200q (ended %v), want %q and then %q", seed, got, c.ended, play.want, play.last)
 				}
-				if n := len(i.ingress.front.clients); n > 0 || i.ingress.Held().Memory != 0 {
-					t.Fatalf("seed %d: %d clients are left, %+v", seed, n, i.ingress.Held())
+				if n := len(i.ingress.front.clients); n > 0 || i.ingress.Usage().Memory != 0 {
+					t.Fatalf("seed %d: %d clients are left, %+v", seed, n, i.ingress.Usage())
 				}
 			}
 		})
--- a/internal/ingress/closing.go
+++ b/internal/ingress/closing.go
@@ -27,7 +27,7 @@
 	if c.first != nil {
 		c.front.loop.violates(lifecycle.Close(c.pending, false), c.first.request)
 	}
-	c.front.loop.events.closed(c, c.why, nil)
+	c.front.loop.events.connectionClosed(c, c.why, nil)
 	c.net.CloseWrite()
 	c.closing = true
 	c.keep(nil)
@@ -47,7 +47,7 @@
 	c.speaks()
 	c.pump()
 	if c.inputClosed = true; c.net != nil && !c.closing && !c.behind {
-		c.end(closedFinished)
+		c.end(closedShutdown)
 	}
 }
 
@@ -102,7 +102,7 @@
 			c.endBy = now + lingerTime
 			break
 		}
-		c.close(closedEnded, nil)
+		c.close(closedLingerExpired, nil)
 		return
 	case over(&c.writeBy):
 		c.close(closedSlowReader, nil)
@@ -122,9 +122,9 @@
 			break // it was whole, or has moved the bound
 		}
 		if len(c.half) > 0 {
-			c.fail(closedHalf, errHalf)
+			c.fail(closedIncompleteCommand, errHalf)
 		} else {
-			c.fail(closedSilent, errSilent)
+			c.fail(closedNoCommand, errSilent)
 		}
 		c.reportActivity()
 	}
@@ -138,8 +138,8 @@
 	if c.net == nil {
 		return
 	}
-	if c.endBy == 0 && why != closedEnded { // its end has been told already
-		f.loop.events.closed(c, why, err)
+	if c.endBy == 0 && why != closedLingerExpired { // its end has been told already
+		f.loop.events.connectionClosed(c, why, err)
 	}
 	c.net.Close()
 	c.net = nil
@@ -148,7 +148,7 @@
 	f.admission.Release(&c.place)
 	open := c.forsake()
 	if len(open) > 0 {
-		f.loop.violates(lifecycle.Close(len(open), why.frees()), open[0])
+		f.loop.violates(lifecycle.Close(len(open), why.allowsOpenRequests()), open[0])
 	}
 	f.loop.gone(open)
 }
@@ -158,7 +158,7 @@
 // takes the answers before with it.
 func (c *client) breakOff() {
 	open := c.forsake()
-	c.why = closedValueBroken
+	c.why = closedValueTruncated
 	c.shut()
 	c.front.loop.gone(open)
 }
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -54,8 +54,8 @@
 	debug.SetGCPercent(garbagePercent)
 }
 
-// Held lowers the descriptors to what the process may have, if that is less.
-func (l Limits) Held() Limits {
+// CapToRlimit lowers the descriptors to what the process may have, if that is less.
+func (l Limits) CapToRlimit() Limits {
 	var most syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &most); err == nil && most.Cur < uint64(l.Sockets) {
 		slog.Warn("the process may hold fewer descriptors than the configuration tells", "told", l.Sockets, "limit", most.Cur)
@@ -64,43 +64,43 @@
 	return l
 }
 
-func (l Limits) clients() int { return max(1, int(clientShare*float64(l.Sockets))) }
+func (l Limits) maxClientConns() int { return max(1, int(clientShare*float64(l.Sockets))) }
 
 // admissionLimits are the bounds on clients' connections. Clients hold a third of the descriptors at
 // most for requests, and find no connection beyond: past half of that, those at
 // rest go sooner the fewer places are left.
 func (l Limits) admissionLimits() admission.Limits {
-	return admission.Defaults(l.clients(), l.Sockets/usefulPart)
+	return admission.Defaults(l.maxClientConns(), l.Sockets/usefulPart)
 }
 
-// admins bounds the connections to the second address, which the shares of
+// maxAdminConns bounds the connections to the second address, which the shares of
 // clients and backends leave room for.
-func (l Limits) admins() int { return max(4, l.Sockets/adminPart) }
+func (l Limits) maxAdminConns() int { return max(4, l.Sockets/adminPart) }
 
-func (l Limits) backends() int { return max(1, int(backendShare*float64(l.Sockets))) }
+func (l Limits) maxBackendConns() int { return max(1, int(backendShare*float64(l.Sockets))) }
 
 // Config is all that one ingress is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Passed    string // the listening socket that the platform holds, as the reactor names it; empty without one
-	Shared    string // a folder shared with the processes before and after this one; empty: there are none
-	Admin     string // the second address, "host:port"; empty: there is none
-	Seed      uint64
-	Limits    Limits
-	Known     MemberList
-	Choice    choice.Config
-	Own       config.Own // beyond the platform's configuration; empty without a file of our own
-	Proof     int        // of upstream.Config; 0 for its default
+	Name              string
+	Listen            string
+	Discovery         string
+	InheritedListener string // the listening socket that the platform holds, as the reactor names it; empty without one
+	HandoverDir       string // a folder shared with the processes before and after this one; empty: there are none
+	Admin             string // the second address, "host:port"; empty: there is none
+	Seed              uint64
+	Limits            Limits
+	CachedMembers     MemberList
+	Choice            choice.Config
+	Options           config.Options // beyond the platform's configuration; empty without a file of our own
+	Proof             int            // of upstream.Config; 0 for its default
 
-	classNames     []string
-	classes        map[string]int
-	plans          map[string]int
-	zones          map[string]int
-	kinds          map[string]int
-	connIdle       time.Duration // a backend closes connections idle for so long
-	connectTimeout time.Duration
+	classNames         []string
+	classes            map[string]int
+	plans              map[string]int
+	zones              map[string]int
+	kinds              map[string]int
+	backendIdleTimeout time.Duration // a backend closes connections idle for so long
+	connectTimeout     time.Duration
 }
 
 // LoadConfig reads the file that NODE_CONFIG names. The other NODE_ variables
@@ -133,7 +133,7 @@
 		if err != nil || fd <= 2 {
 			return Config{}, fmt.Errorf("NODE_PASSED_SOCKET: %q is no number of an inherited descriptor", passed)
 		}
-		cfg.Passed, cfg.Shared = reactor.Inherited(fd), getenv("TMPDIR")
+		cfg.InheritedListener, cfg.HandoverDir = reactor.Inherited(fd), getenv("TMPDIR")
 	}
 	return cfg, nil
 }
@@ -176,9 +176,9 @@
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	cfg := Config{
-		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin, Limits: file.Limits, Known: file.Known,
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin, Limits: file.Limits, CachedMembers: file.Known,
 		Choice: decisions, classes: map[string]int{}, plans: map[string]int{}, zones: map[string]int{}, kinds: map[string]int{},
-		connIdle: millis(s.Bounds.ConnIdle), connectTimeout: millis(s.Bounds.ConnectTimeout),
+		backendIdleTimeout: millis(s.Bounds.ConnIdle), connectTimeout: millis(s.Bounds.ConnectTimeout),
 	}
 	if file.Seed != "" {
 		if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
@@ -204,8 +204,8 @@
 	if cfg.Limits.MemoryMB <= 0 {
 		cfg.Limits.MemoryMB = defaultMemory
 	}
-	if cfg.connIdle <= 0 {
-		cfg.connIdle = 15 * time.Second
+	if cfg.backendIdleTimeout <= 0 {
+		cfg.backendIdleTimeout = 15 * time.Second
 	}
 	if cfg.connectTimeout <= 0 {
 		cfg.connectTimeout = 250 * time.Millisecond
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -41,7 +41,7 @@
 		slot int    // answers that are due then
 	}{
 		"connecting":   {standin.Connecting, "", 1},
-		"queued":       {standin.Connecting, encode("Q.DO", anyone, newID(), payment, "BODY"), 2},
+		"queued":       {standin.Connecting, encode("Q.DO", someCustomer, newID(), payment, "BODY"), 2},
 		"not read":     {standin.Connecting, strings.Repeat(encode("PING"), 2*mostPending), mostPending},
 		"half written": {standin.HalfRead, "", 1},
 	} {
@@ -51,7 +51,7 @@
 					b := stoppedBackend(t, s.at)
 					r := newRig(t, func(cfg *Config) { cfg.Choice.Cancelling, cfg.Choice.Probing = cancelling, false }, b.member("b"))
 					c := r.dial()
-					c.write(encode("Q.DO", anyone, newID(), payment, strings.Repeat("x", 64<<10)) + s.more)
+					c.write(encode("Q.DO", someCustomer, newID(), payment, strings.Repeat("x", 64<<10)) + s.more)
 					r.eventually("the request to wait", func(l *loop) bool {
 						clients := r.server.front.clients
 						return l.pool.Open() > 0 && len(clients) == 1 && clients[0].pending == s.slot
@@ -74,11 +74,11 @@
 					}
 					b.Go()
 					other := newID()
-					r.dial().send("Q.DO", anyone, other, payment, "BODY")
+					r.dial().send("Q.DO", someCustomer, other, payment, "BODY")
 					if got := wait(t, "another's request", b.Got); got.ID() != other {
 						t.Errorf("the backend got %s of the client that had left", got.ID())
 					}
-					idle(t, "a request of the client that had left", b.Got)
+					wantNone(t, "a request of the client that had left", b.Got)
 				})
 			}
 		}
@@ -96,13 +96,13 @@
 	held.want("+PONG")
 	r.eventually("the other connection to be gone", func(*loop) bool { return len(r.server.front.clients) == 1 })
 	var clients []*fakeClient
-	r.ask(func(l *loop) { // nothing is taken meanwhile
+	r.onLoop(func(l *loop) { // nothing is taken meanwhile
 		if places.Shrink(); places.HasRoom() {
 			t.Error("there is a free place")
 		}
 		for range 5 {
 			c := r.dial()
-			c.send("Q.ASK", anyone, newID(), lookup)
+			c.send("Q.ASK", someCustomer, newID(), lookup)
 			clients = append(clients, c)
 		}
 		r.server.Drain()
@@ -123,11 +123,11 @@
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	wait(t, "the request", b.Got)
 	next := newID()
-	r.ask(func(l *loop) { // the answer is written in the round in which the next request comes
-		c.send("Q.DO", anyone, next, payment, "BODY")
+	r.onLoop(func(l *loop) { // the answer is written in the round in which the next request comes
+		c.send("Q.DO", someCustomer, next, payment, "BODY")
 		r.server.Drain()
 		for _, open := range l.requests {
 			l.answer(open, outcome{kind: failed})
@@ -155,10 +155,10 @@
 			cfg.Choice.Classes[i].Deadline, cfg.Choice.Classes[i].Aim = time.Second, 300*time.Millisecond
 		}
 	}, hangs.member("b"))
-	r.server.late = func() {}
+	r.server.waitForLateClients = func() {}
 	c := r.dial()
 	first := newID()
-	c.send("Q.DO", anyone, first, payment, "BODY")
+	c.send("Q.DO", someCustomer, first, payment, "BODY")
 	if got := wait(t, "the request", hangs.Got); got.ID() != first {
 		t.Fatal("another request came")
 	}
@@ -174,7 +174,7 @@
 		}
 	}()
 	go func() { // until the connection is gone
-		for c.c.Send("Q.DO", anyone, newID(), payment, "BODY") == nil {
+		for c.c.Send("Q.DO", someCustomer, newID(), payment, "BODY") == nil {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
@@ -209,7 +209,7 @@
 			cfg.Choice.Probing = false
 		}, members...)
 		c := r.dial()
-		c.send("Q.DO", anyone, newID(), payment, "BODY")
+		c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 		other := two
 		select {
 		case got := <-one.Got:
@@ -226,7 +226,7 @@
 		if got := c.line(); got != "-ERR failed" {
 			t.Errorf("zone %q: answer %q, want a failure", zone, got)
 		}
-		idle(t, "a repeat in a zone that is not known", other.Got)
+		wantNone(t, "a repeat in a zone that is not known", other.Got)
 	}
 }
 
@@ -243,25 +243,25 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	c := &fakeClient{t, nc, bufio.NewReader(nc), nil}
 	c.c = &standin.Client{Conn: nc, In: c.in}
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	got := wait(t, "the request", b.Got)
-	r.ask(func(*loop) { r.server.Drain() })
+	r.onLoop(func(*loop) { r.server.Drain() })
 	value := strings.Repeat("v", 60_000)
 	got.Answer(value)
 	r.eventually("the end of the connection", func(*loop) bool {
 		clients := r.server.front.clients
 		return len(clients) == 1 && clients[0].endBy > 0
 	})
-	c.send("Q.DO", anyone, newID(), payment, "BODY") // crosses the end
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY") // crosses the end
 	r.eventually("the time for it to be over", func(*loop) bool {
 		clients := r.server.front.clients
 		return len(clients) == 0 || clients[0].endBy > clients[0].endedAt+lingerTime
 	})
 	c.want(fmt.Sprintf("$%d\r\n%s", len(value), value))
-	idle(t, "the request that crossed the end", b.Got)
+	wantNone(t, "the request that crossed the end", b.Got)
 }
 
 // A connection that comes up late carries nothing: neither when its backend was told
@@ -278,13 +278,13 @@
 			late, other := stoppedBackend(t, standin.Connecting), newBackend(t)
 			r := newRig(t, func(cfg *Config) {
 				cfg.Choice.Probing = false
-				if cfg.connectTimeout = patience; told == "" {
+				if cfg.connectTimeout = testTimeout; told == "" {
 					cfg.connectTimeout = 3 * time.Second
 				}
 			}, late.member("late"))
 			wait(t, "a watch", r.discovery.Watched)
 			c := r.dial()
-			c.send("Q.DO", anyone, newID(), payment, "BODY")
+			c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 			r.eventually("a connection to come up", func(l *loop) bool { return l.pool.Open() == 1 })
 			if told != "" {
 				told = fmt.Sprintf(told, late.Addr)
@@ -297,7 +297,7 @@
 			wait(t, "the request at the other backend", other.Got).Answer("v")
 			late.Go()
 			c.want("$1\r\nv")
-			idle(t, "a request at the late backend", late.Got)
+			wantNone(t, "a request at the late backend", late.Got)
 			r.eventually("the late connection to be gone", func(l *loop) bool { return l.pool.Open() == 1 })
 		})
 	}
@@ -306,7 +306,7 @@
 // What was taken when the process is told to end is answered, whatever its attempt
 // was at; half a request is taken as soon as it is whole.
 func TestStopAnswersWhatIsOnItsWay(t *testing.T) {
-	whole := encode("Q.DO", anyone, newID(), payment, strings.Repeat("x", 64<<10))
+	whole := encode("Q.DO", someCustomer, newID(), payment, strings.Repeat("x", 64<<10))
 	for name, s := range map[string]struct {
 		at    standin.Point
 		first int // bytes of the request that come before the stop
@@ -319,7 +319,7 @@
 			b := stoppedBackend(t, s.at)
 			r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 			over := make(chan struct{})
-			r.server.late = func() { <-over }
+			r.server.waitForLateClients = func() { <-over }
 			c := r.dial()
 			c.write(whole[:s.first])
 			r.eventually("the request to have come that far", func(l *loop) bool {
--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -54,8 +54,8 @@
 	PhaseDeleted  = "DELETED"
 )
 
-// discovery follows the list of backends and hands each part of it on, in order.
-type discovery struct {
+// discoveryClient follows the list of backends and hands each part of it on, in order.
+type discoveryClient struct {
 	base     string
 	client   *http.Client
 	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -98,7 +98,7 @@
 	}
 	s.next = src
 	s.mu.Unlock()
-	d := newDiscovery(addr, func(l MemberList) { s.take(src, l) })
+	d := newDiscoveryClient(addr, func(l MemberList) { s.take(src, l) })
 	d.dial = s.dial
 	go func() {
 		d.run(ctx, started)
@@ -123,8 +123,8 @@
 	}
 }
 
-func newDiscovery(addr string, deliver func(MemberList)) *discovery {
-	d := &discovery{
+func newDiscoveryClient(addr string, deliver func(MemberList)) *discoveryClient {
+	d := &discoveryClient{
 		base:    "http://" + addr + "/api/targets",
 		dial:    new(net.Dialer).DialContext,
 		silence: watchSilence, patience: listPatience,
@@ -137,14 +137,14 @@
 // connect ends with the patience for a call. Package http lets a dial go on whose
 // call was given up: while connections never come up, each try would leave one
 // more behind, with its descriptor, for the minutes that the system dials.
-func (d *discovery) connect(ctx context.Context, network, addr string) (net.Conn, error) {
+func (d *discoveryClient) connect(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.patience)
 	defer cancel()
 	return d.dial(ctx, network, addr)
 }
 
 // list fetches the whole list.
-func (d *discovery) list(ctx context.Context) (l MemberList, err error) {
+func (d *discoveryClient) list(ctx context.Context) (l MemberList, err error) {
 	ctx, cancel := context.WithTimeout(ctx, d.patience)
 	defer cancel()
 	resp, err := d.get(ctx, d.base)
@@ -159,7 +159,7 @@
 	return l, err
 }
 
-func (d *discovery) get(ctx context.Context, url string) (*http.Response, error) {
+func (d *discoveryClient) get(ctx context.Context, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
@@ -177,7 +177,7 @@
 
 // run fetches the list and then watches it until ctx ends. started is called
 // once, after the first try at the list, whether it went well or not.
-func (d *discovery) run(ctx context.Context, started func()) {
+func (d *discoveryClient) run(ctx context.Context, started func()) {
 	var revision int64
 	have, vain := false, 0 // a list; tries in a row that told nothing
 	for ctx.Err() == nil {
@@ -224,7 +224,7 @@
 }
 
 // report logs when discovery is lost and when it is back, not every try.
-func (d *discovery) report(ctx context.Context, err error) {
+func (d *discoveryClient) report(ctx context.Context, err error) {
 	if failing := err != nil; failing != d.failing && ctx.Err() == nil {
 		d.failing = failing
 		if failing {
@@ -237,7 +237,7 @@
 
 // watch follows changes after a revision until the connection ends or falls
 // silent, and returns the last revision delivered.
-func (d *discovery) watch(ctx context.Context, revision int64) (int64, error) {
+func (d *discoveryClient) watch(ctx context.Context, revision int64) (int64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// A connection that was cut off stays open and silent for ever: only what
--- a/internal/ingress/discovery_test.go
+++ b/internal/ingress/discovery_test.go
@@ -11,9 +11,9 @@
 // eventually waits until something holds of the loop.
 func (r *rig) eventually(what string, ok func(l *loop) bool) {
 	r.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		var done bool
-		r.ask(func(l *loop) { done = ok(l) })
+		r.onLoop(func(l *loop) { done = ok(l) })
 		if done {
 			return
 		}
@@ -29,7 +29,7 @@
 		t.Errorf("the watch begins at %s, want the list's 7", index)
 	}
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	first := wait(t, "the request", one.Got)
 	first.Answer("v")
 	c.want("$1\r\nv")
@@ -41,7 +41,7 @@
 		t.Error("another connection ended")
 	}
 	for range 5 {
-		c.send("Q.DO", anyone, newID(), payment, "BODY")
+		c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 		wait(t, "the request at the new backend", two.Got).Answer("w")
 		c.want("$1\r\nw")
 	}
@@ -52,7 +52,7 @@
 	}
 	r.discovery.Lines <- fmt.Sprintf(`{"revision":9,"complete":true,"members":[{"id":"1","host_port":%q,"phase":"SERVING","size":1}]}`, one.Addr)
 	r.eventually("the missing backend to go", func(l *loop) bool { return len(l.pool.Known()) == 1 })
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	wait(t, "the request at the first backend", one.Got).Answer("x")
 	c.want("$1\r\nx")
 	r.discovery.Lines <- `{"revision":10,"complete":false,"members":[{"id":"1","phase":"DELETED"}]}`
@@ -65,7 +65,7 @@
 	f := newFakeDiscovery(t, b.member("b"))
 	f.Open()
 	got := make(chan MemberList, 10)
-	d := newDiscovery(f.Addr(), func(l MemberList) { got <- l })
+	d := newDiscoveryClient(f.Addr(), func(l MemberList) { got <- l })
 	d.silence = 50 * time.Millisecond
 	go d.run(t.Context(), func() {})
 	if l := wait(t, "the list", got); !l.Complete || len(l.Members) != 1 || l.Members[0] != b.member("b") {
@@ -77,20 +77,20 @@
 
 func TestDiscoveryIsTriedAgain(t *testing.T) {
 	f := newFakeDiscovery(t)
-	d := newDiscovery(f.Addr(), func(MemberList) {})
+	d := newDiscoveryClient(f.Addr(), func(MemberList) {})
 	d.patience = 20 * time.Millisecond
 	started := make(chan struct{}, 10)
 	go d.run(t.Context(), func() { started <- struct{}{} })
 	wait(t, "the first try to fail", started)
 	f.Open()
 	wait(t, "a watch", f.Watched)
-	idle(t, "a second start", started)
+	wantNone(t, "a second start", started)
 }
 
 // Unix time is turned into the gateway's clock; 0 means long ago.
 func TestStartOfABackendIsOnTheGatewaysClock(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
-	r.ask(func(l *loop) {
+	r.onLoop(func(l *loop) {
 		if _, dated := l.started(Member{ID: "c"}); dated {
 			t.Error("0 is taken for a time")
 		}
@@ -108,7 +108,7 @@
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, one.member("1"))
 	wait(t, "a watch", r.discovery.Watched)
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	first := wait(t, "the request", one.Got)
 
 	silent := newFakeDiscovery(t) // tells nothing: the old address stays in force
@@ -127,8 +127,8 @@
 	r.eventually("the new list to be in force", func(l *loop) bool { return len(l.pool.Known()) == 1 })
 	first.Answer("v")
 	c.want("$1\r\nv")
-	r.rest(1)
-	c.send("Q.ASK", anyone, newID(), lookup)
+	r.awaitReusable(1)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	if again := wait(t, "a further request", one.Got); again.Conn != first.Conn {
 		t.Error("the connection to the backend was not kept")
 	} else {
@@ -166,18 +166,18 @@
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("old"))
 	wait(t, "a watch", r.discovery.Watched)
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	first := wait(t, "the request", b.Got)
 	first.Answer("v")
 	c.want("$1\r\nv")
-	r.rest(1)
+	r.awaitReusable(1)
 	r.discovery.Lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[{"id":"new","host_port":%q,"phase":"SERVING","size":1,"up_since_ms":%d}]}`,
 		b.Addr, time.Now().UnixMilli())
 	if nc := wait(t, "the end of the old one's connection", b.Closed); nc != first.Conn {
 		t.Error("another connection ended")
 	}
 	for range 2 { // the full list may name the old one once more
-		r.ask(func(l *loop) {
+		r.onLoop(func(l *loop) {
 			if len(l.pool.Known()) != 1 || l.pool.Known()["new"] <= 1 {
 				t.Errorf("the backends are %v, want the new one alone under an id of its own", l.pool.Known())
 			}
@@ -185,7 +185,7 @@
 				{ID: "new", HostPort: b.Addr, Phase: PhaseServing, Size: 1, UpSince: time.Now().UnixMilli()}, b.member("old")}})
 		})
 	}
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "a request at the new one", b.Got).Answer("w")
 	c.want("$1\r\nw")
 }
@@ -194,7 +194,7 @@
 // on calling there, and take what comes after it for its own.
 func TestNoDiscoveryIsFollowedBeyondItsTest(t *testing.T) {
 	var r *rig
-	t.Run("a test", func(t *testing.T) { r = serve(t, newFakeDiscovery(t), nil) })
+	t.Run("a test", func(t *testing.T) { r = startRig(t, newFakeDiscovery(t), nil) })
 	if r.server.sources.ctx.Err() == nil {
 		t.Error("discovery is followed though its test is over")
 	}
--- a/internal/ingress/events.go
+++ b/internal/ingress/events.go
@@ -13,21 +13,21 @@
 type closeReason uint8
 
 const (
-	closedByClient    closeReason = iota // it ended its side, or the connection broke
-	closedReadFailed                     // the system could not read from it
-	closedWriteFailed                    // the system could not write to it
-	closedSlowReader                     // it did not read its answers in time
-	closedUnread                         // its answers, or those of all, took too much memory
-	closedMalformed                      // what it sent can't be read
-	closedWrong                          // it sent too many wrong commands
-	closedSilent                         // no command came in time
-	closedHalf                           // half a command came and no more
-	closedNoMemory                       // no memory was left for its command
-	closedIdle                           // it was idle and its place was wanted
-	closedDraining                       // the ingress drains and nothing is open on it
-	closedFinished                       // the process ends
-	closedValueBroken                    // a large value broke off on its way
-	closedEnded                          // it had been ended by us, and its time to read on is over
+	closedByClient          closeReason = iota // it ended its side, or the connection broke
+	closedReadFailed                           // the system could not read from it
+	closedWriteFailed                          // the system could not write to it
+	closedSlowReader                           // it did not read its answers in time
+	closedUnreadAnswers                        // its answers, or those of all, took too much memory
+	closedMalformed                            // what it sent can't be read
+	closedInvalidCommands                      // it sent too many wrong commands
+	closedNoCommand                            // no command came in time
+	closedIncompleteCommand                    // half a command came and no more
+	closedNoMemory                             // no memory was left for its command
+	closedIdle                                 // it was idle and its place was wanted
+	closedDraining                             // the ingress drains and nothing is open on it
+	closedShutdown                             // the process ends
+	closedValueTruncated                       // a large value broke off on its way
+	closedLingerExpired                        // it had been ended by us, and its time to read on is over
 	closeReasons
 )
 
@@ -36,10 +36,10 @@
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
-// frees tells whether the reason frees the ingress of the requests that are open on the connection.
-func (r closeReason) frees() bool {
+// allowsOpenRequests tells whether the reason allowsOpenRequests the ingress of the requests that are open on the connection.
+func (r closeReason) allowsOpenRequests() bool {
 	switch r {
-	case closedByClient, closedReadFailed, closedWriteFailed, closedSlowReader, closedUnread, closedValueBroken:
+	case closedByClient, closedReadFailed, closedWriteFailed, closedSlowReader, closedUnreadAnswers, closedValueTruncated:
 		return true
 	}
 	return false
@@ -61,16 +61,16 @@
 	details       *slog.Logger // nil: counts alone
 }
 
-// taken notes a request that was read whole.
-func (e *eventLog) taken(c *client, r *request) {
+// requestAccepted notes a request that was read whole.
+func (e *eventLog) requestAccepted(c *client, r *request) {
 	if e.details != nil {
 		e.details.Info("request taken", "request", fmt.Sprintf("%016x", r.name), "connection", c.number, "class", r.class,
 			"read_at", c.readAt, "deadline", r.deadline)
 	}
 }
 
-// sent notes an attempt that begins.
-func (e *eventLog) sent(r *request, a *upstream.Attempt) {
+// attemptStarted notes an attempt that begins.
+func (e *eventLog) attemptStarted(r *request, a *upstream.Attempt) {
 	if a.Number > 0 {
 		e.retries++
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// ended notes the end of an attempt.
-func (e *eventLog) ended(r *request, a *upstream.Attempt, reply upstream.Reply) {
+// attemptEnded notes the end of an attempt.
+func (e *eventLog) attemptEnded(r *request, a *upstream.Attempt, reply upstream.Reply) {
 	e.ends[reply.Cause]++
 	if e.details != nil {
 		e.details.Info("attempt ended", "request", fmt.Sprintf("%016x", r.name), "attempt", a.Number, "backend", a.Backend,
@@ -88,22 +88,22 @@
 	}
 }
 
-// answered notes the final answer of a request.
-func (e *eventLog) answered(r *request, k kind) {
+// requestAnswered notes the final answer of a request.
+func (e *eventLog) requestAnswered(r *request, k kind) {
 	if e.details != nil {
 		e.details.Info("request answered", "request", fmt.Sprintf("%016x", r.name), "kind", k, "attempts", len(r.attempts))
 	}
 }
 
-// abandoned notes a request whose client's connection has gone.
-func (e *eventLog) abandoned(r *request) {
+// requestAbandoned notes a request whose client's connection has gone.
+func (e *eventLog) requestAbandoned(r *request) {
 	if e.details != nil {
 		e.details.Info("request abandoned", "request", fmt.Sprintf("%016x", r.name), "attempts", len(r.attempts), "out", r.life.Out())
 	}
 }
 
-// closed notes the end of a client's connection, and what was open on it.
-func (e *eventLog) closed(c *client, why closeReason, err error) {
+// connectionClosed notes the end of a client's connection, and what was open on it.
+func (e *eventLog) connectionClosed(c *client, why closeReason, err error) {
 	e.closes[why]++
 	if e.details != nil {
 		e.details.Info("connection closed", "connection", c.number, "reason", why, "error", err, "pending", c.pending, "half", len(c.half),
@@ -111,8 +111,8 @@
 	}
 }
 
-// opened notes a connection that was accepted.
-func (e *eventLog) opened(c *client) {
+// connectionAccepted notes a connection that was accepted.
+func (e *eventLog) connectionAccepted(c *client) {
 	if e.details != nil {
 		e.details.Info("connection accepted", "connection", c.number)
 	}
@@ -134,8 +134,8 @@
 	}
 }
 
-// phase notes a step of the process's end.
-func (e *eventLog) phase(name string) {
+// shutdownPhase notes a step of the process's end.
+func (e *eventLog) shutdownPhase(name string) {
 	if e.details != nil {
 		e.details.Info("phase", "name", name)
 	}
--- a/internal/ingress/figures.go
+++ b/internal/ingress/figures.go
@@ -7,14 +7,14 @@
 	"wickarch/choice"
 )
 
-// ClassFigures are the counts of one class since the process started. A request
+// ClassCounters are the counts of one class since the process started. A request
 // counts once it has its final answer; one that its client gave up, nowhere.
-type ClassFigures struct {
+type ClassCounters struct {
 	Success, Busy, Failure uint64 // requests served, refused, failed
 	Calls                  uint64 // attempts written whole to backends
 }
 
-func (c *ClassFigures) count(k kind) {
+func (c *ClassCounters) count(k kind) {
 	switch k {
 	case served:
 		c.Success++
@@ -25,10 +25,10 @@
 	}
 }
 
-// figures are what the second address tells.
-type figures struct {
-	classes []ClassFigures // by the number of the class
-	open    int            // requests taken that have no final answer
+// metrics are what the second address tells.
+type metrics struct {
+	classes []ClassCounters // by the number of the class
+	open    int             // requests taken that have no final answer
 }
 
 // figuresPrefix begins each name, as the platform's page has them.
--- a/internal/ingress/figures_test.go
+++ b/internal/ingress/figures_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		r.Fatal(err)
 	}
-	answer, err := (&http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
+	answer, err := (&http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -36,8 +36,8 @@
 	return answer.StatusCode, string(body)
 }
 
-// figures fetches the figures, without their prefix.
-func (r *rig) figures() map[string]int {
+// metrics fetches the metrics, without their prefix.
+func (r *rig) metrics() map[string]int {
 	r.Helper()
 	all := map[string]int{}
 	_, text := r.adminCall("GET", "/status/metrics")
@@ -73,10 +73,10 @@
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"))
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "the first", b.Got).Answer("one")
 	c.want("$3\r\none")
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	wait(t, "the second", b.Got).Reset()
 	c.want("-ERR failed")
 	c.write("nonsense\r\n")
@@ -95,9 +95,9 @@
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"))
 	c := r.dial()
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	first := wait(t, "the attempt", b.Got)
-	r.ask(func(l *loop) {
+	r.onLoop(func(l *loop) {
 		for id, open := range l.requests {
 			backend := open.attempts[0].Backend
 			l.Fail(id)
@@ -107,7 +107,7 @@
 	})
 	c.want("-ERR failed")
 	first.Answer("late")
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	second := wait(t, "the next request", b.Got)
 	if second.Args[0] != "Q.ASK" {
 		t.Errorf("an attempt began behind the end: %q", second.Args)
@@ -124,15 +124,15 @@
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("s-1"))
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "the attempt", b.Got)
-	r.ask(func(l *loop) { // no event is told meanwhile
+	r.onLoop(func(l *loop) { // no event is told meanwhile
 		for _, open := range l.requests {
 			if a := open.attempts[0]; !l.MayWrite(a) {
 				t.Error("an attempt is forbidden though its client waits")
 			}
 			c.nc.Close()
-			for end := time.Now().Add(patience); (!open.answer.Gone() || l.Now()-open.began < justRead) && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); (!open.answer.Gone() || l.Now()-open.began < justRead) && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			if a := open.attempts[0]; l.MayWrite(a) {
@@ -163,14 +163,14 @@
 		if n%3 == 2 {
 			command, class, options = "Q.DO", "payment", payment
 		}
-		words := []string{command, anyone, newID(), options}
+		words := []string{command, someCustomer, newID(), options}
 		if class == "payment" {
 			words = append(words, "BODY")
 		}
 		c.send(words...)
 		got := wait(t, "a command", b.Got)
 		calls++
-		if f := r.figures(); f["inflight"] != 1 {
+		if f := r.metrics(); f["inflight"] != 1 {
 			t.Fatalf("inflight=%d with one request open", f["inflight"])
 		}
 		switch n % 4 {
@@ -187,13 +187,13 @@
 	}
 	// One whose client leaves is open no more.
 	gone := r.dial()
-	gone.send("Q.ASK", anyone, newID(), lookup)
+	gone.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "a command", b.Got)
 	calls++
 	gone.nc.Close()
 	r.eventually("the request is over", func(l *loop) bool { return l.figures.open == 0 })
 
-	f := r.figures()
+	f := r.metrics()
 	for _, class := range []string{"lookup", "payment"} {
 		for _, kind := range []string{"success", "busy", "failure"} {
 			if name := kind + "." + class; f[name] != answers[name] {
@@ -218,10 +218,10 @@
 		t.Fatalf("status %d before", status)
 	}
 	idle, busy := r.dial(), r.dial()
-	idle.send("Q.ASK", anyone, newID(), lookup)
+	idle.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "a command", b.Got).Answer("first")
 	idle.want("$5\r\nfirst")
-	busy.send("Q.ASK", anyone, newID(), lookup)
+	busy.send("Q.ASK", someCustomer, newID(), lookup)
 	open := wait(t, "a command", b.Got)
 
 	if status, _ := r.adminCall("PUT", "/standby"); status != 200 {
@@ -234,7 +234,7 @@
 	late := r.dial()
 	late.send("PING")
 	late.want("-ERR draining")
-	late.send("Q.ASK", anyone, newID(), lookup)
+	late.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "a command", b.Got).Answer("late")
 	late.want("$4\r\nlate")
 	late.wantEnd()
@@ -250,15 +250,15 @@
 	again := r.dial()
 	again.send("PING")
 	again.want("+PONG")
-	again.send("Q.ASK", anyone, newID(), lookup)
+	again.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "a command", b.Got).Answer("again")
 	again.want("$5\r\nagain")
 	again.send("PING") // it is kept
 	again.want("+PONG")
 }
 
-// inherits gives a server a descriptor of a listening socket, as a start by the platform does.
-func inherits(t *testing.T, held net.Listener) func(*Config) {
+// withInheritedSocket gives a server a descriptor of a listening socket, as a start by the platform does.
+func withInheritedSocket(t *testing.T, held net.Listener) func(*Config) {
 	t.Helper()
 	file, err := held.(*net.TCPListener).File()
 	if err != nil {
@@ -269,7 +269,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return func(cfg *Config) { cfg.Listen, cfg.Passed = held.Addr().String(), reactor.Inherited(fd) }
+	return func(cfg *Config) { cfg.Listen, cfg.InheritedListener = held.Addr().String(), reactor.Inherited(fd) }
 }
 
 // Of two processes with one socket and one folder the second takes no client,
@@ -282,10 +282,10 @@
 	defer held.Close()
 	b, dir := newBackend(t), t.TempDir()
 	begin := func() *rig {
-		inherited := inherits(t, held)
+		inherited := withInheritedSocket(t, held)
 		d := newFakeDiscovery(t, b.member("s-1"))
 		d.Open()
-		return serve(t, d, func(cfg *Config) { inherited(cfg); withAdmin(cfg); cfg.Shared = dir })
+		return startRig(t, d, func(cfg *Config) { inherited(cfg); withAdmin(cfg); cfg.HandoverDir = dir })
 	}
 	takes := func(r *rig) {
 		r.eventually("it says yes", func(*loop) bool { return r.server.Takes() })
@@ -304,16 +304,16 @@
 	for range 50 {
 		ping()
 	}
-	if n := second.clients(nil); n != 0 {
+	if n := second.countClients(nil); n != 0 {
 		t.Fatalf("the second one has taken %d clients beside the first", n)
 	}
 	open := ping()
-	open.send("Q.ASK", anyone, newID(), lookup)
+	open.send("Q.ASK", someCustomer, newID(), lookup)
 	got := wait(t, "a command", b.Got)
 	first.stop()
 	second.eventually("it takes clients", func(*loop) bool { return !second.server.front.waits })
 	ping() // by the second, while the first still owes an answer
-	if n := second.clients(nil); n != 1 {
+	if n := second.countClients(nil); n != 1 {
 		t.Errorf("the second one has %d clients, want 1", n)
 	}
 	got.Answer("yes")
@@ -333,12 +333,12 @@
 	defer held.Close()
 	b := newBackend(t)
 	for range 2 {
-		r := newRig(t, inherits(t, held), b.member("s-1"))
+		r := newRig(t, withInheritedSocket(t, held), b.member("s-1"))
 		if r.server.Addr() != held.Addr().String() {
 			t.Fatalf("serves at %s, want %s", r.server.Addr(), held.Addr())
 		}
 		c := r.dial()
-		c.send("Q.ASK", anyone, newID(), lookup)
+		c.send("Q.ASK", someCustomer, newID(), lookup)
 		wait(t, "a command", b.Got).Answer("yes")
 		c.want("$3\r\nyes")
 		r.stop()
@@ -346,10 +346,10 @@
 			t.Fatal(err)
 		}
 	}
-	if err = held.(*net.TCPListener).SetDeadline(time.Now().Add(patience)); err != nil {
+	if err = held.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Error(err)
 	}
-	c, err := standin.Dial(held.Addr().String(), patience)
+	c, err := standin.Dial(held.Addr().String(), testTimeout)
 	if err != nil {
 		t.Fatal("the socket is closed: ", err)
 	}
@@ -368,14 +368,14 @@
 	}
 	t.Cleanup(func() { held.Close() })
 	b := newBackend(t)
-	r := newRig(t, inherits(t, held), b.member("s-1"))
+	r := newRig(t, withInheritedSocket(t, held), b.member("s-1"))
 	raw, err := held.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { // whoever waits for a connection gets one, and waits for no other
 		_ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), true) })
-		if c, refused := standin.Dial(r.server.Addr(), patience); refused == nil {
+		if c, refused := standin.Dial(r.server.Addr(), testTimeout); refused == nil {
 			c.Close()
 		}
 	})
@@ -384,7 +384,7 @@
 			t.Fatal(failed, err)
 		}
 		c := r.dial()
-		c.send("Q.ASK", anyone, newID(), lookup)
+		c.send("Q.ASK", someCustomer, newID(), lookup)
 		wait(t, "a command", b.Got).Answer("yes")
 		c.want("$3\r\nyes")
 	}
@@ -398,8 +398,8 @@
 	}
 	env := map[string]string{"NODE_CONFIG": path, "NODE_PASSED_SOCKET": "5", "NODE_MGMT": "127.0.0.1:4"}
 	cfg, err := LoadConfig(func(name string) string { return env[name] })
-	if err != nil || cfg.Admin != "127.0.0.1:3" || cfg.Passed != "fd:5" {
-		t.Fatalf("%q %q %v", cfg.Admin, cfg.Passed, err)
+	if err != nil || cfg.Admin != "127.0.0.1:3" || cfg.InheritedListener != "fd:5" {
+		t.Fatalf("%q %q %v", cfg.Admin, cfg.InheritedListener, err)
 	}
 	for _, bad := range []string{"0", "2", "x", "-1"} {
 		env["NODE_PASSED_SOCKET"] = bad
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -53,7 +53,7 @@
 
 // newFront makes a front and opens its address.
 func newFront(cfg *Config, l *loop) (*front, error) {
-	limits := cfg.Own.Admission.Apply(cfg.Limits.admissionLimits())
+	limits := cfg.Options.Admission.Apply(cfg.Limits.admissionLimits())
 	if limits.Places >= cfg.Limits.Sockets {
 		return nil, fmt.Errorf("door.places: %d, with %d descriptors in all", limits.Places, cfg.Limits.Sockets)
 	}
@@ -64,8 +64,8 @@
 	f := &front{cfg: cfg, loop: l, admission: d, buf: make([]byte, sharedBuffer), empty: make(chan struct{}),
 		short: shortage{half: cfg.Limits.Sockets / 2}}
 	address := cfg.Listen
-	if cfg.Passed != "" {
-		address = cfg.Passed
+	if cfg.InheritedListener != "" {
+		address = cfg.InheritedListener
 	}
 	if f.ln, err = l.Listen(address, (*acceptor)(f)); err != nil {
 		return nil, fmt.Errorf("clients: %w", err)
@@ -317,7 +317,7 @@
 		return
 	}
 	c.index, c.readBy, c.timed = len(f.clients), now+firstPatience, true
-	f.loop.events.opened(c)
+	f.loop.events.connectionAccepted(c)
 	f.clients = append(f.clients, c)
 	f.admission.Admit(&c.place, now)
 	c.arm()
@@ -363,7 +363,7 @@
 	if f.ln == nil {
 		return
 	}
-	if f.cfg.Passed != "" || f.waits {
+	if f.cfg.InheritedListener != "" || f.waits {
 		f.endListener()
 		return
 	}
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -122,7 +122,7 @@
 											way, before, still, seed, a.begun-gone)
 									}
 								}
-								if h := i.ingress.Held(); h.Requests+h.Clients > 0 {
+								if h := i.ingress.Usage(); h.Requests+h.Clients > 0 {
 									t.Fatalf("%s %v before the end of the wait, still %v, seed %d: the ingress holds %+v", way, before, still, seed, h)
 								}
 							}
--- a/internal/ingress/inbox_test.go
+++ b/internal/ingress/inbox_test.go
@@ -61,8 +61,8 @@
 				if rng.IntN(12) == 0 {
 					l.Complete = true
 				}
-				one.do(func() { one.ingress.Members(l) })
-				run.ingress.tell(l)
+				one.do(func() { one.ingress.UpdateMembers(l) })
+				run.ingress.enqueueMembers(l)
 			}
 			run.do(func() {})
 			state := func(i *installation) (all []string) {
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -13,14 +13,14 @@
 	"wickarch/internal/standin"
 )
 
-// patience bounds every wait of the tests; none of them passes by waiting.
-const patience = 30 * time.Second
+// testTimeout bounds every wait of the tests; none of them passes by waiting.
+const testTimeout = 30 * time.Second
 
 const (
-	lookup  = "c=lookup,t=basic,d=20000,units=1,spread=1,first=0"
-	payment = "c=payment,t=basic,d=20000,units=1,spread=1,first=0"
-	anyone  = "00000000b4d65521"
-	someID  = "9b1f03aa5c7e2d41"
+	lookup       = "c=lookup,t=basic,d=20000,units=1,spread=1,first=0"
+	payment      = "c=payment,t=basic,d=20000,units=1,spread=1,first=0"
+	someCustomer = "00000000b4d65521"
+	someID       = "9b1f03aa5c7e2d41"
 )
 
 var newID = standin.NewID
@@ -68,7 +68,7 @@
 	t.Helper()
 	d := newFakeDiscovery(t, members...)
 	d.Open()
-	r := serve(t, d, change)
+	r := startRig(t, d, change)
 	c := r.dial()
 	for line := ""; line != "+PONG"; {
 		c.send("PING")
@@ -78,7 +78,7 @@
 	return r
 }
 
-func serve(t *testing.T, d *standin.Discovery, change func(*Config)) *rig {
+func startRig(t *testing.T, d *standin.Discovery, change func(*Config)) *rig {
 	t.Helper()
 	cfg, err := ParseConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1","settings":%s}`,
 		fmt.Sprintf(settings, 3600_000)))
@@ -104,8 +104,8 @@
 	return r
 }
 
-// clients are those that are connected, seen on the front's goroutine.
-func (r *rig) clients(see func(*client)) (n int) {
+// countClients are those that are connected, seen on the front's goroutine.
+func (r *rig) countClients(see func(*client)) (n int) {
 	r.server.loop.Do(func() {
 		n = len(r.server.front.clients)
 		for _, c := range r.server.front.clients {
@@ -117,8 +117,8 @@
 	return n
 }
 
-// ask runs f on the loop's goroutine and waits for it.
-func (r *rig) ask(f func(l *loop)) {
+// onLoop runs f on the loop's goroutine and waits for it.
+func (r *rig) onLoop(f func(l *loop)) {
 	r.server.loop.Do(func() { f(r.server.loop) })
 }
 
@@ -132,7 +132,7 @@
 
 func (r *rig) dial() *fakeClient {
 	r.Helper()
-	c, err := standin.Dial(r.server.Addr(), patience)
+	c, err := standin.Dial(r.server.Addr(), testTimeout)
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -180,13 +180,13 @@
 	t.Helper()
 	select {
 	case v = <-ch:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("waited in vain for %s", what)
 	}
 	return v
 }
 
-func idle[T any](t *testing.T, what string, ch <-chan T) {
+func wantNone[T any](t *testing.T, what string, ch <-chan T) {
 	t.Helper()
 	select {
 	case <-ch:
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -46,12 +46,12 @@
 	memory   *memory
 	answers  []answer // given and not handed out yet
 	settling bool
-	figures  figures
+	figures  metrics
 	events   eventLog
 	starts   startClock
 	rules    []lifecycle.Rules // by class
 	spare    *alarm            // of the gateway's timers, to be used again
-	terms    *terms            // nil while no version of configuration was in force
+	terms    *runtimeConfig    // nil while no version of configuration was in force
 }
 
 // kind is how a request ends for its client.
@@ -105,11 +105,11 @@
 
 func newLoop(cfg *Config, on *reactor.Loop) (*loop, error) {
 	l := &loop{
-		Loop: on, cfg: cfg, requests: map[uint32]*request{}, figures: figures{classes: make([]ClassFigures, len(cfg.Choice.Classes))},
+		Loop: on, cfg: cfg, requests: map[uint32]*request{}, figures: metrics{classes: make([]ClassCounters, len(cfg.Choice.Classes))},
 		memory: &memory{most: int64(cfg.Limits.MemoryMB) << 20 / heldShare},
 	}
 	l.rules = rulesOf(cfg.Choice)
-	if cfg.Own.Log.LogsRequests() {
+	if cfg.Options.Log.LogsRequests() {
 		l.events.details = slog.Default()
 	}
 	longest := time.Duration(0)
@@ -117,7 +117,7 @@
 		longest = max(longest, c.Deadline)
 	}
 	l.ids.span = longest + idsMargin
-	l.pool = upstream.New(upstream.Config{Connections: cfg.Limits.backends(), Idle: cfg.connIdle,
+	l.pool = upstream.New(upstream.Config{Connections: cfg.Limits.maxBackendConns(), Idle: cfg.backendIdleTimeout,
 		ConnectTimeout: cfg.connectTimeout, Reports: cfg.Choice.ReportFields, Proof: cfg.Proof}, on, l)
 	on.Add(l.pool)
 	var err error
@@ -129,7 +129,7 @@
 	if l.fleet, err = fleet.New(cfg.Choice, l.gateway, l.Now()); err != nil {
 		return nil, err
 	}
-	l.members(choice.Cached, cfg.Known)
+	l.members(choice.Cached, cfg.CachedMembers)
 	return l, nil
 }
 
@@ -217,7 +217,7 @@
 	for _, r := range open {
 		if r.life.Abandon() {
 			l.figures.open--
-			l.events.abandoned(r)
+			l.events.requestAbandoned(r)
 			if len(r.attempts) == 0 {
 				l.ids.remove(r.name) // nothing was sent on: it may come again
 			}
@@ -249,7 +249,7 @@
 	if reply.Cause != upstream.CauseForbidden {
 		r.life.Ended(mayHaveRun(reply.Status))
 	}
-	l.events.ended(r, a, reply)
+	l.events.attemptEnded(r, a, reply)
 	l.fleet.Ended()
 	if reply.Stream != nil {
 		if r.life.Over() {
@@ -309,7 +309,7 @@
 	if l.violates(wrong, r) {
 		o = outcome{kind: failed} // promises nothing
 	}
-	l.events.answered(r, o.kind)
+	l.events.requestAnswered(r, o.kind)
 	l.withdraw(r) // a second copy that has not gone out yet
 	if o.body == nil {
 		l.figures.open--
@@ -360,7 +360,7 @@
 	}
 	if kind != choice.Delta {
 		l.pool.Keep(named)
-		l.starts.keep(named)
+		l.starts.retain(named)
 	}
 	l.fleet.Members(now, kind, backends, func(b choice.Backend) uint64 { return keys[b.ID] })
 	l.settle()
@@ -384,7 +384,7 @@
 	if m.UpSince <= 0 {
 		return 0, false
 	}
-	return l.starts.started(m.ID, m.UpSince, l.Now()), true
+	return l.starts.startTime(m.ID, m.UpSince, l.Now()), true
 }
 
 // index is the place of a name in a list of the settings; a name that is not
@@ -415,7 +415,7 @@
 		r.sent = l.Now()
 	}
 	r.attempts = append(r.attempts, a)
-	l.events.sent(r, a)
+	l.events.attemptStarted(r, a)
 	l.fleet.Sent()
 	if l.violates(r.life.Begin(l.Now()), r) {
 		l.pool.Forbid(a)
--- a/internal/ingress/moment_test.go
+++ b/internal/ingress/moment_test.go
@@ -54,7 +54,7 @@
 				if served = c.answers() == "$1\r\nv"; served != (len(i.attempts) == 1) || len(i.attempts) > 1 {
 					t.Fatalf("%v after the end was called for, seed %d: %d attempts, and the client got %q", after, seed, len(i.attempts), c.answers())
 				}
-				if h := i.ingress.Held(); h.Requests > 0 {
+				if h := i.ingress.Usage(); h.Requests > 0 {
 					t.Fatalf("%v after the end was called for, seed %d: the ingress holds %+v", after, seed, h)
 				}
 				return served, endedAt
@@ -85,7 +85,7 @@
 
 func (c *crossing) CloseWrite() {
 	c.come()
-	for end := time.Now().Add(patience); !c.Conn.Pending() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); !c.Conn.Pending() && time.Now().Before(end); {
 	}
 	c.Conn.CloseWrite()
 	c.ended = true
@@ -105,23 +105,23 @@
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "the request before", b.Got).Answer("v")
 	c.want("$1\r\nv")
 	r.eventually("the rig's own connection to be gone", func(*loop) bool { return len(r.server.front.clients) == 1 })
 	var x *crossing
-	r.ask(func(*loop) {
+	r.onLoop(func(*loop) {
 		of := r.server.front.clients[0]
-		x = &crossing{Conn: of.net, come: func() { _, _ = c.nc.Write(standin.Encode("Q.DO", anyone, newID(), payment, "BODY")) }}
+		x = &crossing{Conn: of.net, come: func() { _, _ = c.nc.Write(standin.Encode("Q.DO", someCustomer, newID(), payment, "BODY")) }}
 		of.net = x
 		r.server.Drain()
 	})
 	c.wantEnd()
 	r.eventually("the connection to be closed", func(*loop) bool { return len(r.server.front.clients) == 0 })
-	r.ask(func(l *loop) {
+	r.onLoop(func(l *loop) {
 		if x.read > 0 || len(l.requests) > 0 {
 			t.Errorf("%d bytes were read behind the end, and %d requests are open", x.read, len(l.requests))
 		}
 	})
-	idle(t, "the request that came in the moment of the end", b.Got)
+	wantNone(t, "the request that came in the moment of the end", b.Got)
 }
--- a/internal/ingress/options_test.go
+++ b/internal/ingress/options_test.go
@@ -30,7 +30,7 @@
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("b"))
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	got := wait(t, "the request", b.Got)
 	wait(t, "a watch", r.discovery.Watched)
 	caller, err := net.Dial("tcp", r.server.admin.Addr())
@@ -40,7 +40,7 @@
 	defer caller.Close()
 	r.eventually("a caller at the second address", func(*loop) bool { return r.server.admin.Open() == 1 })
 	seen := map[string]int{}
-	r.ask(func(*loop) { // no descriptor of the ingress's is closed meanwhile
+	r.onLoop(func(*loop) { // no descriptor of the ingress's is closed meanwhile
 		all, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -42,7 +42,7 @@
 	}
 	i := &Ingress{cfg: &cfg, front: f, loop: l}
 	if cfg.Admin != "" {
-		if i.admin, err = admin.Listen(on, cfg.Admin, cfg.Limits.admins(), i); err != nil {
+		if i.admin, err = admin.Listen(on, cfg.Admin, cfg.Limits.maxAdminConns(), i); err != nil {
 			return nil, err
 		}
 	}
@@ -52,8 +52,8 @@
 // Addr is the address on which clients are served.
 func (i *Ingress) Addr() string { return i.front.ln.Address() }
 
-// Members takes what discovery tells: the whole list, or changes to it.
-func (i *Ingress) Members(m MemberList) {
+// UpdateMembers takes what discovery tells: the whole list, or changes to it.
+func (i *Ingress) UpdateMembers(m MemberList) {
 	kind := choice.Delta
 	if m.Complete {
 		kind = choice.Full
@@ -61,37 +61,37 @@
 	i.loop.members(kind, m)
 }
 
-// tell takes what discovery tells, from any goroutine.
-func (i *Ingress) tell(m MemberList) {
+// enqueueMembers takes what discovery tells, from any goroutine.
+func (i *Ingress) enqueueMembers(m MemberList) {
 	if i.inbox.put(m) {
 		i.loop.Post(func() {
 			for _, m := range i.inbox.take() {
-				i.Members(m)
+				i.UpdateMembers(m)
 			}
 		})
 	}
 }
 
-// Asked tells that discovery was asked for the list, whether or not it answered.
-func (i *Ingress) Asked() { i.loop.open() }
+// DiscoveryQueried tells that discovery was asked for the list, whether or not it answered.
+func (i *Ingress) DiscoveryQueried() { i.loop.open() }
 
 // Drain closes each connection as soon as it has nothing open. New ones are
 // taken still, until CloseListener.
 func (i *Ingress) Drain() {
 	i.stopping = true
-	i.loop.events.phase("drain")
+	i.loop.events.shutdownPhase("drain")
 	i.front.drain()
 }
 
 // CloseListener ends the taking of connections.
 func (i *Ingress) CloseListener() {
-	i.loop.events.phase("close listener")
+	i.loop.events.shutdownPhase("close listener")
 	i.front.closeListener()
 }
 
 // Finish ends the taking of requests, on all connections.
 func (i *Ingress) Finish() {
-	i.loop.events.phase("finish")
+	i.loop.events.shutdownPhase("finish")
 	i.front.finish()
 }
 
@@ -117,25 +117,25 @@
 // Starved notes that a caller of the second address waits for a descriptor.
 func (i *Ingress) Starved() { i.loop.Starved() }
 
-// Held is what an ingress holds.
-type Held struct {
+// Usage is what an ingress holds.
+type Usage struct {
 	Clients, Backends int   // connections
 	Requests          int   // that have no final answer, or an attempt out
 	Memory            int64 // bytes for clients
 }
 
-// Held tells what it holds now.
-func (i *Ingress) Held() Held {
-	return Held{Clients: len(i.front.clients), Backends: i.loop.pool.Open(), Requests: len(i.loop.requests), Memory: i.loop.memory.used}
+// Usage tells what it holds now.
+func (i *Ingress) Usage() Usage {
+	return Usage{Clients: len(i.front.clients), Backends: i.loop.pool.Open(), Requests: len(i.loop.requests), Memory: i.loop.memory.used}
 }
 
-// Hold keeps the ingress from taking clients until Begin: another process of it
+// AwaitHandover keeps the ingress from taking clients until Begin: another process of it
 // does so still. It is called before the reactor runs.
-func (i *Ingress) Hold() { i.front.waits = true }
+func (i *Ingress) AwaitHandover() { i.front.waits = true }
 
-// Begin ends a Hold. What that process has drawn on ceilings until now is not
+// TakeOver ends a Hold. What that process has drawn on ceilings until now is not
 // drawn once more.
-func (i *Ingress) Begin() {
+func (i *Ingress) TakeOver() {
 	i.loop.gateway.Begin(i.loop.Now())
 	i.front.waits = false
 }
@@ -143,14 +143,14 @@
 // Server is one running ingress, on sockets.
 type Server struct {
 	*Ingress
-	addr     string
-	world    *reactor.Sockets
-	handover *handover.Lock // to take clients; nil where no other process of this ingress can be
-	late     func()         // waits while clients still come after the stop
+	addr               string
+	sockets            *reactor.Sockets
+	handover           *handover.Lock // to take clients; nil where no other process of this ingress can be
+	waitForLateClients func()         // waits while clients still come after the stop
 
-	sources *sources
-	moves   chan string // addresses of discovery to move to
-	beside  []func(context.Context)
+	sources        *sources
+	discoveryAddrs chan string // addresses of discovery to move to
+	background     []func(context.Context)
 }
 
 // Listen makes an ingress and opens its address.
@@ -165,24 +165,24 @@
 		return nil, err
 	}
 	var lock *handover.Lock
-	if cfg.Shared != "" {
+	if cfg.HandoverDir != "" {
 		// Without it, both processes take clients for a moment.
-		if lock, err = handover.Open(cfg.Shared); err != nil {
+		if lock, err = handover.Open(cfg.HandoverDir); err != nil {
 			slog.Warn("clients are taken beside the process before", "error", err)
 		} else {
-			i.Hold()
+			i.AwaitHandover()
 		}
 	}
-	return &Server{Ingress: i, handover: lock, addr: i.Addr(), world: world,
-		late: func() { time.Sleep(acceptAfterStop) }, moves: make(chan string),
-		sources: newSources(i.tell)}, nil
+	return &Server{Ingress: i, handover: lock, addr: i.Addr(), sockets: world,
+		waitForLateClients: func() { time.Sleep(acceptAfterStop) }, discoveryAddrs: make(chan string),
+		sources: newSources(i.enqueueMembers)}, nil
 }
 
 // Reload takes what may change while the ingress runs: the address of
 // discovery. All connections and all that is known stay.
 func (s *Server) Reload(cfg Config) {
 	select {
-	case s.moves <- cfg.Discovery:
+	case s.discoveryAddrs <- cfg.Discovery:
 	case <-s.loop.Done():
 	}
 }
@@ -199,17 +199,17 @@
 	failed := make(chan error, 1)
 	empty := s.front.empty
 	go func() { failed <- s.loop.Run() }()
-	for _, run := range s.beside {
+	for _, run := range s.background {
 		go run(ctx)
 	}
-	defer s.world.Close()
+	defer s.sockets.Close()
 	if s.handover != nil {
 		defer s.handover.Close()
 		go func() {
 			if err := s.handover.Acquire(); err != nil {
 				slog.Warn("clients are taken beside the process before", "error", err)
 			}
-			s.loop.Post(s.Begin)
+			s.loop.Post(s.TakeOver)
 		}()
 	}
 	defer func() {
@@ -217,11 +217,11 @@
 		<-s.loop.Done()
 	}()
 	defer s.sources.close()
-	s.sources.follow(s.cfg.Discovery, func() { s.loop.Post(s.Asked) })
+	s.sources.follow(s.cfg.Discovery, func() { s.loop.Post(s.DiscoveryQueried) })
 	go func() {
 		for {
 			select {
-			case addr := <-s.moves:
+			case addr := <-s.discoveryAddrs:
 				s.sources.follow(addr, nil)
 			case <-s.loop.Done():
 				return
@@ -240,7 +240,7 @@
 	}
 	s.loop.Do(s.Drain)
 	if s.handover == nil || !s.handover.Contended() {
-		s.late()
+		s.waitForLateClients()
 	}
 	s.loop.Do(s.CloseListener)
 	if s.handover != nil {
--- a/internal/ingress/startclock.go
+++ b/internal/ingress/startclock.go
@@ -49,8 +49,8 @@
 	s.observed = now
 }
 
-// started is when a backend started, as far as that can be told: now at the latest.
-func (s *startClock) started(id string, unixMillis int64, now time.Duration) time.Duration {
+// startTime is when a backend startTime, as far as that can be told: now at the latest.
+func (s *startClock) startTime(id string, unixMillis int64, now time.Duration) time.Duration {
 	if known, any := s.known[id]; any && known.unixMillis == unixMillis {
 		return known.at
 	}
@@ -78,8 +78,8 @@
 	return latest
 }
 
-// keep forgets the backends that a complete list does not name.
-func (s *startClock) keep(named map[string]bool) {
+// retain forgets the backends that a complete list does not name.
+func (s *startClock) retain(named map[string]bool) {
 	for id := range s.known {
 		if !named[id] {
 			delete(s.known, id)
--- a/internal/ingress/startclock_test.go
+++ b/internal/ingress/startclock_test.go
@@ -23,7 +23,7 @@
 			var s startClock
 			s.observe(0, begun)
 			s.observe(now, after(now))
-			got := s.started("b", c.told.UnixMilli(), now)
+			got := s.startTime("b", c.told.UnixMilli(), now)
 			if got < now-age || got > now {
 				t.Errorf("step %v, %s: started %v ago, want %v at most", step, c.name, now-got, age)
 			}
@@ -31,7 +31,7 @@
 				t.Errorf("no step: started %v ago, want %v", now-got, age)
 			}
 			s.observe(now+time.Minute, after(now+time.Minute+time.Hour))
-			if again := s.started("b", c.told.UnixMilli(), now+time.Minute); again != got {
+			if again := s.startTime("b", c.told.UnixMilli(), now+time.Minute); again != got {
 				t.Errorf("step %v, %s: a later step moved the start by %v", step, c.name, again-got)
 			}
 		}
@@ -43,10 +43,10 @@
 	var s startClock
 	s.observe(0, time.Unix(1000, 0))
 	for _, id := range []string{"a", "b", "c"} {
-		s.started(id, 999_000, 0)
+		s.startTime(id, 999_000, 0)
 	}
 	s.forget("a")
-	s.keep(map[string]bool{"b": true})
+	s.retain(map[string]bool{"b": true})
 	if len(s.known) != 1 {
 		t.Errorf("%d starts are known, want 1", len(s.known))
 	}
--- a/internal/ingress/terms.go
+++ b/internal/ingress/terms.go
@@ -9,9 +9,9 @@
 	"wickarch/distribution"
 )
 
-// terms is what an ingress decides by that configuration may change. It begins as the
+// runtimeConfig is what an ingress decides by that configuration may change. It begins as the
 // platform's configuration has it, which is nil here.
-type terms struct {
+type runtimeConfig struct {
 	base    choice.Config  // what the platform states
 	numbers map[string]int // of all plans that there ever were; a gateway's plans keep theirs
 	plans   []choice.Plan  // by number
@@ -46,7 +46,7 @@
 func (i *Ingress) Configure(u *distribution.InUse) error {
 	l := i.loop
 	if l.terms == nil {
-		l.terms = &terms{base: l.cfg.Choice, numbers: maps.Clone(l.cfg.plans), plans: l.cfg.Choice.Plans}
+		l.terms = &runtimeConfig{base: l.cfg.Choice, numbers: maps.Clone(l.cfg.plans), plans: l.cfg.Choice.Plans}
 	}
 	t := l.terms
 	numbers, known := maps.Clone(t.numbers), map[string]int{}
@@ -117,6 +117,6 @@
 	return err
 }
 
-// Beside has run called on a goroutine of its own once the server runs, with a context that
+// RunInBackground has run called on a goroutine of its own once the server runs, with a context that
 // ends when the server is told to stop. It is called before Serve.
-func (s *Server) Beside(run func(context.Context)) { s.beside = append(s.beside, run) }
+func (s *Server) RunInBackground(run func(context.Context)) { s.background = append(s.background, run) }
--- a/internal/ingress/terms_test.go
+++ b/internal/ingress/terms_test.go
@@ -10,8 +10,8 @@
 	"wickarch/internal/standin"
 )
 
-// version makes a version of configuration from values by their keys.
-func version(t *testing.T, number uint64, values map[distribution.Key]any, before ...distribution.Old) *distribution.InUse {
+// newVersion makes a newVersion of configuration from values by their keys.
+func newVersion(t *testing.T, number uint64, values map[distribution.Key]any, before ...distribution.Old) *distribution.InUse {
 	t.Helper()
 	u := &distribution.InUse{Version: number, Settled: number - 1, Set: distribution.Set{}, Before: map[distribution.Key][]byte{}}
 	for k, v := range values {
@@ -59,21 +59,21 @@
 	want("basic", served)
 	want("gold", unknown)
 	gold := distribution.Plan{Price: 2}
-	put(version(t, 1, map[distribution.Key]any{"plan/gold": gold, "limit/attempts": distribution.Limit{Value: 1}, "limit/retry_after_ms": distribution.Limit{Value: 1e9}}))
+	put(newVersion(t, 1, map[distribution.Key]any{"plan/gold": gold, "limit/attempts": distribution.Limit{Value: 1}, "limit/retry_after_ms": distribution.Limit{Value: 1e9}}))
 	want("gold", served)
 	want("basic", unknown)
-	r.ask(func(l *loop) {
+	r.onLoop(func(l *loop) {
 		if l.cfg.Choice.MaxUnits != l.terms.base.MaxUnits {
 			t.Error("a limit that is not named has changed")
 		}
 	})
-	put(version(t, 2, map[distribution.Key]any{"plan/gold": gold, "plan/basic": gold, "limit/units": distribution.Limit{Value: 0.5}}))
+	put(newVersion(t, 2, map[distribution.Key]any{"plan/gold": gold, "plan/basic": gold, "limit/units": distribution.Limit{Value: 0.5}}))
 	want("basic", "-ERR bad value of units")
-	put(version(t, 3, nil))
+	put(newVersion(t, 3, nil))
 	want("basic", served)
 	want("gold", unknown)
 	var text string
-	r.ask(func(l *loop) { text = string(r.server.AppendFigures(nil)) })
+	r.onLoop(func(l *loop) { text = string(r.server.AppendFigures(nil)) })
 	if !strings.Contains(text, "config_version=3\n") || !strings.Contains(text, "config_settled=2\n") {
 		t.Errorf("figures: %s", text)
 	}
@@ -85,31 +85,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	put(version(t, 4, map[distribution.Key]any{"plan/capped": high}, distribution.Old{Key: "plan/capped", Data: data}))
+	put(newVersion(t, 4, map[distribution.Key]any{"plan/capped": high}, distribution.Old{Key: "plan/capped", Data: data}))
 	if got := try("capped"); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("a raised ceiling that has not settled is answered %q", got)
 	}
-	put(version(t, 4, map[distribution.Key]any{"plan/capped": high}))
+	put(newVersion(t, 4, map[distribution.Key]any{"plan/capped": high}))
 	want("capped", served)
 }
 
 // What this ingress can't use is told with resource and line, and changes nothing.
 func TestResourceThatCannotBeUsedHereIsNamed(t *testing.T) {
 	r := newRig(t, nil, Member{ID: "b", HostPort: "127.0.0.1:1", Phase: PhaseServing, Size: 1})
-	good := version(t, 1, map[distribution.Key]any{"route/a": distribution.Route{Service: "s", Class: "lookup"}, "route/b": distribution.Route{Service: "s"}})
+	good := newVersion(t, 1, map[distribution.Key]any{"route/a": distribution.Route{Service: "s", Class: "lookup"}, "route/b": distribution.Route{Service: "s"}})
 	if err := r.server.CheckConfig(good.Set.List()); err != nil {
 		t.Error(err)
 	}
-	bad := version(t, 1, map[distribution.Key]any{"route/a": distribution.Route{Service: "s", Class: "nonesuch"}})
+	bad := newVersion(t, 1, map[distribution.Key]any{"route/a": distribution.Route{Service: "s", Class: "nonesuch"}})
 	var refused *distribution.Refused
 	if err := r.server.CheckConfig(bad.Set.List()); !errors.As(err, &refused) || refused.Key != "route/a" || refused.Line != 7 {
 		t.Errorf("%v", err)
 	}
-	bad = version(t, 1, map[distribution.Key]any{"plan/a": distribution.Plan{Rate: -1}})
+	bad = newVersion(t, 1, map[distribution.Key]any{"plan/a": distribution.Plan{Rate: -1}})
 	if err := (Configurable{r.server}).Configure(bad); err == nil {
 		t.Error("a rate below 0 is decided by")
 	}
-	r.ask(func(l *loop) {
+	r.onLoop(func(l *loop) {
 		if _, known := l.cfg.plans["a"]; known || l.terms.version != 0 {
 			t.Error("a version that can't be used has left something")
 		}
--- a/internal/ingress/told_test.go
+++ b/internal/ingress/told_test.go
@@ -230,7 +230,7 @@
 func (a *agent) play(t *testing.T, within time.Duration) (longest time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		a.t, a.begun, a.closed, a.told, a.has = t, time.Now(), make(chan struct{}), map[string]time.Duration{}, map[string]bool{}
-		d := newDiscovery("discovery", a.take)
+		d := newDiscoveryClient("discovery", a.take)
 		d.dial = a.dial
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/internal/ingress/virtual_test.go
+++ b/internal/ingress/virtual_test.go
@@ -66,7 +66,7 @@
 			t.Fatal(err)
 		}
 	})
-	i.node.Loop.Post(func() { i.ingress.Members(list); i.ingress.Asked() })
+	i.node.Loop.Post(func() { i.ingress.UpdateMembers(list); i.ingress.DiscoveryQueried() })
 	i.client.Start(func(*reactor.Loop) {})
 	i.run(10 * ms)
 	return i
@@ -231,9 +231,9 @@
 func ask(class, id string, limit int) string {
 	options := standin.Options(class, limit)
 	if class == "lookup" {
-		return encode("Q.ASK", anyone, id, options)
+		return encode("Q.ASK", someCustomer, id, options)
 	}
-	return encode("Q.DO", anyone, id, options, "BODY")
+	return encode("Q.DO", someCustomer, id, options, "BODY")
 }
 
 // leavingVirtually are the ways in which a client leaves.
--- a/internal/ingress/watch_test.go
+++ b/internal/ingress/watch_test.go
@@ -14,9 +14,9 @@
 	"wickarch/internal/standin"
 )
 
-// script is a discovery whose list is told at once, and each of whose watches does as
+// scriptedDiscovery is a discovery whose list is told at once, and each of whose watches does as
 // the next of its steps says; the last one goes on for all that follow.
-func script(t *testing.T, list string, steps ...func(w io.Writer, asked *http.Request)) (d *discovery, asked chan string, got chan MemberList) {
+func scriptedDiscovery(t *testing.T, list string, steps ...func(w io.Writer, asked *http.Request)) (d *discoveryClient, asked chan string, got chan MemberList) {
 	asked, got = make(chan string, 1000), make(chan MemberList, 1000)
 	var watches atomic.Int32 // one that was given up may still end while the next begins
 	s := standin.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -29,7 +29,7 @@
 		steps[min(n, len(steps)-1)](flushing{w, http.NewResponseController(w)}, r)
 	}))
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	d = newDiscovery(s.Listener.Addr().String(), func(l MemberList) { got <- l })
+	d = newDiscoveryClient(s.Listener.Addr().String(), func(l MemberList) { got <- l })
 	return d, asked, got
 }
 
@@ -75,8 +75,8 @@
 		"behind nothings": "\n\n\r\n" + change8 + "\n",
 	} {
 		list := strings.ReplaceAll(strings.ReplaceAll(listOf7, "{", "{\n"), ",", ",\n ")
-		d, _, got := script(t, list, say(text+strings.Replace(change8, "8", "9", 1)+indented[:3]))
-		d.patience, d.silence = patience, patience
+		d, _, got := scriptedDiscovery(t, list, say(text+strings.Replace(change8, "8", "9", 1)+indented[:3]))
+		d.patience, d.silence = testTimeout, testTimeout
 		go d.run(t.Context(), nil)
 		t.Log(name)
 		wantRevisions(t, got, 7, 8, 9)
@@ -86,7 +86,7 @@
 // What a reset cuts in two was not told: the next watch asks after what was.
 func TestObjectCutInTwoIsAskedForAnew(t *testing.T) {
 	for cut := 1; cut < len(change8); cut += 9 {
-		d, asked, got := script(t, listOf7, func(w io.Writer, r *http.Request) {
+		d, asked, got := scriptedDiscovery(t, listOf7, func(w io.Writer, r *http.Request) {
 			_, _ = io.WriteString(w, change8[:cut])
 			nc, _, err := w.(flushing).c.Hijack()
 			if err != nil {
@@ -96,7 +96,7 @@
 			_ = nc.(*net.TCPConn).SetLinger(0)
 			nc.Close()
 		}, say(change8))
-		d.patience, d.silence = patience, patience
+		d.patience, d.silence = testTimeout, testTimeout
 		go d.run(t.Context(), nil)
 		wantRevisions(t, got, 7, 8)
 		for _, want := range []string{"", "stream=1&index=7", "stream=1&index=7"} {
@@ -104,7 +104,7 @@
 				t.Errorf("cut at %d: asked %q, want %q", cut, q, want)
 			}
 		}
-		idle(t, fmt.Sprintf("a further question, cut at %d", cut), asked)
+		wantNone(t, fmt.Sprintf("a further question, cut at %d", cut), asked)
 	}
 }
 
@@ -116,8 +116,8 @@
 		"no members": `{"revision":9,"complete":true}`, "none at all": `null`, "another thing": `{"error":"later"}`,
 		"without end": `{"revision":8,"members":[` + strings.Repeat(`{"id":"a"},`, maxListLine/10),
 	} {
-		d, asked, got := script(t, listOf7, say(text+"\n"), say(change8))
-		d.patience, d.silence = patience, patience
+		d, asked, got := scriptedDiscovery(t, listOf7, say(text+"\n"), say(change8))
+		d.patience, d.silence = testTimeout, testTimeout
 		go d.run(t.Context(), nil)
 		wantRevisions(t, got, 7, 7, 8)
 		for _, want := range []string{"", "stream=1&index=7", "", "stream=1&index=7"} {
@@ -138,7 +138,7 @@
 		"trickles": trickle(`{"revision":8,"members":[`, " "),
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, _, got := script(t, listOf7, step, say(change8))
+			d, _, got := scriptedDiscovery(t, listOf7, step, say(change8))
 			d.silence = time.Hour
 			go d.run(t.Context(), nil)
 			wantRevisions(t, got, 7, 8)
@@ -152,7 +152,7 @@
 // A watch that says nothing but empty lines lives.
 func TestEmptyLinesTellThatAWatchLives(t *testing.T) {
 	over := make(chan struct{})
-	d, asked, got := script(t, listOf7, say(change8), func(w io.Writer, r *http.Request) {
+	d, asked, got := scriptedDiscovery(t, listOf7, say(change8), func(w io.Writer, r *http.Request) {
 		_, _ = io.WriteString(w, strings.Replace(change8, "8", "9", 1))
 		for begun := time.Now(); time.Since(begun) < 1500*time.Millisecond; time.Sleep(5 * time.Millisecond) {
 			_, _ = io.WriteString(w, "\n")
@@ -160,7 +160,7 @@
 		close(over)
 		<-r.Context().Done()
 	})
-	d.silence, d.patience = time.Second, patience
+	d.silence, d.patience = time.Second, testTimeout
 	go d.run(t.Context(), nil)
 	wantRevisions(t, got, 7, 8, 9) // the first falls silent
 	wait(t, "the second to have lived longer than silence may be", over)
--- a/internal/simulate/check.go
+++ b/internal/simulate/check.go
@@ -122,7 +122,7 @@
 		}
 	}
 	for _, g := range r.gateways {
-		if h := g.ingress.Held(); h.Clients+h.Backends+h.Requests != 0 || h.Memory != 0 {
+		if h := g.ingress.Usage(); h.Clients+h.Backends+h.Requests != 0 || h.Memory != 0 {
 			r.fault("%s holds %+v at the end", g.node.IP, h)
 		}
 		if n := g.node.Open(); n != 1 {
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -343,7 +343,7 @@
 			panic(err)
 		}
 	})
-	g.node.Loop.Post(func() { g.ingress.Asked() })
+	g.node.Loop.Post(func() { g.ingress.DiscoveryQueried() })
 	g.tell(true)
 }
 
@@ -387,7 +387,7 @@
 					g.told[b.name] = g.net.Now()
 				}
 			}
-			g.ingress.Members(list)
+			g.ingress.UpdateMembers(list)
 		})
 	})
 }
@@ -561,11 +561,11 @@
 			if g.node.Loop != loop {
 				return
 			}
-			if in.Held().Clients > 0 && g.net.Now() < until {
+			if in.Usage().Clients > 0 && g.net.Now() < until {
 				g.net.After(5*ms, look)
 				return
 			}
-			if n := in.Held().Requests; n > 0 && !over(g.down, until-2*mostEnding, g.net.Now()) {
+			if n := in.Usage().Requests; n > 0 && !over(g.down, until-2*mostEnding, g.net.Now()) {
 				g.fault("%s ends with %d requests open", g.node.IP, n)
 			}
 			g.node.Kill()
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -58,10 +58,10 @@
 	return c, errors.Join(faults...)
 }
 
-// First is the first key of a table that begins with one of the names, in their
+// FirstKey is the first key of a table that begins with one of the names, in their
 // order, or the table: a value that is wrong may follow from another, which the file
 // does hold.
-func (f *File) First(table string, names ...string) string {
+func (f *File) FirstKey(table string, names ...string) string {
 	for _, name := range names {
 		for _, k := range f.keys {
 			if len(k) == 2 && k[0] == table && strings.HasPrefix(k[1], name) {
@@ -80,8 +80,8 @@
 	f.add(f.line(key, n), key, fmt.Sprintf(format, args...))
 }
 
-// Addresses notes each of a key's addresses that is not host:port.
-func (f *File) Addresses(key string, list []string) {
+// CheckAddresses notes each of a key's addresses that is not host:port.
+func (f *File) CheckAddresses(key string, list []string) {
 	for _, address := range list {
 		if !IsAddress(address) {
 			f.Fault(key, "host:port each, not %q", address)
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -15,7 +15,7 @@
 	if file == nil {
 		t.Fatal(faults)
 	}
-	file.Addresses("peers", config.Peers)
+	file.CheckAddresses("peers", config.Peers)
 	want := `[2: peers: host:port each, not "b" 2: peers: host:port each, not "::1"]`
 	if got := fmt.Sprint(file.Faults()); got != want {
 		t.Errorf("faults %s, want %s", got, want)
