--- a/cmd/wickarch/faults_test.go
+++ b/cmd/wickarch/faults_test.go
@@ -186,13 +186,7 @@
 			t.Parallel()
 			f := startFaulty(t)
 			for range 8 { // these are busy: none of them makes room
-				id := newIDs(1)[0]
-				if err := f.dial().Send(standin.Lookup(hole, id, 20_000)...); err != nil {
-					t.Fatal(err)
-				}
-				for f.effects.Of(id) == 0 {
-					time.Sleep(time.Millisecond)
-				}
+				f.open(f.dial(), 20_000)
 			}
 			f.set(faultinject.Rule{Call: faultinject.Accept, Fault: fault, Share: 1, Most: 5})
 			begun := time.Now()
