--- a/internal/upstream/cause.go
+++ b/internal/upstream/cause.go
@@ -1,34 +1,35 @@
 package upstream
 
-// Cause tells why an attempt ended as it did, for logs and counts. Nothing decides by it.
+// Cause is the reason why an attempt ended as it did. It is for logs and counts. No decision depends on it, but
+// an attempt that ends with CauseForbidden never began and is not counted as one that did.
 type Cause uint8
 
-// The causes. None tells of an answer that was taken as it came.
+// The causes. Each constant is named like its printed value.
 const (
-	CauseNone          Cause = iota
-	CauseBackendGone         // the backend was told to be draining or gone
-	CauseNoPlace             // as many connections as there may be are busy
-	CauseNoDescriptor        // no descriptor was to be had until its time was up
-	CauseDialFailed          // the connection could not be begun
-	CauseRefused             // the connection ended before it was up, or before the first byte
-	CauseConnectLate         // the connection did not come up in time
-	CauseExpired             // the time for writing it was over
-	CauseWriteFailed         // the connection broke under the request
-	CauseAnsweredEarly       // something came before the request was whole
-	CauseReadFailed          // the connection broke or ended under the answer
-	CauseMalformed           // what came can't be read
-	CauseUnexpected          // what came is an answer to something else
-	CauseCopy                // what came is an earlier answer once more
-	CauseStalled             // the answer began and did not become whole
-	CauseDeadline            // nothing came in time
-	CauseCancelled           // the gateway gave it up
-	CauseWithdrawn           // its request was over before it was written
-	CauseForbidden           // the rule on requests forbids it
-	NumCauses                // how many there are
+	CauseNone          Cause = iota // the reply was accepted as it came
+	CauseBackendGone                // discovery reported the backend as draining or removed
+	CauseNoPlace                    // Config.MaxConnections connections are busy
+	CauseNoDescriptor               // no descriptor was free before the attempt's deadline
+	CauseDialFailed                 // the dial failed at once
+	CauseRefused                    // the connection ended before it was established or before the first byte was written
+	CauseConnectLate                // the connection was not established in time
+	CauseExpired                    // the time for writing the attempt was over
+	CauseWriteFailed                // the connection failed while the request was written
+	CauseAnsweredEarly              // data or an end arrived before the request was written completely
+	CauseReadFailed                 // the connection failed or ended before the reply was complete
+	CauseMalformed                  // the reply can't be parsed
+	CauseUnexpected                 // the reply belongs to something else
+	CauseCopy                       // the reply repeats an earlier one
+	CauseStalled                    // the reply began but was not completed in time
+	CauseDeadline                   // no reply arrived before the deadline
+	CauseCancelled                  // the gateway aborted the attempt
+	CauseWithdrawn                  // the request was over before the attempt was written
+	CauseForbidden                  // the request's lifecycle rules forbid the attempt
+	NumCauses
 )
 
 var causeNames = [NumCauses]string{"none", "backend-gone", "no-place", "no-descriptor", "dial-failed", "refused", "connect-late", "expired",
 	"write-failed", "answered-early", "read-failed", "malformed", "unexpected", "copy", "stalled", "deadline", "cancelled", "withdrawn", "forbidden"}
 
-// String names a cause as logs have it.
+// String returns the name used in logs and in the event counts.
 func (c Cause) String() string { return causeNames[c] }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -10,75 +10,75 @@
 	"wickarch/internal/reactor"
 )
 
-// state says what a connection does, and with it what is known of its attempt.
+// state is what a connection does. It also tells whether the connection's attempt may have run.
 type state uint8
 
 const (
-	waiting    state = iota // for a descriptor. Its attempt never ran
-	connecting              // coming up. Its attempt never ran
-	writing                 // up, and the last byte is not written. Its attempt never ran
-	written                 // the last byte is written. Its attempt may have run
-	answering               // part of the answer is here. Its attempt may have run
-	streaming               // the head of a large value is here, and its attempt has ended; a Stream reads on
-	trailing                // that value is whole, and the figures behind it are not here
-	idle                    // it carries none
+	awaitingDescriptor state = iota // the dial waits for a descriptor. The attempt never ran
+	connecting                      // the connection is being established. The attempt never ran
+	writing                         // connected, and the last byte is not written. The attempt never ran
+	written                         // the last byte is written. The attempt may have run
+	receiving                       // part of the reply has arrived. The attempt may have run
+	streaming                       // the head of a large value has arrived, and the attempt has ended; a Stream reads on
+	receivingTrailer                // the large value is complete, and its trailer is not
+	idle                            // no attempt
 	closed
 )
 
-// mayHaveRun tells whether the attempt on the connection may have run.
-func (s state) mayHaveRun() bool { return s == written || s == answering }
+// mayHaveRun reports whether the connection's attempt may have run.
+func (s state) mayHaveRun() bool { return s == written || s == receiving }
 
-// conn is a connection to a backend. It carries one attempt at a time: answers
-// come in order, and giving one up closes the connection.
+// conn is a connection to a backend. It carries one attempt at a time, because a
+// backend replies in order and aborting an attempt closes the connection.
 type conn struct {
-	pool    *Pool
-	to      *backend
-	net     reactor.Conn // nil while waiting
-	attempt *Attempt
-	timer   reactor.Timer
-	retry   time.Duration // while waiting: the next time it waits so long
-	upBy    time.Duration // connecting: it must be up before then
-	rest    []byte        // writing: what is not written yet, once a part is
-	builtAt time.Duration // writing: when the message was made, and the time that it tells was true
-	part    []byte        // answering: what is here
-	since   time.Duration // idle: since when
-	stallBy time.Duration // answering: the end must be here by then
-	last    uint64        // mark of the last value
-	history *history      // of what it has carried, while it is used without a full rest; else nil
-	state   state
-	stream  *Stream
-	carried *Attempt // streaming: the attempt whose value it is
-	plain   bool     // the last answer was no value: a copy of it could not be told
-	ended   bool     // the other side sends nothing more, or the connection is gone; told once
+	pool          *Pool
+	target        *backend
+	net           reactor.Conn // nil while awaitingDescriptor
+	attempt       *Attempt
+	timer         reactor.Timer
+	dialBackoff   time.Duration // awaitingDescriptor: delay before the next dial
+	connectBy     time.Duration // connecting: deadline
+	unwritten     []byte        // writing: rest of a message that was written in part
+	builtAt       time.Duration // writing: when the message, with the time left in it, was built
+	partial       []byte        // receiving: the part of the reply that has arrived
+	idleSince     time.Duration // idle
+	stallBy       time.Duration // receiving: deadline for the rest of the reply
+	lastHash      uint64        // of the last value
+	history       *history      // recent replies, while the connection is reused without a full cooldown; else nil
+	state         state
+	stream        *Stream
+	streamAttempt *Attempt // streaming: the attempt that the value belongs to
+	lastUnhashed  bool     // the last reply had no value to hash, so a copy of it can't be recognized
+	peerEnded     bool     // the peer sends nothing more or the connection is closed; an event reports it only once
 }
 
-// longestWrite is how long a message may take from its making to its last byte: the time that it tells its
-// backend counts from the making, and may be 150 ms too long.
-const longestWrite = 100 * time.Millisecond
+// maxWriteTime limits the time from building a message to writing its last byte. The time limit that a message
+// gives its backend counts from when it is built, and may be at most 150 ms too long.
+const maxWriteTime = 100 * time.Millisecond
 
 // dial opens a connection for an attempt.
 func (p *Pool) dial(b *backend, a *Attempt) {
-	c := &conn{pool: p, to: b, attempt: a, retry: dialRetry}
+	c := &conn{pool: p, target: b, attempt: a, dialBackoff: minDialBackoff}
 	c.timer.Owner = c
 	a.conn = c
 	p.open++
 	c.connect()
 }
 
-// connect begins to connect, or waits for a descriptor.
+// connect dials the backend, or schedules the next dial if the system can't dial now.
 func (c *conn) connect() {
 	p := c.pool
 	now := p.loop.Now()
-	nc, err := p.loop.Dial(c.to.addr, c)
-	short := errors.Is(err, reactor.ErrFiles)
-	if (short || errors.Is(err, reactor.ErrBusy)) && c.retry <= dialRetryMost {
-		// No fault of the backend's.
-		if short { // clients at rest make room
+	nc, err := p.loop.Dial(c.target.addr, c)
+	outOfDescriptors := errors.Is(err, reactor.ErrFiles)
+	if (outOfDescriptors || errors.Is(err, reactor.ErrBusy)) && c.dialBackoff <= maxDialBackoff {
+		// The cause is local and says nothing about the backend.
+		if outOfDescriptors { // the sink closes idle clients
 			p.sink.OutOfDescriptors()
 		}
-		c.state = waiting
-		p.loop.Set(&c.timer, min(now+c.retry, c.attempt.Deadline))
-		c.retry *= 2
+		c.state = awaitingDescriptor
+		p.loop.Set(&c.timer, min(now+c.dialBackoff, c.attempt.Deadline))
+		c.dialBackoff *= 2
 		return
 	}
 	if err != nil {
@@ -86,17 +86,17 @@
 		return
 	}
 	c.net, c.state = nc, connecting
-	c.upBy = min(now+p.cfg.ConnectTimeout, c.attempt.Deadline)
-	p.loop.Set(&c.timer, c.upBy)
+	c.connectBy = min(now+p.cfg.ConnectTimeout, c.attempt.Deadline)
+	p.loop.Set(&c.timer, c.connectBy)
 }
 
-// carry sends an attempt on an idle connection. It returns false if that can't
-// be used: nothing was written.
-func (c *conn) carry(a *Attempt) bool {
-	// What came since the poller was asked is seen here alone: an end, or a
-	// second copy of the last answer. Written to such a connection, a payment
-	// would be lost. Where rests have been empty, what can be repeated goes
-	// without the look.
+// tryReuse sends an attempt on an idle connection. It returns false, with nothing
+// written, if the connection can't be used.
+func (c *conn) tryReuse(a *Attempt) bool {
+	// Only this check sees what has arrived since the last poll: the connection's
+	// end, or a second copy of the last reply. A payment written to such a
+	// connection would be lost. A repeatable attempt skips the check on a trusted
+	// backend's connection that is reused without a full cooldown.
 	if (c.history == nil || !a.Repeatable) && c.net.Pending() {
 		c.closeUnsolicited()
 		return false
@@ -106,18 +106,18 @@
 	return true
 }
 
-// send writes the attempt on a connection that is up.
+// send writes the attempt on an established connection.
 func (c *conn) send() {
 	p, a := c.pool, c.attempt
-	// The last look before the first byte: a backend that was told to drain
-	// while the attempt waited for its connection must get nothing new.
-	// One that waited past the time for which it was decided goes no more, either.
+	// Last checks before the first byte: a backend that began to drain while the
+	// attempt waited for its connection must get nothing new, and an attempt that
+	// has waited past its write deadline is not sent.
 	now := p.loop.Now()
-	if c.to.stopped {
+	if c.target.stopped {
 		c.fail(choice.ConnectFailed, CauseBackendGone, nil)
 		return
 	}
-	if now >= a.until() {
+	if now >= a.writeDeadline() {
 		c.fail(choice.ConnectFailed, CauseExpired, nil)
 		return
 	}
@@ -125,69 +125,70 @@
 		p.Withdraw(a)
 		return
 	}
-	p.out = a.Message.AppendTo(p.out[:0], a.Deadline-now)
+	p.writeBuffer = a.Message.AppendTo(p.writeBuffer[:0], a.Deadline-now)
 	c.state, c.builtAt = writing, now
-	p.loop.Set(&c.timer, a.until())
-	c.write(p.out)
-	if cap(p.out) > 2*sharedBuffer {
-		p.out = nil
+	p.loop.Set(&c.timer, a.writeDeadline())
+	c.write(p.writeBuffer)
+	if cap(p.writeBuffer) > 2*sharedBufferSize {
+		p.writeBuffer = nil
 	}
 }
 
-// write writes b, and keeps what is not taken now.
+// write writes b, and keeps what the socket does not take now.
 func (c *conn) write(b []byte) {
 	n, err := c.net.Write(b)
 	switch {
 	case err == nil:
-		c.rest, c.state = nil, written
-		c.pool.loop.Set(&c.timer, c.attempt.Deadline) // until now it was that of the writing
+		c.unwritten, c.state = nil, written
+		c.pool.loop.Set(&c.timer, c.attempt.Deadline) // replaces the timer for writing
 		c.pool.sink.Written(c.attempt)
-	case errors.Is(err, reactor.ErrWait) && n == 0 && len(c.rest) == 0:
-		// Nothing of it has gone: it is made anew when something can, by what is true then.
+	case errors.Is(err, reactor.ErrWait) && n == 0 && len(c.unwritten) == 0:
+		// Nothing was written: send builds the message again, with the time left then, once the
+		// connection is writable.
 	case errors.Is(err, reactor.ErrWait):
-		if len(c.rest) == 0 {
-			c.rest = slices.Clone(b[n:])
-			c.pool.loop.Set(&c.timer, min(c.attempt.until(), c.builtAt+longestWrite))
+		if len(c.unwritten) == 0 {
+			c.unwritten = slices.Clone(b[n:])
+			c.pool.loop.Set(&c.timer, min(c.attempt.writeDeadline(), c.builtAt+maxWriteTime))
 		} else {
-			c.rest = b[n:]
+			c.unwritten = b[n:]
 		}
 	default:
 		c.fail(choice.ConnectFailed, CauseWriteFailed, err)
 	}
 }
 
-// Ready takes what happened on the connection.
+// Ready handles an event of the connection.
 func (c *conn) Ready(e reactor.Event) {
-	c.ended = c.ended || e&(reactor.Ended|reactor.Gone) != 0
+	c.peerEnded = c.peerEnded || e&(reactor.Ended|reactor.Gone) != 0
 	switch c.state {
 	case connecting:
 		if e&reactor.Gone != 0 || e&reactor.Writable == 0 {
 			c.fail(choice.ConnectFailed, CauseRefused, nil)
 			return
 		}
-		// Its attempt goes in the pool's turn: where the process stood still, what
-		// speaks against it (its client has left) may be told in this round, behind this.
-		c.pool.up = append(c.pool.up, c)
+		// Pool.Round sends the attempt after all events of this round: after a stall of
+		// the process, a later event may withdraw it (its client has disconnected).
+		c.pool.connected = append(c.pool.connected, c)
 	case writing:
 		if e&(reactor.Gone|reactor.Readable|reactor.Ended) != 0 {
-			// An answer to half a request is nobody's.
+			// Data before the request is complete can't be its reply.
 			c.fail(choice.ConnectFailed, CauseAnsweredEarly, nil)
 			return
 		}
-		if c.pool.loop.Now() >= c.attempt.until() {
+		if c.pool.loop.Now() >= c.attempt.writeDeadline() {
 			c.fail(choice.ConnectFailed, CauseExpired, nil)
 			return
 		}
-		if len(c.rest) == 0 {
+		if len(c.unwritten) == 0 {
 			c.send()
 		} else {
-			c.write(c.rest)
+			c.write(c.unwritten)
 		}
-	case written, answering:
+	case written, receiving:
 		if e&(reactor.Readable|reactor.Ended|reactor.Gone) != 0 {
 			c.read()
 		}
-	case streaming, trailing:
+	case streaming, receivingTrailer:
 		if e&(reactor.Readable|reactor.Ended|reactor.Gone) != 0 {
 			c.stream.ready()
 		}
@@ -198,40 +199,40 @@
 	}
 }
 
-// cameUp sends the attempt on a connection that has come up in this round.
-func (c *conn) cameUp() {
+// sendConnected sends the attempt on a connection that was established in this round.
+func (c *conn) sendConnected() {
 	switch {
-	case c.state != connecting: // withdrawn, or given up, meanwhile
+	case c.state != connecting: // withdrawn or aborted since
 	case c.net.Pending():
-		// A backend that takes no more connections may end it, or say so,
-		// before the first byte is written.
+		// A backend that accepts no more connections may close this one or send an
+		// error before the first byte is written.
 		c.fail(choice.ConnectFailed, CauseRefused, nil)
-	case c.pool.loop.Now() >= c.upBy:
+	case c.pool.loop.Now() >= c.connectBy:
 		c.fail(choice.ConnectFailed, CauseConnectLate, nil)
 	default:
 		c.send()
 	}
 }
 
-// closeUnsolicited closes a connection on which something came, or that ended, while it
-// carried nothing.
+// closeUnsolicited closes an idle connection on which data or the connection's end
+// has arrived.
 func (c *conn) closeUnsolicited() {
 	var one [1]byte
 	if n, _ := c.net.Read(one[:]); n > 0 {
-		c.pool.countViolation()
+		c.pool.countUnsolicited()
 	}
 	c.close()
 }
 
-// read takes the answer, or the part of it that is here.
+// read reads the reply, or the part of it that has arrived.
 func (c *conn) read() {
 	for c.state.mayHaveRun() {
-		buf := c.pool.in[:streamBuffer]
-		if c.part != nil {
-			if len(c.part) == cap(c.part) {
-				c.part = slices.Grow(c.part, len(c.part))
+		buf := c.pool.readBuffer[:streamBuffer]
+		if c.partial != nil {
+			if len(c.partial) == cap(c.partial) {
+				c.partial = slices.Grow(c.partial, len(c.partial))
 			}
-			buf = c.part[len(c.part):cap(c.part)]
+			buf = c.partial[len(c.partial):cap(c.partial)]
 		}
 		n, err := c.net.Read(buf)
 		if errors.Is(err, reactor.ErrWait) {
@@ -242,129 +243,130 @@
 			return
 		}
 		if c.state == written {
-			c.attempt.heard = c.pool.loop.Now()
+			c.attempt.firstByteAt = c.pool.loop.Now()
 		}
-		got := buf[:n]
-		if c.part != nil {
-			c.part = c.part[:len(c.part)+n]
-			got = c.part
+		received := buf[:n]
+		if c.partial != nil {
+			c.partial = c.partial[:len(c.partial)+n]
+			received = c.partial
 		}
-		reply, used, err := c.pool.nextReply(got)
+		reply, consumed, err := c.pool.parseReply(received)
 		switch {
-		case err != nil: // the backend lives and has run it
-			c.pool.countViolation()
+		case err != nil: // the backend is alive and has run the request
+			c.pool.countUnsolicited()
 			c.fail(choice.Error, CauseMalformed, err)
 			return
-		case used > 0 && reply.large > 0:
+		case consumed > 0 && reply.streamSize > 0:
 			if c.attempt.Probe {
-				c.pool.countViolation()
+				c.pool.countUnsolicited()
 				c.fail(choice.Error, CauseUnexpected, nil)
 				return
 			}
-			c.begin(reply, got[used:])
+			c.startStream(reply, received[consumed:])
 			return
-		case used > 0 && reply.Status == choice.Refused:
-			c.refused(reply, got[:used], c.behind(got[used:]))
+		case consumed > 0 && reply.Status == choice.Refused:
+			c.finishRefused(reply, received[:consumed], c.readExtra(received[consumed:]))
 			return
-		case used > 0:
-			c.answered(reply, len(got) > used)
+		case consumed > 0:
+			c.finish(reply, len(received) > consumed)
 			return
-		case c.part == nil:
-			c.part = append(make([]byte, 0, max(partLeast, 2*n)), got...)
+		case c.partial == nil:
+			c.partial = append(make([]byte, 0, max(minPartial, 2*n)), received...)
 		}
-		c.state = answering
-		// It has the request, and may not say more of it: the client's time is
-		// worth more than the hope for the rest.
-		c.stallBy = c.pool.loop.Now() + answerStall
+		c.state = receiving
+		// The backend has the request but may never complete the reply: fail early, so
+		// that the client does not wait until its deadline.
+		c.stallBy = c.pool.loop.Now() + replyStallTimeout
 		c.pool.loop.Set(&c.timer, min(c.stallBy, c.attempt.Deadline))
 	}
 }
 
-// refused ends the attempt with a refusal, if that is all there is. Half a line that came between
-// requests may stand in the same line, with the answer to this one behind it: it may have run.
-func (c *conn) refused(r Reply, line, behind []byte) {
-	if !repeats(behind, line) {
-		c.pool.countViolation()
+// finishRefused ends the attempt with a refusal if nothing but a copy of it follows. Half a line that the
+// backend sent between requests merges with the first line of the reply to this one; the rest of that reply
+// then follows, and the attempt may have run.
+func (c *conn) finishRefused(r Reply, line, extra []byte) {
+	if !isCopyOf(extra, line) {
+		c.pool.countUnsolicited()
 		c.fail(choice.Error, CauseUnexpected, nil)
 		return
 	}
-	c.answered(r, len(behind) > 0)
+	c.finish(r, len(extra) > 0)
 }
 
-// behind reads what stands behind an answer, of which some has been read already.
-func (c *conn) behind(some []byte) []byte {
-	all := slices.Clone(some)
-	var more [mostBehind]byte
-	for len(all) < mostBehind {
-		n, err := c.net.Read(more[:])
+// readExtra returns the bytes that follow a reply: those read already, and those that have arrived since.
+func (c *conn) readExtra(alreadyRead []byte) []byte {
+	extra := slices.Clone(alreadyRead)
+	var buf [maxExtra]byte
+	for len(extra) < maxExtra {
+		n, err := c.net.Read(buf[:])
 		if err != nil {
 			break // nothing more, or an end
 		}
-		all = append(all, more[:n]...)
+		extra = append(extra, buf[:n]...)
 	}
-	return all
+	return extra
 }
 
-const mostBehind = 256 // bytes read behind an answer, to tell whose it is
+const maxExtra = 256 // bytes read after a reply, to tell which request it belongs to
 
-// repeats tells whether what stands behind an answer is it once more, or a part of that.
-func repeats(behind, answer []byte) bool {
-	n := min(len(behind), len(answer))
-	return bytes.Equal(behind[:n], answer[:n])
+// isCopyOf reports whether the bytes that follow a reply are a copy of it or the beginning of one.
+func isCopyOf(extra, reply []byte) bool {
+	n := min(len(extra), len(reply))
+	return bytes.Equal(extra[:n], reply[:n])
 }
 
-const partLeast = 4 << 10
+const minPartial = 4 << 10 // initial size of conn.partial
 
-// answered ends the attempt with the answer; more tells that something stands
-// behind it already.
-func (c *conn) answered(r Reply, more bool) {
+// finish ends the attempt with its reply. hasExtra tells that more bytes have
+// arrived after the reply.
+func (c *conn) finish(r Reply, hasExtra bool) {
 	p, a := c.pool, c.attempt
 	now := p.loop.Now()
-	if more {
-		p.countViolation()
+	if hasExtra {
+		p.countUnsolicited()
 	}
-	if r.Status == choice.OK && a.Probe != (r.Value == nil) { // the answer to something else
-		p.countViolation()
+	if r.Status == choice.OK && a.Probe != (r.Value == nil) { // the reply to something else
+		p.countUnsolicited()
 		c.fail(choice.Error, CauseUnexpected, nil)
 		return
 	}
 	switch {
-	case a.Probe: // reports may well be alike, and can't be taken for an answer
-	case r.Value == nil: // so may refusals, but these can
-		c.plain = true
+	case a.Probe: // load reports may be equal, but are never taken for the reply to a request
+	case r.Value == nil: // refusals may be equal, and could be taken for the reply to a request
+		c.lastUnhashed = true
 	default:
-		c.plain, c.last = false, markOf(r)
-		c.to.proof.note(c.last, p.cfg.TrustThreshold)
+		c.lastUnhashed, c.lastHash = false, hashOf(r)
+		c.target.trust.addReply(c.lastHash, p.cfg.TrustThreshold)
 		if c.history != nil {
-			// As of when the request was written: a process that stood still reads
-			// late what came in time.
-			if c.history.has(c.last, a.started) { // once more: whose it is nobody can tell
-				p.countViolation()
+			// Compared as of when the request was written: after a stall, the process
+			// reads late what arrived in time.
+			if c.history.contains(c.lastHash, a.started) { // a copy, or an equal reply: they can't be told apart
+				p.countUnsolicited()
 				c.fail(choice.Error, CauseCopy, nil)
 				return
 			}
-			c.history.add(c.last, now)
+			c.history.add(c.lastHash, now)
 		}
 	}
-	c.attempt, c.part = nil, nil
-	if more || c.ended || a.fresh || c.to.stopped || p.byID[c.to.id] != c.to {
+	c.attempt, c.partial = nil, nil
+	if hasExtra || c.peerEnded || a.singleUse || c.target.stopped || p.byID[c.target.id] != c.target {
 		c.close()
 	} else {
-		c.state, c.since = idle, now
-		c.to.idle = append(c.to.idle, c)
-		// Well before the backend closes it: a request written to a connection
-		// that the backend has closed ends as a reset, which an unsafe request
-		// cannot repeat.
-		p.loop.Set(&c.timer, c.since+time.Duration(idleShare*float64(p.cfg.BackendIdleTimeout)))
+		c.state, c.idleSince = idle, now
+		c.target.idle = append(c.target.idle, c)
+		// Close it well before the backend does: a request written to a connection
+		// that the backend has closed ends as a reset, and a request that is not
+		// repeatable can't be retried then.
+		p.loop.Set(&c.timer, c.idleSince+time.Duration(idleTimeoutShare*float64(p.cfg.BackendIdleTimeout)))
 	}
-	p.end(a, r)
+	p.recordOutcome(a, r)
 }
 
-// Ring takes the end of the time that the state has.
+// Ring handles the timeout of the current state.
 func (c *conn) Ring() {
 	now := c.pool.loop.Now()
 	switch c.state {
-	case waiting:
+	case awaitingDescriptor:
 		if now >= c.attempt.Deadline {
 			c.fail(choice.ConnectFailed, CauseNoDescriptor, nil)
 		} else {
@@ -374,8 +376,8 @@
 		c.fail(choice.ConnectFailed, CauseConnectLate, nil)
 	case writing:
 		c.fail(choice.ConnectFailed, CauseExpired, nil)
-	case written, answering:
-		// What has come by now counts: a round that is late must not.
+	case written, receiving:
+		// A reply that has arrived by now counts, even if this round runs late.
 		if c.net.Pending() {
 			c.read()
 		}
@@ -383,47 +385,47 @@
 		case !c.state.mayHaveRun():
 		case now >= c.attempt.Deadline:
 			c.fail(choice.Timeout, CauseDeadline, nil)
-		case c.state == answering && now >= c.stallBy:
+		case c.state == receiving && now >= c.stallBy:
 			c.fail(choice.Error, CauseStalled, nil)
 		}
 	case streaming:
 		if c.net.Pending() {
-			c.stream.ready() // a round that is late must not count
+			c.stream.ready() // data that has arrived counts, even if this round runs late
 		} else {
 			c.stream.fail()
 		}
-	case trailing, idle:
+	case receivingTrailer, idle:
 		c.close()
 	}
 }
 
-// fail closes the connection and ends its attempt: as told if it may have run,
-// and else as one that never did. err is what the system said, nil where it said nothing.
+// fail closes the connection and ends its attempt, with the given status if it may
+// have run and otherwise as one that never ran. err is the system's error, if any.
 func (c *conn) fail(status choice.Status, cause Cause, err error) {
 	a := c.attempt
 	if !c.state.mayHaveRun() {
 		status = choice.ConnectFailed
 	}
-	c.close() // before the outcome is told: a second attempt must not overlap
+	c.close() // before the outcome is reported, so that a retry can't overlap
 	if a != nil {
-		c.pool.end(a, Reply{Status: status, Cause: cause, Err: err})
+		c.pool.recordOutcome(a, Reply{Status: status, Cause: cause, Err: err})
 	}
 }
 
-// close closes the connection. Its attempt, if any, is the caller's.
+// close closes the connection. The caller ends its attempt, if any.
 func (c *conn) close() {
 	if c.state == closed {
 		return
 	}
 	if c.state == idle {
-		if i := slices.Index(c.to.idle, c); i >= 0 { // not one that was taken just now
-			c.to.idle = slices.Delete(c.to.idle, i, i+1)
+		if i := slices.Index(c.target.idle, c); i >= 0 { // takeIdle has removed it already if it was about to be reused
+			c.target.idle = slices.Delete(c.target.idle, i, i+1)
 		}
 	}
 	if c.net != nil {
 		c.net.Close()
 	}
-	c.state, c.attempt, c.part, c.rest, c.carried = closed, nil, nil, nil, nil
+	c.state, c.attempt, c.partial, c.unwritten, c.streamAttempt = closed, nil, nil, nil, nil
 	c.pool.loop.Unset(&c.timer)
 	c.pool.open--
 }
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	maxFigures  = 2048 // bytes of a load report or the figures on use
-	answerParts = 3
-	mostUsed    = 10_000  // percent: no customer uses a hundred times his quota
-	mostLoad    = 100_000 // requests held, or milliseconds of service
+	maxReportLength = 2048 // bytes of a load or usage report
+	replyElements   = 3
+	maxUsedPercent  = 10_000  // no customer uses more than a hundred times its quota
+	maxLoadValue    = 100_000 // requests in flight, or milliseconds of service time
 )
 
-// Reply is what a backend answered to a request or a probe.
+// Reply is a backend's reply to a request or a probe, or the reason why there is none.
 type Reply struct {
 	Status  choice.Status
-	Value   []byte // the value; nil without one
-	Metered bool
-	Used    float64       // the customer's use, as a share of its rate; where Metered
-	Age     time.Duration // since the answer began to come
+	Value   []byte        // nil if there is none
+	Metered bool          // the reply had a usage report
+	Used    float64       // Metered: the customer's usage as a share of its rate
+	Age     time.Duration // since the first byte of the reply
 	Load    choice.Load
-	Stream  *Stream // in place of Value, where that is large
-	Cause   Cause   // why the attempt ended without an answer that could be taken
-	Err     error   // what the system said then; nil where it said nothing
+	Stream  *Stream // in place of Value, if the value is large
+	Cause   Cause   // why the attempt ended without an acceptable reply
+	Err     error   // the system's or parser's error then, if any
 
-	large int // the size of a value that is to be streamed; what follows is not read yet
+	streamSize int // size of a value to be streamed, of which only the head was parsed; otherwise 0
 }
 
-// nextReply takes the first whole answer off buf; n is 0 while it is not
-// whole. An error tells that it can never be read: waiting for more would hold
-// the request until its time is up. The value is a copy.
-func (p *Pool) nextReply(buf []byte) (r Reply, n int, err error) {
+// parseReply parses the first reply in buf, of n bytes; n is 0 while it is
+// incomplete. An error means that no further bytes can make it valid: waiting for
+// more would hold the request until its deadline. The value is a copy.
+func (p *Pool) parseReply(buf []byte) (r Reply, n int, err error) {
 	r.Status = choice.Error
 	if len(buf) == 0 {
 		return r, 0, nil
 	}
 	switch buf[0] {
 	case '*':
-		return p.served(buf)
-	case '$': // the answer to a probe
-		data, n, err := resp.BulkOrNull(buf, maxFigures)
+		return p.parseServed(buf)
+	case '$': // the reply to a probe
+		data, n, err := resp.BulkOrNull(buf, maxReportLength)
 		if n > 0 && data != nil {
 			r.Status = choice.OK
-			p.note(&r, data)
+			p.parseReport(&r, data)
 		}
 		return r, n, err
 	case '-':
@@ -55,12 +55,12 @@
 			return r, 0, err
 		}
 		words := bytes.Fields(text)
-		// A line that is spoilt proves nothing, whatever it begins with.
+		// A corrupted line does not prove a refusal, whatever it begins with.
 		if len(words) > 0 && string(words[0]) == "BUSY" && resp.Printable(text) {
 			r.Status = choice.Refused
 		}
 		for _, word := range words {
-			p.note(&r, word)
+			p.parseReport(&r, word)
 		}
 		return r, n, nil
 	case '+', ':':
@@ -70,95 +70,96 @@
 	return r, 0, resp.ErrMalformed
 }
 
-// served takes an answer with a value: the value, the figures on use and the
-// load report. The latter two may be null, and are left out if they can't be
-// read; the value is as good without them.
-func (p *Pool) served(buf []byte) (r Reply, n int, err error) {
+// parseServed parses a reply with a value: the value, the usage report and the load
+// report. The reports may be null, and are left out if they can't be parsed; the
+// value is valid without them.
+func (p *Pool) parseServed(buf []byte) (r Reply, n int, err error) {
 	r.Status = choice.Error
 	count, n, err := resp.Length(buf)
 	if err != nil || n == 0 {
 		return r, 0, err
 	}
-	if count != answerParts {
+	if count != replyElements {
 		return r, 0, resp.ErrMalformed
 	}
 	if n < len(buf) && buf[n] == '$' {
-		if size, used, malformed := resp.Length(buf[n:]); malformed == nil && used > 0 && large(size) {
-			r.Status, r.large = choice.OK, size
-			return r, n + used, nil
+		if size, consumed, malformed := resp.Length(buf[n:]); malformed == nil && consumed > 0 && isStreamed(size) {
+			r.Status, r.streamSize = choice.OK, size
+			return r, n + consumed, nil
 		}
 	}
-	value, used, err := resp.BulkOrNull(buf[n:], resp.MaxValue)
-	if err != nil || used == 0 {
+	value, consumed, err := resp.BulkOrNull(buf[n:], resp.MaxValue)
+	if err != nil || consumed == 0 {
 		return r, 0, err
 	}
-	n += used
-	used, err = p.figures(&r, buf[n:], count-1)
-	if err != nil || used == 0 {
+	n += consumed
+	consumed, err = p.parseTrailer(&r, buf[n:], count-1)
+	if err != nil || consumed == 0 {
 		return r, 0, err
 	}
-	n += used
+	n += consumed
 	if value != nil {
 		r.Status, r.Value = choice.OK, append(make([]byte, 0, len(value)), value...)
 	}
 	return r, n, nil
 }
 
-// figures takes so many parts with figures off buf into r.
-func (p *Pool) figures(r *Reply, buf []byte, parts int) (n int, err error) {
-	for ; parts > 0; parts-- {
-		var figures []byte
-		var used int
+// parseTrailer parses this many array elements with reports from buf into r.
+func (p *Pool) parseTrailer(r *Reply, buf []byte, elements int) (n int, err error) {
+	for ; elements > 0; elements-- {
+		var report []byte
+		var consumed int
 		if n < len(buf) && bytes.IndexByte([]byte("+-:"), buf[n]) >= 0 {
-			_, used, err = resp.Line(buf[n:])
+			_, consumed, err = resp.Line(buf[n:])
 		} else {
-			figures, used, err = resp.BulkOrNull(buf[n:], maxFigures)
+			report, consumed, err = resp.BulkOrNull(buf[n:], maxReportLength)
 		}
-		if err != nil || used == 0 {
+		if err != nil || consumed == 0 {
 			return 0, err
 		}
-		p.note(r, figures)
-		n += used
+		p.parseReport(r, report)
+		n += consumed
 	}
 	return n, nil
 }
 
-// note takes figures such as used=37 or inflight=7,latency_ms=12 into r. Those
-// that can't be read, or are beyond reason, are left out with all that stands
-// beside them: what is spoilt in one place is not to be believed in another.
-func (p *Pool) note(r *Reply, word []byte) {
-	if bytes.IndexByte(word, '=') < 0 {
+// parseReport parses a usage or load report, such as used=37 or
+// inflight=7,latency_ms=12, into r. A report with a field that can't be parsed or is
+// out of range is left out as a whole: corrupted in one field, it can't be trusted in
+// another.
+func (p *Pool) parseReport(r *Reply, report []byte) {
+	if bytes.IndexByte(report, '=') < 0 {
 		return
 	}
-	var got Reply
-	var fields uint
-	for pair := range strings.SplitSeq(string(word), ",") {
+	var parsed Reply
+	var seen uint // bit set of ReportFields
+	for pair := range strings.SplitSeq(string(report), ",") {
 		name, text, _ := strings.Cut(pair, "=")
 		value, err := resp.Decimal(text)
 		if err != nil {
 			return
 		}
 		if name == "used" {
-			if got.Metered || value > mostUsed {
+			if parsed.Metered || value > maxUsedPercent {
 				return
 			}
-			got.Metered, got.Used = true, value/100
+			parsed.Metered, parsed.Used = true, value/100
 		}
 		for i, field := range p.cfg.ReportFields {
-			if field == name && i < len(got.Load.Values) {
-				if fields&(1<<i) != 0 || value > mostLoad {
+			if field == name && i < len(parsed.Load.Values) {
+				if seen&(1<<i) != 0 || value > maxLoadValue {
 					return
 				}
-				fields |= 1 << i
-				got.Load.Values[i] = value
+				seen |= 1 << i
+				parsed.Load.Values[i] = value
 			}
 		}
 	}
-	if got.Metered {
-		r.Metered, r.Used = true, got.Used
+	if parsed.Metered {
+		r.Metered, r.Used = true, parsed.Used
 	}
-	if n := min(len(p.cfg.ReportFields), len(got.Load.Values)); n > 0 && fields == 1<<n-1 {
-		got.Load.N = n
-		r.Load = got.Load
+	if n := min(len(p.cfg.ReportFields), len(parsed.Load.Values)); n > 0 && seen == 1<<n-1 {
+		parsed.Load.N = n
+		r.Load = parsed.Load
 	}
 }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -11,110 +11,110 @@
 	"wickarch/internal/resp"
 )
 
-// Values past resp.MaxValue are not held: their attempt ends with a stream, and
-// whoever it is for takes the value from it at its own pace. While it does not
-// read, nothing is read from the backend either. What is held of one is bounded
-// by streamBuffer on the way in.
+// Values larger than resp.MaxValue are not buffered: their attempt ends with a Stream,
+// from which the client's side reads the value at its own pace. While it does not read,
+// nothing is read from the backend. Of one value, at most streamBuffer bytes are
+// buffered.
 
 const (
-	// streamBuffer bounds what is read of an answer before it is known to be large.
+	// streamBuffer limits what is read of a reply before its value is known to be large.
 	streamBuffer = 16 << 10
-	// streamStall is how long a backend may say nothing within a value while
-	// somebody waits for more.
-	streamStall = 5 * time.Second
-	// tailStall is how long the figures behind a value may take; they are worth no more.
-	tailStall = 300 * time.Millisecond
+	// streamStallTimeout is how long a backend may send nothing within a value while
+	// the reader waits for more.
+	streamStallTimeout = 5 * time.Second
+	// trailerTimeout is how long the trailer of a value may take; its reports are not worth a longer wait.
+	trailerTimeout = 300 * time.Millisecond
 )
 
-// ErrBroken tells that the rest of a value will never come, or that what came is
-// none. What was passed on of it can't be taken back.
-var ErrBroken = errors.New("the value broke off")
+// ErrBroken means that the rest of a value will never arrive or is not as announced.
+// The part of it that was passed on can't be taken back.
+var ErrBroken = errors.New("the stream ended before the value was complete")
 
-// Stream is a large value on its way from a backend. Its methods belong to the
-// reactor's goroutine. It must be read to its end or closed.
+// Stream is a large value that is being received from a backend. Its methods must be
+// called on the reactor's goroutine. It must be read to its end or closed.
 type Stream struct {
-	conn   *conn
-	size   int
-	left   int    // bytes of the value that were not read
-	held   []byte // read from the connection already
-	tail   []byte // behind the value: its end, figures on use, load report
-	closed bool
-	broken bool
-	whole  bool // the value's end has been seen
-	notify func()
+	conn      *conn
+	size      int
+	remaining int    // bytes of the value that Read has not returned
+	buffered  []byte // received, but not returned by Read
+	trailer   []byte // what follows the value: CRLF, usage report, load report
+	closed    bool
+	broken    bool
+	complete  bool // the CRLF after the value has arrived
+	notify    func()
 }
 
-// Size is the length of the value in bytes.
+// Size returns the length of the value in bytes.
 func (s *Stream) Size() int { return s.size }
 
-// Notify names what is called when a Read that returned reactor.ErrWait is worth
-// another try. It must not call Read itself.
+// Notify sets the function that is called when a Read that returned reactor.ErrWait
+// should be tried again. f must not call Read itself.
 func (s *Stream) Notify(f func()) { s.notify = f }
 
-// Read reads the next part of the value. It returns reactor.ErrWait if nothing is
-// here now, io.EOF once the value is whole, and ErrBroken if it never will be.
-// The value's end is checked before io.EOF is told: who passes it on bit by bit
-// can keep back what makes it whole.
+// Read reads the next part of the value. It returns reactor.ErrWait if nothing has
+// arrived, io.EOF once the value is complete, and ErrBroken if it never will be. The
+// CRLF after the value is checked before io.EOF is returned, so a caller that forwards
+// the value in parts can withhold what would make it complete.
 func (s *Stream) Read(b []byte) (int, error) {
 	switch {
 	case s.broken || s.closed:
 		return 0, ErrBroken
-	case s.left == 0:
-		return 0, s.end()
+	case s.remaining == 0:
+		return 0, s.readEnd()
 	}
 	c := s.conn
-	if len(s.held) > 0 {
-		n := copy(b, s.held[:min(len(s.held), s.left)])
-		s.held = s.held[n:]
-		s.left -= n
+	if len(s.buffered) > 0 {
+		n := copy(b, s.buffered[:min(len(s.buffered), s.remaining)])
+		s.buffered = s.buffered[n:]
+		s.remaining -= n
 		c.pool.loop.Unset(&c.timer)
 		return n, nil
 	}
-	n, err := c.net.Read(b[:min(len(b), s.left)])
+	n, err := c.net.Read(b[:min(len(b), s.remaining)])
 	switch {
 	case errors.Is(err, reactor.ErrWait):
-		c.pool.loop.Set(&c.timer, c.pool.loop.Now()+streamStall)
+		c.pool.loop.Set(&c.timer, c.pool.loop.Now()+streamStallTimeout)
 		return 0, err
 	case err != nil:
 		s.fail()
 		return 0, ErrBroken
 	}
-	// No deadline runs while it is not asked for more.
+	// No timeout runs while the reader does not ask for more.
 	c.pool.loop.Unset(&c.timer)
-	s.left -= n
+	s.remaining -= n
 	return n, nil
 }
 
-// Close gives the value up. It does nothing to one that was read to its end.
+// Close aborts the stream. It does nothing after the value was read to its end.
 func (s *Stream) Close() {
-	if !s.closed && !s.whole {
+	if !s.closed && !s.complete {
 		s.closed = true
 		s.notify = nil
 		s.conn.close()
 	}
 }
 
-// end reads what stands behind the value.
-func (s *Stream) end() error {
-	if s.whole {
+// readEnd reads and checks the CRLF after the value.
+func (s *Stream) readEnd() error {
+	if s.complete {
 		return io.EOF
 	}
 	c := s.conn
-	if s.tail == nil {
-		s.tail, s.held = append(make([]byte, 0, 256), s.held...), nil
+	if s.trailer == nil {
+		s.trailer, s.buffered = append(make([]byte, 0, 256), s.buffered...), nil
 	}
 	for {
-		if n := min(len(s.tail), len(lineEnd)); !bytes.Equal(s.tail[:n], lineEnd[:n]) {
-			s.fail() // longer or shorter than it said
+		if n := min(len(s.trailer), len(crlf)); !bytes.Equal(s.trailer[:n], crlf[:n]) {
+			s.fail() // longer or shorter than announced
 			return ErrBroken
-		} else if n == len(lineEnd) {
-			s.whole = true
+		} else if n == len(crlf) {
+			s.complete = true
 			s.notify = nil
-			s.figures()
+			s.finishTrailer()
 			return io.EOF
 		}
-		if err := s.more(); errors.Is(err, reactor.ErrWait) {
-			c.pool.loop.Set(&c.timer, c.pool.loop.Now()+streamStall)
+		if err := s.readMore(); errors.Is(err, reactor.ErrWait) {
+			c.pool.loop.Set(&c.timer, c.pool.loop.Now()+streamStallTimeout)
 			return err
 		} else if err != nil {
 			s.fail()
@@ -123,37 +123,37 @@
 	}
 }
 
-var lineEnd = []byte("\r\n")
+var crlf = []byte("\r\n")
 
-// more reads on behind the value.
-func (s *Stream) more() error {
+// readMore reads more of the trailer.
+func (s *Stream) readMore() error {
 	c := s.conn
-	n, err := c.net.Read(c.pool.in[:tailMost])
-	s.tail = append(s.tail, c.pool.in[:n]...)
+	n, err := c.net.Read(c.pool.readBuffer[:maxTrailer])
+	s.trailer = append(s.trailer, c.pool.readBuffer[:n]...)
 	return err
 }
 
-const tailMost = 2*maxFigures + 64 // the longest figures
+const maxTrailer = 2*maxReportLength + 64 // bytes of the two reports with their framing
 
-// figures reads the figures behind the value, tells them, and ends the connection:
-// a second copy of a large value could not be told from the next answer.
-func (s *Stream) figures() {
+// finishTrailer reads the reports after the value, passes them to the sink and closes the
+// connection: a second copy of a large value could not be told from the next reply.
+func (s *Stream) finishTrailer() {
 	c := s.conn
 	p := c.pool
-	c.state = trailing
+	c.state = receivingTrailer
 	for {
 		var r Reply
-		at, err := p.figures(&r, s.tail[len(lineEnd):], answerParts-1)
-		if err == nil && at > 0 {
-			r.Age = p.loop.Now() - c.carried.heard
-			p.sink.Trailer(c.carried, r)
+		consumed, err := p.parseTrailer(&r, s.trailer[len(crlf):], replyElements-1)
+		if err == nil && consumed > 0 {
+			r.Age = p.loop.Now() - c.streamAttempt.firstByteAt
+			p.sink.Trailer(c.streamAttempt, r)
 			break
 		}
-		if err != nil || len(s.tail) > tailMost {
+		if err != nil || len(s.trailer) > maxTrailer {
 			break
 		}
-		if err := s.more(); errors.Is(err, reactor.ErrWait) {
-			p.loop.Set(&c.timer, p.loop.Now()+tailStall)
+		if err := s.readMore(); errors.Is(err, reactor.ErrWait) {
+			p.loop.Set(&c.timer, p.loop.Now()+trailerTimeout)
 			return
 		} else if err != nil {
 			break
@@ -162,7 +162,7 @@
 	c.close()
 }
 
-// fail ends a value that can't become whole.
+// fail ends a stream whose value can't become complete.
 func (s *Stream) fail() {
 	s.broken = true
 	s.conn.close()
@@ -171,25 +171,25 @@
 	}
 }
 
-// ready tells that there is something to read.
+// ready handles an event that there is something to read.
 func (s *Stream) ready() {
-	if s.conn.state == trailing {
-		s.figures()
+	if s.conn.state == receivingTrailer {
+		s.finishTrailer()
 	} else if s.notify != nil {
 		s.notify()
 	}
 }
 
-// begin turns the connection to a stream, behind the head of a large value. rest
-// is what has been read behind the head.
-func (c *conn) begin(r Reply, rest []byte) {
+// startStream ends the attempt with a stream, after the head of a large value. received
+// is what has been read after the head.
+func (c *conn) startStream(r Reply, received []byte) {
 	a := c.attempt
-	s := &Stream{conn: c, size: r.large, left: r.large, held: append([]byte(nil), rest...)}
-	c.stream, c.carried, c.state = s, a, streaming
-	c.attempt, c.part = nil, nil
+	s := &Stream{conn: c, size: r.streamSize, remaining: r.streamSize, buffered: append([]byte(nil), received...)}
+	c.stream, c.streamAttempt, c.state = s, a, streaming
+	c.attempt, c.partial = nil, nil
 	c.pool.loop.Unset(&c.timer)
-	c.pool.end(a, Reply{Status: choice.OK, Stream: s})
+	c.pool.recordOutcome(a, Reply{Status: choice.OK, Stream: s})
 }
 
-// large tells whether a value of so many bytes is one to be streamed.
-func large(size int) bool { return size > resp.MaxValue && size <= resp.MaxStreamedValue }
+// isStreamed reports whether a value of this many bytes is streamed.
+func isStreamed(size int) bool { return size > resp.MaxValue && size <= resp.MaxStreamedValue }
--- a/internal/upstream/trust.go
+++ b/internal/upstream/trust.go
@@ -6,123 +6,125 @@
 	"time"
 )
 
-// When may a connection that has carried an answer carry the next request?
+// This file decides when a connection that has carried a reply may carry the next
+// request.
 //
-// A backend may send a second copy of an answer, or noise, behind it, and
-// nothing in an answer tells whose it is: a connection used again before that
-// has come would serve the next request with it. So a connection rests first.
-// A rest for each costs connections at high rates: 23,000 requests a second and
-// 25 ms are 575 connections, each cold in every cache when its turn comes.
+// A backend may send a second copy of a reply, or other bytes, after a reply, and
+// nothing in a reply tells which request it belongs to: on a connection that is
+// reused too early, the next request would get the copy. So a connection must be
+// idle for reuseCooldown first. A cooldown for every reuse costs connections at high
+// rates: 23,000 requests a second and 25 ms need 575 connections, each cold in every
+// cache when it is reused.
 //
-// So the rest is lifted where it has been shown to be empty. A backend earns it
-// by proofMost rests in a row, of full length, that nothing came in, while each
-// answer differs from the historySize before it. Then a copy betrays itself: it
-// equals an answer that its own connection has carried within the time of a
-// rest. It is not passed on, and all backends have to earn their trust anew, as
-// they have after any other byte that nobody asked for. Refusals and errors are
-// all alike, so behind one its connection rests in full all the same. So no copy
-// that comes within the time of a rest is taken for another's answer, trusted or
-// not. At low rates little is earned, and nothing lost: a rest is over long
+// So a trusted backend's connections are reused without a cooldown. A backend is
+// trusted after TrustThreshold full cooldowns in a row in which nothing arrived, while
+// each reply differs from the historySize replies before it. A copy is then recognized:
+// it equals a reply that its own connection has received within reuseCooldown. It is
+// not passed on, and all backends lose their trust, as they do after any other
+// unsolicited byte. Refusals and errors are all alike, so after one of them a
+// connection always needs the full cooldown. So a copy that arrives within
+// reuseCooldown is never taken for the reply to another request, trusted or not. At
+// low rates little trust is gained, and nothing is lost: the cooldown is over long
 // before the next request.
 const (
-	fullRest    = 25 * time.Millisecond
-	usualProof  = 1000
-	historySize = 32
+	reuseCooldown         = 25 * time.Millisecond
+	defaultTrustThreshold = 1000
+	historySize           = 32
 )
 
-// proof is what one backend has shown.
-type proof struct {
-	clean      int    // rests in a row that nothing came in
-	violations uint64 // of the pool, as of when the count began
-	seen       [historySize]uint64
-	next       int
+// trustRecord is the evidence for trusting one backend.
+type trustRecord struct {
+	cleanCooldowns int    // full cooldowns in a row in which nothing arrived
+	unsolicited    uint64 // Pool.unsolicited when the count began
+	recentHashes   [historySize]uint64
+	next           int
 }
 
-// history is what one connection has carried of late.
+// history holds the recent replies of one connection.
 type history struct {
-	marks [historySize]uint64
-	at    [historySize]time.Duration
-	next  int
+	hashes [historySize]uint64
+	times  [historySize]time.Duration
+	next   int
 }
 
-func (h *history) add(mark uint64, now time.Duration) {
-	h.marks[h.next], h.at[h.next] = mark, now
+func (h *history) add(hash uint64, now time.Duration) {
+	h.hashes[h.next], h.times[h.next] = hash, now
 	h.next = (h.next + 1) % historySize
 }
 
-// has tells whether the connection has carried such an answer within the time
-// of a rest.
-func (h *history) has(mark uint64, now time.Duration) bool {
-	for i, m := range h.marks {
-		if m == mark && h.at[i] > 0 && now-h.at[i] < fullRest {
+// contains reports whether the connection has received a reply with this hash within
+// reuseCooldown.
+func (h *history) contains(hash uint64, now time.Duration) bool {
+	for i, other := range h.hashes {
+		if other == hash && h.times[i] > 0 && now-h.times[i] < reuseCooldown {
 			return true
 		}
 	}
 	return false
 }
 
-// full tells that one more answer would push out one that a copy may still
-// come of.
+// full reports whether one more reply would replace one of which a copy may still
+// arrive.
 func (h *history) full(now time.Duration) bool {
-	return h.at[h.next] > 0 && now-h.at[h.next] < fullRest
+	return h.times[h.next] > 0 && now-h.times[h.next] < reuseCooldown
 }
 
-var seed = maphash.MakeSeed()
+var hashSeed = maphash.MakeSeed()
 
-// markOf tells one answer from another, by the value alone: a copy may bring
-// other figures.
-func markOf(r Reply) uint64 { return maphash.Bytes(seed, r.Value) }
+// hashOf hashes the value of a reply alone: a copy may have other usage and load
+// fields.
+func hashOf(r Reply) uint64 { return maphash.Bytes(hashSeed, r.Value) }
 
-// countViolation notes that something came that nobody asked for.
-func (p *Pool) countViolation() { p.violations++ }
+// countUnsolicited counts bytes that are not the reply to a request: extra, malformed or copied.
+func (p *Pool) countUnsolicited() { p.unsolicited++ }
 
-// trusted tells whether connections of the backend need no rest.
+// trusted reports whether the backend's connections need no cooldown.
 func (p *Pool) trusted(b *backend) bool {
-	return b.proof.clean >= p.cfg.TrustThreshold && b.proof.violations == p.violations
+	return b.trust.cleanCooldowns >= p.cfg.TrustThreshold && b.trust.unsolicited == p.unsolicited
 }
 
-// rested notes a rest of full length that nothing came in.
-func (p *Pool) rested(b *backend) {
-	if b.proof.violations != p.violations {
-		b.proof.clean, b.proof.violations = 0, p.violations
+// countCleanCooldown counts a full cooldown in which nothing arrived.
+func (p *Pool) countCleanCooldown(b *backend) {
+	if b.trust.unsolicited != p.unsolicited {
+		b.trust.cleanCooldowns, b.trust.unsolicited = 0, p.unsolicited
 	}
-	b.proof.clean = min(b.proof.clean+1, p.cfg.TrustThreshold)
+	b.trust.cleanCooldowns = min(b.trust.cleanCooldowns+1, p.cfg.TrustThreshold)
 }
 
-// note takes the mark of an answer towards the proof: while answers are alike,
-// a copy could not be told from the next one.
-func (p *proof) note(mark uint64, most int) {
-	if p.clean >= most {
+// addReply records a reply. An equal reply resets the count: while replies are equal,
+// a copy can't be told from the next reply.
+func (p *trustRecord) addReply(hash uint64, threshold int) {
+	if p.cleanCooldowns >= threshold {
 		return
 	}
-	if slices.Contains(p.seen[:], mark) {
-		p.clean = 0
+	if slices.Contains(p.recentHashes[:], hash) {
+		p.cleanCooldowns = 0
 	}
-	p.seen[p.next] = mark
+	p.recentHashes[p.next] = hash
 	p.next = (p.next + 1) % historySize
 }
 
-// take takes a kept connection that may carry a request now.
-func (p *Pool) take(b *backend, now time.Duration) *conn {
-	if !p.trusted(b) { // the longest rested
-		if len(b.idle) == 0 || now-b.idle[0].since < fullRest {
+// takeIdle removes and returns an idle connection that may carry a request now, or nil.
+func (p *Pool) takeIdle(b *backend, now time.Duration) *conn {
+	if !p.trusted(b) { // the longest idle connection, after a full cooldown
+		if len(b.idle) == 0 || now-b.idle[0].idleSince < reuseCooldown {
 			return nil
 		}
 		c := b.idle[0]
-		p.rested(b)
+		p.countCleanCooldown(b)
 		b.idle = append(b.idle[:0], b.idle[1:]...)
 		c.history = nil
 		return c
 	}
-	for i := len(b.idle) - 1; i >= 0; i-- { // the last used: it is warm
+	for i := len(b.idle) - 1; i >= 0; i-- { // the last used first: it is warm in the caches
 		c := b.idle[i]
-		if now-c.since >= fullRest {
+		if now-c.idleSince >= reuseCooldown {
 			c.history = nil
-		} else if c.plain {
+		} else if c.lastUnhashed {
 			continue
 		} else if c.history == nil {
 			c.history = &history{}
-			c.history.add(c.last, c.since)
+			c.history.add(c.lastHash, c.idleSince)
 		} else if c.history.full(now) {
 			continue
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,10 +1,10 @@
-// Package upstream holds the connections to backends and carries attempts and
-// probes out on them. It decides nothing of requests: it is told which backend,
-// and tells how each attempt ended and whether it may have run.
+// Package upstream is the pool of connections to backends; attempts and probes run
+// on them. It makes no decisions about requests: the caller chooses the backend, and
+// the pool reports how each attempt ended and whether it may have run.
 //
 // All of it runs on the reactor's goroutine. Each connection is a small state
-// machine (conn.go); its state says what is known of the attempt that it
-// carries. How soon a connection is used again is decided in trust.go.
+// machine (conn.go), whose state tells whether its attempt may have run. trust.go
+// decides how soon a connection is reused.
 package upstream
 
 import (
@@ -17,146 +17,148 @@
 )
 
 const (
-	idleShare = 0.6 // of the time after which a backend closes an idle connection
-	// Kept connections may be reset at their next request, which then may have
-	// run. While more than staleMost of them are, of late, what can't be repeated
-	// goes on new ones; staleWeight is the weight of one attempt in that share.
-	staleMost   = 0.02
-	staleWeight = 0.05
-	// answerStall is how long an answer that has begun may say nothing before its end.
-	answerStall = 300 * time.Millisecond
-	// A dial that finds no descriptor is tried again after dialRetry and twice
-	// as long each time, up to dialRetryMost.
-	dialRetry     = 2 * time.Millisecond
-	dialRetryMost = 64 * time.Millisecond
+	idleTimeoutShare = 0.6 // idle connections are closed after this share of the backend's idle timeout
+	// A reused connection may be reset at its next request, which then may have run.
+	// While the recent share of such resets exceeds maxResetRate, attempts that are not
+	// repeatable use new connections. resetRateWeight is the weight of one attempt in
+	// that moving average.
+	maxResetRate    = 0.02
+	resetRateWeight = 0.05
+	// replyStallTimeout is how long a reply that has begun may pause before its end.
+	replyStallTimeout = 300 * time.Millisecond
+	// A dial for which the system has no descriptor, port, buffer or route is retried
+	// after minDialBackoff, which doubles each time up to maxDialBackoff.
+	minDialBackoff = 2 * time.Millisecond
+	maxDialBackoff = 64 * time.Millisecond
 )
 
-// Config bounds the connections.
+// Config configures a Pool.
 type Config struct {
-	MaxConnections     int           // at once, those coming up among them
-	BackendIdleTimeout time.Duration // a backend closes connections idle for so long
+	MaxConnections     int           // at the same time, including those being established
+	BackendIdleTimeout time.Duration // after which a backend closes an idle connection
 	ConnectTimeout     time.Duration
-	ReportFields       []string // the fields of a load report, in their order
-	TrustThreshold     int      // rests in a row that earn a backend trust (trust.go); 0: 1,000
+	ReportFields       []string // names of the fields of a load report, in the order of choice.Load.Values
+	TrustThreshold     int      // clean cooldowns in a row until a backend is trusted (trust.go); 0: 1,000
 }
 
-// Message is what an attempt sends. wait is how long its answer is waited for.
+// Message builds what an attempt sends. wait is the time left until the attempt's
+// deadline.
 type Message interface {
 	AppendTo(b []byte, wait time.Duration) []byte
 }
 
 // Attempt is one attempt of a request, or a probe. The owner sets the exported
-// fields and keeps them until Ended.
+// fields and must not change them until Sink.Ended.
 type Attempt struct {
 	Message    Message
 	Deadline   time.Duration // on the reactor's clock
-	WriteBy    time.Duration // its last byte must be written before then; 0: no such bound
-	Repeatable bool          // may run twice
+	WriteBy    time.Duration // its last byte must be written before then; 0: no such limit
+	Repeatable bool          // running it twice does no harm
 	Backend    uint32
-	Number     int // of the request's attempts
+	Number     int // index among the request's attempts
 	Probe      bool
 	Owner      any // the request
 
-	started time.Duration
-	heard   time.Duration // the first byte of its answer came; 0: none has
-	conn    *conn         // on which it is out; nil once it has ended
-	fresh   bool          // on a connection of its own, which is not kept
-	kept    bool          // on one that was kept
+	started     time.Duration
+	firstByteAt time.Duration // when the first byte of the reply arrived; 0: none has
+	conn        *conn         // nil before it has one, and after the attempt has ended
+	singleUse   bool          // uses a new connection that is closed afterwards
+	reused      bool          // uses a connection that was idle
 }
 
-// until is when its last byte must be written.
-func (a *Attempt) until() time.Duration {
+// writeDeadline returns when the last byte of the attempt must be written.
+func (a *Attempt) writeDeadline() time.Duration {
 	if a.WriteBy > 0 {
 		return min(a.WriteBy, a.Deadline)
 	}
 	return a.Deadline
 }
 
-// Sink is told what the pool can't decide.
+// Sink receives the pool's reports.
 type Sink interface {
-	// Ended tells the outcome of an attempt, once for each. Its connection is
-	// closed by then, or has carried the whole answer. It is never called from
-	// within Start or Abort.
+	// Ended reports the outcome of an attempt, once for each. The attempt's connection
+	// is closed by then or has delivered the complete reply, except for a Stream. It is
+	// never called from within Start or Abort.
 	Ended(a *Attempt, r Reply, elapsed time.Duration)
-	// Written tells that the last byte of an attempt has been written, once for
+	// Written reports that the last byte of an attempt has been written, once for
 	// each. It may be called from within Start.
 	Written(a *Attempt)
-	// Trailer tells what stood behind a large value whose attempt had ended.
+	// Trailer reports the usage and load that followed a large value, whose attempt has ended.
 	Trailer(a *Attempt, r Reply)
-	// MayWrite tells whether an attempt may be written now. It is asked before its first byte.
+	// MayWrite decides whether an attempt may be written now. It is called before the first byte.
 	MayWrite(a *Attempt) bool
-	// OutOfDescriptors tells that descriptors have run out in a dial.
+	// OutOfDescriptors reports that a dial failed because descriptors have run out.
 	OutOfDescriptors()
 }
 
-// Pool holds the backends and the connections to them.
+// Pool holds the backends and their connections.
 type Pool struct {
-	cfg        Config
-	loop       *reactor.Loop
-	sink       Sink
-	byName     map[string]*backend
-	byID       map[uint32]*backend
-	byAddr     map[string][]*backend // of those in byName
-	lastID     uint32
-	stale      float64 // share of kept connections that were reset at their next request
-	open       int     // connections, those coming up among them
-	violations uint64  // bytes that came though nobody asked for them
-	up         []*conn // have come up in this round, and their attempts are not sent yet
-	ends       []end   // outcomes not told yet
-	told       []end
-	out        []byte // written from by every connection in turn
-	in         []byte // read into by every connection in turn
+	cfg         Config
+	loop        *reactor.Loop
+	sink        Sink
+	byName      map[string]*backend
+	byID        map[uint32]*backend
+	byAddr      map[string][]*backend // of those in byName
+	lastID      uint32
+	resetRate   float64   // moving average of reused connections that were reset at their next request
+	open        int       // connections, including those being established
+	unsolicited uint64    // number of times that something other than the reply to a request arrived
+	connected   []*conn   // established in this round, and their attempts are not sent yet
+	outcomes    []outcome // not reported to the sink yet
+	reporting   []outcome // being reported by Round
+	writeBuffer []byte    // shared by all connections
+	readBuffer  []byte    // shared by all connections
 }
 
-type end struct {
+type outcome struct {
 	attempt *Attempt
 	reply   Reply
 	elapsed time.Duration
 }
 
 type backend struct {
-	id      uint32
-	name    string // discovery's id
-	addr    string
-	since   int64   // when it last started, as discovery tells it
-	idle    []*conn // the longest idle first
-	stopped bool    // told to be draining or gone
-	proof   proof
+	id        uint32
+	name      string // id in discovery
+	addr      string
+	startedAt int64   // when it last started, according to discovery
+	idle      []*conn // longest idle first
+	stopped   bool    // draining or removed, according to discovery
+	trust     trustRecord
 }
 
-const sharedBuffer = 64 << 10
+const sharedBufferSize = 64 << 10
 
-// New makes an empty pool.
+// New returns an empty pool.
 func New(cfg Config, loop *reactor.Loop, sink Sink) *Pool {
 	if cfg.TrustThreshold == 0 {
-		cfg.TrustThreshold = usualProof
+		cfg.TrustThreshold = defaultTrustThreshold
 	}
 	return &Pool{cfg: cfg, loop: loop, sink: sink, byName: map[string]*backend{}, byID: map[uint32]*backend{},
-		byAddr: map[string][]*backend{},
-		in:     make([]byte, sharedBuffer)}
+		byAddr:     map[string][]*backend{},
+		readBuffer: make([]byte, sharedBufferSize)}
 }
 
-// Round sends what waited for its connection, and tells the outcomes that have
-// gathered.
+// Round sends the attempts whose connections were established, and reports the
+// outcomes since the last call.
 func (p *Pool) Round() {
-	for i, c := range p.up {
-		c.cameUp()
-		p.up[i] = nil
+	for i, c := range p.connected {
+		c.sendConnected()
+		p.connected[i] = nil
 	}
-	p.up = p.up[:0]
-	for len(p.ends) > 0 {
-		p.told, p.ends = p.ends, p.told[:0]
-		for i, e := range p.told {
-			p.sink.Ended(e.attempt, e.reply, e.elapsed)
-			p.told[i] = end{}
+	p.connected = p.connected[:0]
+	for len(p.outcomes) > 0 {
+		p.reporting, p.outcomes = p.outcomes, p.reporting[:0]
+		for i, o := range p.reporting {
+			p.sink.Ended(o.attempt, o.reply, o.elapsed)
+			p.reporting[i] = outcome{}
 		}
 	}
 }
 
-// Next tells when Round has something to do.
-func (p *Pool) Next() (at time.Duration, any bool) { return 0, len(p.ends)+len(p.up) > 0 }
+// Next reports whether Round has work to do.
+func (p *Pool) Next() (at time.Duration, any bool) { return 0, len(p.outcomes)+len(p.connected) > 0 }
 
-// BackendIDs are the backends, each with the gateway's id for it.
+// BackendIDs returns the gateway's id of each backend, by its id in discovery.
 func (p *Pool) BackendIDs() map[string]uint32 {
 	known := make(map[string]uint32, len(p.byName))
 	for name, b := range p.byName {
@@ -165,15 +167,15 @@
 	return known
 }
 
-// BackendCount is how many backends discovery names, those that drain among them.
+// BackendCount returns the number of backends in discovery, including those that drain.
 func (p *Pool) BackendCount() int { return len(p.byName) }
 
-// Reusable is how many connections could carry an attempt now.
+// Reusable returns the number of idle connections that could carry an attempt now.
 func (p *Pool) Reusable() (n int) {
 	now := p.loop.Now()
 	for _, b := range p.byID {
 		for _, c := range b.idle {
-			if p.trusted(b) || now-c.since >= fullRest {
+			if p.trusted(b) || now-c.idleSince >= reuseCooldown {
 				n++
 			}
 		}
@@ -181,79 +183,79 @@
 	return n
 }
 
-// Open is the number of connections, those coming up among them.
+// Open returns the number of connections, including those being established.
 func (p *Pool) Open() int { return p.open }
 
-// Member is what discovery says of one backend.
+// Member is one backend in discovery.
 type Member struct {
-	Name      string // discovery's id
+	Name      string // id in discovery
 	Address   string
 	StartedAt int64 // when it last started, Unix time in milliseconds
 	State     choice.State
 }
 
-// Update takes what discovery says of one backend and returns the gateway's id for it.
+// Update takes over the state of one backend from discovery and returns the gateway's id for it.
 func (p *Pool) Update(m Member) uint32 {
 	b := p.byName[m.Name]
 	if b == nil {
 		p.lastID++
 		b = &backend{id: p.lastID, name: m.Name, addr: m.Address}
-		p.list(b)
+		p.add(b)
 	}
 	if b.addr != m.Address && m.Address != "" {
 		b.stop()
-		// Attempts under way keep the old record, and their connections with it.
-		p.drop(b)
+		// Attempts in flight keep the old record and its connections.
+		p.remove(b)
 		b = &backend{id: b.id, name: m.Name, addr: m.Address}
-		p.list(b)
+		p.add(b)
 	}
-	b.since = m.StartedAt
+	b.startedAt = m.StartedAt
 	if b.stopped = m.State != choice.Ready; b.stopped {
 		b.stop()
 	}
 	if m.State == choice.Removed {
-		p.drop(b)
+		p.remove(b)
 	}
 	return b.id
 }
 
-func (p *Pool) list(b *backend) {
+func (p *Pool) add(b *backend) {
 	p.byName[b.name], p.byID[b.id] = b, b
 	p.byAddr[b.addr] = append(p.byAddr[b.addr], b)
 }
 
-func (p *Pool) drop(b *backend) {
+func (p *Pool) remove(b *backend) {
 	delete(p.byName, b.name)
 	delete(p.byID, b.id)
-	if at := slices.DeleteFunc(p.byAddr[b.addr], func(o *backend) bool { return o == b }); len(at) > 0 {
-		p.byAddr[b.addr] = at
+	if others := slices.DeleteFunc(p.byAddr[b.addr], func(o *backend) bool { return o == b }); len(others) > 0 {
+		p.byAddr[b.addr] = others
 	} else {
 		delete(p.byAddr, b.addr)
 	}
 }
 
-// OtherAtAddress returns another backend at the address of m, which serves as far as
-// discovery has told.
-func (p *Pool) OtherAtAddress(m Member) (other Member, any bool) {
+// OtherAtAddress returns another backend at the address of m that is ready, according
+// to discovery.
+func (p *Pool) OtherAtAddress(m Member) (other Member, found bool) {
 	for _, b := range p.byAddr[m.Address] {
-		if b.name != m.Name && !b.stopped && (!any || b.name < other.Name) {
-			other, any = Member{Name: b.name, Address: b.addr, StartedAt: b.since}, true
+		if b.name != m.Name && !b.stopped && (!found || b.name < other.Name) {
+			other, found = Member{Name: b.name, Address: b.addr, StartedAt: b.startedAt}, true
 		}
 	}
-	return other, any
+	return other, found
 }
 
-// RemoveUnlisted drops all backends that a complete list does not name.
-func (p *Pool) RemoveUnlisted(named map[string]bool) {
-	for _, name := range slices.Sorted(maps.Keys(p.byName)) { // in the same order each time
-		if b := p.byName[name]; !named[name] {
+// RemoveUnlisted removes all backends that are not in listed, a complete list from discovery.
+func (p *Pool) RemoveUnlisted(listed map[string]bool) {
+	for _, name := range slices.Sorted(maps.Keys(p.byName)) { // sorted, for a deterministic order
+		if b := p.byName[name]; !listed[name] {
 			b.stop()
-			p.drop(b)
+			p.remove(b)
 		}
 	}
 }
 
-// AnyReady tells whether there is a backend to send to.
+// AnyReady reports whether there is a backend that takes attempts.
 func (p *Pool) AnyReady() bool {
 	for _, b := range p.byID {
 		if !b.stopped {
@@ -263,7 +265,7 @@
 	return false
 }
 
-// stop lets nothing new go to a backend, and closes its idle connections.
+// stop stops sending new attempts to the backend, and closes its idle connections.
 func (b *backend) stop() {
 	b.stopped = true
 	idle := b.idle
@@ -273,18 +275,18 @@
 	}
 }
 
-// Start sets an attempt going, on a kept connection if one will do.
+// Start begins an attempt, on an idle connection if one can be reused.
 func (p *Pool) Start(a *Attempt) {
 	a.started = p.loop.Now()
 	b := p.byID[a.Backend]
-	if b == nil || b.stopped { // told since the choice: nothing is sent
-		p.end(a, Reply{Status: choice.ConnectFailed, Cause: CauseBackendGone})
+	if b == nil || b.stopped { // discovery changed it after the gateway chose it: nothing is sent
+		p.recordOutcome(a, Reply{Status: choice.ConnectFailed, Cause: CauseBackendGone})
 		return
 	}
-	if a.fresh = !a.Repeatable && p.stale > staleMost; !a.fresh {
-		for c := p.take(b, a.started); c != nil; c = p.take(b, a.started) {
-			if c.carry(a) {
-				a.kept = true
+	if a.singleUse = !a.Repeatable && p.resetRate > maxResetRate; !a.singleUse {
+		for c := p.takeIdle(b, a.started); c != nil; c = p.takeIdle(b, a.started) {
+			if c.tryReuse(a) {
+				a.reused = true
 				return
 			}
 		}
@@ -293,67 +295,67 @@
 		p.Evict()
 	}
 	if p.open >= p.cfg.MaxConnections {
-		p.end(a, Reply{Status: choice.ConnectFailed, Cause: CauseNoPlace})
+		p.recordOutcome(a, Reply{Status: choice.ConnectFailed, Cause: CauseNoPlace})
 		return
 	}
 	p.dial(b, a)
 }
 
-// Forbid ends an attempt that must not begin, in place of Start.
+// Forbid is called in place of Start for an attempt that must not begin: it ends as one that never ran.
 func (p *Pool) Forbid(a *Attempt) {
 	a.started = p.loop.Now()
-	p.end(a, Reply{Status: choice.ConnectFailed, Cause: CauseForbidden})
+	p.recordOutcome(a, Reply{Status: choice.ConnectFailed, Cause: CauseForbidden})
 }
 
-// Abort stops the wait for an attempt. Its outcome comes as for any other; its
-// connection is closed before, so that no second attempt overlaps it.
+// Abort ends an attempt. Its outcome is reported like any other; its connection is
+// closed before, so that no second attempt overlaps it.
 func (p *Pool) Abort(a *Attempt) {
 	if a.conn != nil {
 		a.conn.fail(choice.Cancelled, CauseCancelled, nil)
 	}
 }
 
-// Withdraw drops an attempt of a request that is over, if its last byte has not
-// been written. It never ran, and that is no fault of its backend's: it ends as
-// moot. One that may have run goes on.
+// Withdraw ends an attempt of a request that is over, if the attempt's last byte has
+// not been written. It never ran, through no fault of its backend, so it ends as
+// moot. An attempt that may have run goes on.
 func (p *Pool) Withdraw(a *Attempt) {
 	if c := a.conn; c != nil && !c.state.mayHaveRun() {
 		c.close()
-		p.end(a, Reply{Status: choice.Moot, Cause: CauseWithdrawn})
+		p.recordOutcome(a, Reply{Status: choice.Moot, Cause: CauseWithdrawn})
 	}
 }
 
-// end notes the outcome of an attempt.
-func (p *Pool) end(a *Attempt, r Reply) {
+// recordOutcome records the outcome of an attempt, which Round reports.
+func (p *Pool) recordOutcome(a *Attempt, r Reply) {
 	a.conn = nil
-	if a.kept {
+	if a.reused {
 		reset := 0.0
 		if r.Status == choice.Reset {
 			reset = 1
 		}
-		p.stale += staleWeight * (reset - p.stale)
+		p.resetRate += resetRateWeight * (reset - p.resetRate)
 	}
 	elapsed := p.loop.Now() - a.started
-	if a.heard > 0 {
-		r.Age = a.started + elapsed - a.heard
+	if a.firstByteAt > 0 {
+		r.Age = a.started + elapsed - a.firstByteAt
 	}
-	if r.Status == choice.OK && a.heard > 0 {
-		// How long the backend took to serve it. What its answer then takes on
-		// the way, written slowly or cut in pieces, tells nothing of its load.
-		elapsed = a.heard - a.started
+	if r.Status == choice.OK && a.firstByteAt > 0 {
+		// The time that the backend took to serve it. The time to transfer the reply,
+		// written slowly or in pieces, says nothing about the backend's load.
+		elapsed = a.firstByteAt - a.started
 	}
-	p.ends = append(p.ends, end{a, r, elapsed})
+	p.outcomes = append(p.outcomes, outcome{a, r, elapsed})
 }
 
-// Evict closes the connection that has been idle for longest, to make room for
-// another backend's.
+// Evict closes the connection that has been idle for longest, to make room for one to
+// another backend.
 func (p *Pool) Evict() {
 	var longest *conn
 	for _, b := range p.byID {
 		if len(b.idle) == 0 {
 			continue
 		}
-		if c := b.idle[0]; longest == nil || c.since < longest.since || c.since == longest.since && b.id < longest.to.id {
+		if c := b.idle[0]; longest == nil || c.idleSince < longest.idleSince || c.idleSince == longest.idleSince && b.id < longest.target.id {
 			longest = c
 		}
 	}
@@ -362,7 +364,7 @@
 	}
 }
 
-// Close ends all connections; the attempts on them end as cancelled.
+// Close stops all backends and closes their idle connections.
 func (p *Pool) Close() {
 	for _, b := range p.byID {
 		b.stop()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -16,153 +16,155 @@
 )
 
 const (
-	ms       = time.Millisecond
-	patience = time.Second
+	ms             = time.Millisecond
+	requestTimeout = time.Second
 )
 
-// say is a message: a word that the far side answers as it likes.
-type say string
+// message is a Message of fixed text.
+type message string
 
-func (s say) AppendTo(b []byte, _ time.Duration) []byte { return append(b, s...) }
+func (s message) AppendTo(b []byte, _ time.Duration) []byte { return append(b, s...) }
 
-// far is a backend that the test plays: it keeps what comes and from whom.
-type far struct {
-	ln    reactor.Listener
-	conns []*farConn
-	seen  func(*farConn) // something has come
+// testBackend is a backend that records what it receives; the test writes its replies.
+type testBackend struct {
+	ln     reactor.Listener
+	conns  []*backendConn
+	onData func(*backendConn) // called after each event of a connection
 }
 
-type farConn struct {
+type backendConn struct {
 	reactor.Conn
-	far  *far
-	got  []byte
-	over bool
+	backend *testBackend
+	got     []byte
+	closed  bool // the pool has ended the connection
 }
 
-func (f *far) Ready(reactor.Event) {
+func (f *testBackend) Ready(reactor.Event) {
 	for {
 		nc, err := f.ln.Accept()
 		if err != nil {
 			return
 		}
-		c := &farConn{Conn: nc, far: f}
+		c := &backendConn{Conn: nc, backend: f}
 		f.conns = append(f.conns, c)
 		_ = nc.Watch(c)
 	}
 }
 
-func (c *farConn) Ready(reactor.Event) {
+func (c *backendConn) Ready(reactor.Event) {
 	var buf [4096]byte
-	for !c.over {
+	for !c.closed {
 		n, err := c.Read(buf[:])
 		c.got = append(c.got, buf[:n]...)
 		if err == reactor.ErrWait {
 			break
 		}
-		c.over = err != nil
+		c.closed = err != nil
 	}
-	if c.far.seen != nil {
-		c.far.seen(c)
+	if c.backend.onData != nil {
+		c.backend.onData(c)
 	}
 }
 
-// answer serves a value.
-func answer(v string) []byte {
-	return fmt.Appendf(nil, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(v), v)
+// valueReply returns a reply with a value and without reports.
+func valueReply(value string) []byte {
+	return fmt.Appendf(nil, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// bench is a pool on a simulated network, with one backend that the test plays.
-type bench struct {
+// testbed is a pool on a simulated network, with one backend played by the test.
+type testbed struct {
 	*testing.T
 	*Pool
-	net              *simnet.Net
-	near             *simnet.Node
-	node             *simnet.Node
-	far              *far
-	ends             []end
-	figures          []Reply
-	starved, written int
-	onEnd            func(end)
-	last             *Attempt
+	net                       *simnet.Net
+	ingressNode               *simnet.Node
+	backendNode               *simnet.Node
+	backend                   *testBackend
+	outcomes                  []outcome
+	trailers                  []Reply
+	outOfDescriptors, written int
+	onOutcome                 func(outcome)
+	lastAttempt               *Attempt
 }
 
 const backendAddress = "10.0.0.2:7"
 
-func newBench(t *testing.T) *bench {
+func newTestbed(t *testing.T) *testbed {
 	t.Helper()
-	b := &bench{T: t, net: simnet.New(1), far: &far{}}
+	b := &testbed{T: t, net: simnet.New(1), backend: &testBackend{}}
 	b.net.Faults = simnet.Faults{Latency: ms / 2}
-	b.near, b.node = b.net.Node("10.0.0.1"), b.net.Node("10.0.0.2")
-	b.node.Start(func(l *reactor.Loop) {
+	b.ingressNode, b.backendNode = b.net.Node("10.0.0.1"), b.net.Node("10.0.0.2")
+	b.backendNode.Start(func(l *reactor.Loop) {
 		var err error
-		if b.far.ln, err = l.Listen(backendAddress, b.far); err != nil {
+		if b.backend.ln, err = l.Listen(backendAddress, b.backend); err != nil {
 			t.Fatal(err)
 		}
 	})
-	b.near.Start(func(l *reactor.Loop) {
-		b.Pool = New(Config{MaxConnections: 50, BackendIdleTimeout: 10 * time.Second, ConnectTimeout: 100 * ms, ReportFields: []string{"inflight", "latency_ms"}}, l, b)
+	b.ingressNode.Start(func(l *reactor.Loop) {
+		b.Pool = New(Config{MaxConnections: 50, BackendIdleTimeout: 10 * time.Second, ConnectTimeout: 100 * ms,
+			ReportFields: []string{"inflight", "latency_ms"}}, l, b)
 		l.Add(b.Pool)
 	})
 	b.Update(Member{Name: "b", Address: backendAddress, State: choice.Ready})
 	return b
 }
 
-func (b *bench) Ended(a *Attempt, r Reply, elapsed time.Duration) {
-	b.ends = append(b.ends, end{a, r, elapsed})
-	if b.onEnd != nil {
-		b.onEnd(end{a, r, elapsed})
+func (b *testbed) Ended(a *Attempt, r Reply, elapsed time.Duration) {
+	b.outcomes = append(b.outcomes, outcome{a, r, elapsed})
+	if b.onOutcome != nil {
+		b.onOutcome(outcome{a, r, elapsed})
 	}
 }
 
-func (b *bench) OutOfDescriptors()      { b.starved++ }
-func (b *bench) MayWrite(*Attempt) bool { return true }
+func (b *testbed) OutOfDescriptors()      { b.outOfDescriptors++ }
+func (b *testbed) MayWrite(*Attempt) bool { return true }
 
-func (b *bench) Trailer(_ *Attempt, r Reply) { b.figures = append(b.figures, r) }
+func (b *testbed) Trailer(_ *Attempt, r Reply) { b.trailers = append(b.trailers, r) }
 
-func (b *bench) Written(*Attempt) { b.written++ }
+func (b *testbed) Written(*Attempt) { b.written++ }
 
-// do runs something as a part of the near program's round.
-func (b *bench) do(f func()) {
-	b.near.Loop.Post(f)
+// inLoop runs f in a round of the ingress's loop.
+func (b *testbed) inLoop(f func()) {
+	b.ingressNode.Loop.Post(f)
 	b.net.Until(b.net.Now() + ms/10)
 }
 
-// begin starts an attempt of what can't be repeated.
-func (b *bench) begin(word string) *Attempt {
-	a := &Attempt{Message: say(word), Backend: 1, Deadline: b.near.Now() + patience}
-	b.last = a
-	b.do(func() { b.Start(a) })
+// begin starts an attempt that is not repeatable.
+func (b *testbed) begin(text string) *Attempt {
+	a := &Attempt{Message: message(text), Backend: 1, Deadline: b.ingressNode.Now() + requestTimeout}
+	b.lastAttempt = a
+	b.inLoop(func() { b.Start(a) })
 	return a
 }
 
-func (b *bench) run(d time.Duration) { b.net.Until(b.net.Now() + d) }
+func (b *testbed) run(d time.Duration) { b.net.Until(b.net.Now() + d) }
 
-// want checks the outcomes since the last call.
-func (b *bench) want(status ...choice.Status) {
+// wantStatuses checks the outcomes since the last call.
+func (b *testbed) wantStatuses(statuses ...choice.Status) {
 	b.Helper()
 	var got []choice.Status
-	for _, e := range b.ends {
-		got = append(got, e.reply.Status)
+	for _, o := range b.outcomes {
+		got = append(got, o.reply.Status)
 	}
-	if fmt.Sprint(got) != fmt.Sprint(status) {
-		b.Fatalf("outcomes %v, want %v", got, status)
+	if fmt.Sprint(got) != fmt.Sprint(statuses) {
+		b.Fatalf("outcomes %v, want %v", got, statuses)
 	}
-	b.ends = nil
+	b.outcomes = nil
 }
 
-// wantGot checks how much came to the backend in all.
-func (b *bench) wantGot(text string) {
+// wantReceived checks all that the backend has received, over all connections.
+func (b *testbed) wantReceived(text string) {
 	b.Helper()
 	var all []byte
-	for _, c := range b.far.conns {
+	for _, c := range b.backend.conns {
 		all = append(all, c.got...)
 	}
 	if string(all) != text {
-		b.Errorf("the backend got %q, want %q", all, text)
+		b.Errorf("the backend received %q, want %q", all, text)
 	}
 }
 
-func (b *bench) reply(c *farConn, text []byte) {
+// reply has the backend write text on a connection.
+func (b *testbed) reply(c *backendConn, text []byte) {
 	b.Helper()
 	if _, err := c.Write(text); err != nil {
 		b.Fatal(err)
@@ -170,413 +172,428 @@
 	b.run(3 * ms)
 }
 
-func TestOutcomeSaysWhetherTheAttemptMayHaveRun(t *testing.T) {
+// Guards against an attempt that may have run but ends as one that never ran, which would be retried, and the
+// reverse.
+func TestOutcomeTellsWhetherTheAttemptMayHaveRun(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(b *bench)
+		do   func(b *testbed)
 		want choice.Status
 		got  string
 	}{
-		{"answered", func(b *bench) { b.run(5 * ms); b.reply(b.far.conns[0], answer("v")) }, choice.OK, "x"},
-		{"answered in parts", func(b *bench) {
+		{"complete reply", func(b *testbed) { b.run(5 * ms); b.reply(b.backend.conns[0], valueReply("v")) }, choice.OK, "x"},
+		{"reply in parts", func(b *testbed) {
 			b.run(5 * ms)
-			b.reply(b.far.conns[0], answer("v")[:6])
-			b.reply(b.far.conns[0], answer("v")[6:])
+			b.reply(b.backend.conns[0], valueReply("v")[:6])
+			b.reply(b.backend.conns[0], valueReply("v")[6:])
 		}, choice.OK, "x"},
-		{"answered together with the end", func(b *bench) {
+		{"reply together with the connection's end", func(b *testbed) {
 			b.run(5 * ms)
-			_, _ = b.far.conns[0].Write(answer("v"))
-			b.far.conns[0].CloseWrite()
+			_, _ = b.backend.conns[0].Write(valueReply("v"))
+			b.backend.conns[0].CloseWrite()
 			b.run(5 * ms)
 			if b.Open() != 0 {
-				b.Errorf("%d connections are kept", b.Open())
+				b.Errorf("%d connections stay open, want 0", b.Open())
 			}
 		}, choice.OK, "x"},
-		{"answered with a load report", func(b *bench) { b.run(5 * ms); b.reply(b.far.conns[0], []byte("$10\r\ninflight=0\r\n")) }, choice.Error, "x"},
-		{"turned away", func(b *bench) { b.run(5 * ms); b.reply(b.far.conns[0], []byte("-BUSY\r\n")) }, choice.Refused, "x"},
-		{"turned away twice over", func(b *bench) { b.run(5 * ms); b.reply(b.far.conns[0], []byte("-BUSY\r\n-BU")) }, choice.Refused, "x"},
-		{"turned away, and more", func(b *bench) { b.run(5 * ms); b.reply(b.far.conns[0], []byte("-BUSY\r\n*3")) }, choice.Error, "x"},
-		{"spoilt", func(b *bench) { b.run(5 * ms); b.reply(b.far.conns[0], []byte("noise")) }, choice.Error, "x"},
-		{"reset after the request", func(b *bench) { b.run(5 * ms); b.node.Kill(); b.run(5 * ms) }, choice.Reset, "x"},
-		{"ended in the answer", func(b *bench) {
+		{"load report as the reply", func(b *testbed) {
 			b.run(5 * ms)
-			_, _ = b.far.conns[0].Write(answer("v")[:6])
-			b.far.conns[0].Close()
+			b.reply(b.backend.conns[0], []byte("$10\r\ninflight=0\r\n"))
+		}, choice.Error, "x"},
+		{"refusal", func(b *testbed) { b.run(5 * ms); b.reply(b.backend.conns[0], []byte("-BUSY\r\n")) }, choice.Refused, "x"},
+		{"refusal and part of a copy", func(b *testbed) {
+			b.run(5 * ms)
+			b.reply(b.backend.conns[0], []byte("-BUSY\r\n-BU"))
+		}, choice.Refused, "x"},
+		{"refusal and other bytes", func(b *testbed) { b.run(5 * ms); b.reply(b.backend.conns[0], []byte("-BUSY\r\n*3")) }, choice.Error, "x"},
+		{"malformed reply", func(b *testbed) { b.run(5 * ms); b.reply(b.backend.conns[0], []byte("noise")) }, choice.Error, "x"},
+		{"reset after the request", func(b *testbed) { b.run(5 * ms); b.backendNode.Kill(); b.run(5 * ms) }, choice.Reset, "x"},
+		{"end within the reply", func(b *testbed) {
+			b.run(5 * ms)
+			_, _ = b.backend.conns[0].Write(valueReply("v")[:6])
+			b.backend.conns[0].Close()
 			b.run(5 * ms)
 		}, choice.Reset, "x"},
-		{"no answer", func(b *bench) { b.run(patience + ms) }, choice.Timeout, "x"},
-		{"no end of the answer", func(b *bench) { b.run(5 * ms); b.reply(b.far.conns[0], []byte("*3\r\n")); b.run(answerStall) }, choice.Error, "x"},
-		{"called off after the last byte", func(b *bench) { b.run(5 * ms); b.do(func() { b.Abort(b.last) }) }, choice.Cancelled, "x"},
-		{"called off while it connects", func(b *bench) { b.do(func() { b.Abort(b.last) }); b.run(5 * ms) }, choice.ConnectFailed, ""},
-		{"told to drain while it connects", func(b *bench) {
-			b.do(func() { b.Update(Member{Name: "b", State: choice.Draining}) })
+		{"no reply", func(b *testbed) { b.run(requestTimeout + ms) }, choice.Timeout, "x"},
+		{"incomplete reply", func(b *testbed) {
+			b.run(5 * ms)
+			b.reply(b.backend.conns[0], []byte("*3\r\n"))
+			b.run(replyStallTimeout)
+		}, choice.Error, "x"},
+		{"abort after the last byte", func(b *testbed) { b.run(5 * ms); b.inLoop(func() { b.Abort(b.lastAttempt) }) }, choice.Cancelled, "x"},
+		{"abort while connecting", func(b *testbed) { b.inLoop(func() { b.Abort(b.lastAttempt) }); b.run(5 * ms) }, choice.ConnectFailed, ""},
+		{"drain while connecting", func(b *testbed) {
+			b.inLoop(func() { b.Update(Member{Name: "b", State: choice.Draining}) })
 			b.run(5 * ms)
 		}, choice.ConnectFailed, ""},
-		{"ended before the first byte", func(b *bench) {
-			b.node.Kill()
+		{"end before the first byte", func(b *testbed) {
+			b.backendNode.Kill()
 			b.run(5 * ms)
 		}, choice.ConnectFailed, ""},
-		{"no connection", func(b *bench) { b.net.Cut("10.0.0.2", "10.0.0.1"); b.run(200 * ms) }, choice.ConnectFailed, ""},
+		{"connect timeout", func(b *testbed) { b.net.Cut("10.0.0.2", "10.0.0.1"); b.run(200 * ms) }, choice.ConnectFailed, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newTestbed(t)
 			b.begin("x")
 			c.do(b)
-			b.want(c.want)
-			b.wantGot(c.got)
+			b.wantStatuses(c.want)
+			b.wantReceived(c.got)
 		})
 	}
 }
 
-// A process that stood still must not act on what it decided before: neither on
-// a connection that came up after its time, nor past the attempt's own.
-func TestConnectionThatComesUpLateCarriesNothing(t *testing.T) {
-	for name, c := range map[string]struct{ pause, before time.Duration }{
-		"after the time to connect": {150 * ms, 0},
-		"after the time to begin":   {50 * ms, 30 * ms},
+// After a stall, the process must not send an attempt that is outdated: neither on a
+// connection established after its timeout, nor past the attempt's WriteBy.
+func TestLateConnectionCarriesNothing(t *testing.T) {
+	for name, c := range map[string]struct{ pause, writeWithin time.Duration }{
+		"after the connect timeout": {150 * ms, 0},
+		"after WriteBy":             {50 * ms, 30 * ms},
 	} {
-		b := newBench(t)
-		a := &Attempt{Message: say("x"), Backend: 1, Deadline: b.near.Now() + patience}
-		if c.before > 0 {
-			a.WriteBy = b.near.Now() + c.before
+		b := newTestbed(t)
+		a := &Attempt{Message: message("x"), Backend: 1, Deadline: b.ingressNode.Now() + requestTimeout}
+		if c.writeWithin > 0 {
+			a.WriteBy = b.ingressNode.Now() + c.writeWithin
 		}
-		b.do(func() { b.Start(a); b.near.Pause() })
+		b.inLoop(func() { b.Start(a); b.ingressNode.Pause() })
 		b.run(c.pause)
-		b.near.Resume()
+		b.ingressNode.Resume()
 		b.run(10 * ms)
 		b.Log(name)
-		b.want(choice.ConnectFailed)
-		b.wantGot("")
+		b.wantStatuses(choice.ConnectFailed)
+		b.wantReceived("")
 	}
 }
 
-// A request of which the last byte was not taken never ran, however its
-// connection ends.
+// A request whose last byte was not written never ran, however its connection ends.
 func TestAttemptWithoutItsLastByteNeverRan(t *testing.T) {
-	for name, end := range map[string]func(*bench){
-		"reset":      func(b *bench) { b.node.Kill(); b.run(5 * ms) },
-		"answered":   func(b *bench) { b.reply(b.far.conns[0], []byte("-BUSY\r\n")) },
-		"called off": func(b *bench) { b.do(func() { b.Abort(b.last) }) },
-		"late":       func(b *bench) { b.run(patience) },
+	for name, end := range map[string]func(*testbed){
+		"reset":      func(b *testbed) { b.backendNode.Kill(); b.run(5 * ms) },
+		"replied to": func(b *testbed) { b.reply(b.backend.conns[0], []byte("-BUSY\r\n")) },
+		"aborted":    func(b *testbed) { b.inLoop(func() { b.Abort(b.lastAttempt) }) },
+		"timed out":  func(b *testbed) { b.run(requestTimeout) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newTestbed(t)
 			b.net.Faults.Buffer = 10
-			b.far.ln.Close() // it takes the connection that waits, and reads nothing
-			b.node.Start(func(l *reactor.Loop) { b.far.ln, _ = l.Listen(backendAddress, acceptOnly{b.far}) })
+			b.backend.ln.Close() // the new one takes the connection, and reads nothing
+			b.backendNode.Start(func(l *reactor.Loop) { b.backend.ln, _ = l.Listen(backendAddress, acceptOnly{b.backend}) })
 			b.begin(strings.Repeat("x", 11))
 			b.run(5 * ms)
 			end(b)
-			b.want(choice.ConnectFailed)
+			b.wantStatuses(choice.ConnectFailed)
 		})
 	}
 }
 
-// acceptOnly takes connections and reads nothing.
-type acceptOnly struct{ *far }
+// acceptOnly accepts connections and reads nothing.
+type acceptOnly struct{ *testBackend }
 
 func (a acceptOnly) Ready(reactor.Event) {
 	if nc, err := a.ln.Accept(); err == nil {
-		a.conns = append(a.conns, &farConn{Conn: nc, far: a.far})
+		a.conns = append(a.conns, &backendConn{Conn: nc, backend: a.testBackend})
 	}
 }
 
-// The rest of a request that was taken in part goes on when there is room.
+// A request that the socket takes in part is continued when the socket takes more.
 func TestRequestIsWrittenInParts(t *testing.T) {
-	b := newBench(t)
+	b := newTestbed(t)
 	b.net.Faults.Buffer = 10
-	word := strings.Repeat("0123456789", 8) + "!"
-	b.begin(word)
+	text := strings.Repeat("0123456789", 8) + "!"
+	b.begin(text)
 	b.run(100 * ms)
-	b.wantGot(word)
+	b.wantReceived(text)
 	b.net.Faults.Buffer = 0
-	b.reply(b.far.conns[0], answer("v"))
+	b.reply(b.backend.conns[0], valueReply("v"))
 	b.run(10 * ms)
-	b.want(choice.OK)
+	b.wantStatuses(choice.OK)
 }
 
-// The connection is closed before the outcome is told: a second attempt must
-// not overlap.
-func TestConnectionIsClosedBeforeTheOutcomeIsTold(t *testing.T) {
-	b := newBench(t)
+// Guards against a retry that overlaps with the attempt before it: the connection is
+// closed before the outcome is reported.
+func TestConnectionIsClosedBeforeTheOutcomeIsReported(t *testing.T) {
+	b := newTestbed(t)
 	open := -1
-	b.onEnd = func(end) { open = b.near.Open() }
+	b.onOutcome = func(outcome) { open = b.ingressNode.Open() }
 	b.begin("x")
-	b.run(patience + ms)
-	b.want(choice.Timeout)
+	b.run(requestTimeout + ms)
+	b.wantStatuses(choice.Timeout)
 	if open != 0 {
-		t.Errorf("%d descriptors were open when the outcome was told", open)
+		t.Errorf("%d descriptors were open when the outcome was reported, want 0", open)
 	}
 }
 
-// While no descriptor is left a dial is tried again, and clients are told to
-// make room; in the end the attempt has not run.
+// While no descriptor is left, a dial is retried and the sink is asked to free one; at
+// the deadline the attempt ends as one that never ran.
 func TestDialWaitsForADescriptor(t *testing.T) {
-	b := newBench(t)
-	b.near.Files = 1
-	b.do(func() { _, _ = b.near.Dial("10.0.0.2:9", nil) }) // takes the only one
+	b := newTestbed(t)
+	b.ingressNode.Files = 1
+	b.inLoop(func() { _, _ = b.ingressNode.Dial("10.0.0.2:9", nil) }) // uses the only descriptor
 	a := b.begin("x")
 	b.run(10 * ms)
-	if b.starved == 0 || a.conn == nil {
-		t.Fatal("nobody was told that descriptors ran out")
+	if b.outOfDescriptors == 0 || a.conn == nil {
+		t.Fatal("the sink was not told that descriptors ran out, or the attempt does not wait")
 	}
-	b.near.Files = 2
+	b.ingressNode.Files = 2
 	b.run(50 * ms)
-	b.reply(b.far.conns[0], answer("v"))
-	b.want(choice.OK)
-	b.near.Files = 1
-	b.do(func() { b.Evict() })
+	b.reply(b.backend.conns[0], valueReply("v"))
+	b.wantStatuses(choice.OK)
+	b.ingressNode.Files = 1
+	b.inLoop(func() { b.Evict() })
 	b.begin("y")
-	b.run(patience)
-	b.want(choice.ConnectFailed)
+	b.run(requestTimeout)
+	b.wantStatuses(choice.ConnectFailed)
 }
 
-// exchange has one request served with a value.
-func (b *bench) exchange(v string) *farConn {
+// exchange sends one request, replies to it with a value and returns the connection.
+func (b *testbed) exchange(value string) *backendConn {
 	b.Helper()
 	b.begin("x")
 	b.run(3 * ms)
-	for _, c := range b.far.conns {
-		if len(c.got) > 0 && !c.over {
+	for _, c := range b.backend.conns {
+		if len(c.got) > 0 && !c.closed {
 			c.got = nil
-			b.reply(c, answer(v))
-			b.want(choice.OK)
+			b.reply(c, valueReply(value))
+			b.wantStatuses(choice.OK)
 			return c
 		}
 	}
-	b.Fatal("no request came")
+	b.Fatal("the backend received no request")
 	return nil
 }
 
-func TestConnectionRestsBeforeItIsUsedAgain(t *testing.T) {
-	b := newBench(t)
+// Guards against reuse within the cooldown, where a late copy of the reply could still arrive.
+func TestConnectionIsReusedAfterItsCooldown(t *testing.T) {
+	b := newTestbed(t)
 	first := b.exchange("1")
 	if b.exchange("2") == first {
-		t.Error("a connection is used again at once")
+		t.Error("a connection is reused within its cooldown")
 	}
-	b.run(fullRest)
+	b.run(reuseCooldown)
 	if b.exchange("3") != first {
-		t.Error("the longest rested is not used again")
+		t.Error("the longest idle connection is not reused after the cooldown")
 	}
 }
 
-// A second copy comes behind an answer. Whenever within the time of a rest that
-// is, and whatever has been earned, nobody else is served with it.
-func TestCopyOfAnAnswerServesNobodyElse(t *testing.T) {
-	for _, earned := range []bool{false, true} {
-		for after := time.Duration(0); after < fullRest-5*ms; after += 2 * ms {
-			b := newBench(t)
-			if earned {
-				b.earn()
+// A backend sends a second copy of a reply. At whatever time within the cooldown it
+// arrives, and whether or not the backend is trusted, it must not be taken for the
+// reply to another request.
+func TestCopyOfAReplyIsNotTakenForAnother(t *testing.T) {
+	for _, isTrusted := range []bool{false, true} {
+		for after := time.Duration(0); after < reuseCooldown-5*ms; after += 2 * ms {
+			b := newTestbed(t)
+			if isTrusted {
+				b.earnTrust()
 			}
 			c := b.exchange("first")
-			b.net.After(after, func() { _, _ = c.Write(answer("first")) })
+			b.net.After(after, func() { _, _ = c.Write(valueReply("first")) })
 			for n := range 8 {
-				// Each next request comes to its connection and is answered a
-				// moment later, so that the copy may come in between.
+				// Each further request gets its reply a moment after it was
+				// received, so that the copy may arrive in between.
 				b.begin("x")
 				b.run(2 * ms)
-				for _, c := range b.far.conns {
-					if len(c.got) > 0 && !c.over {
+				for _, c := range b.backend.conns {
+					if len(c.got) > 0 && !c.closed {
 						c.got = nil
-						b.reply(c, answer(fmt.Sprint("next", n)))
+						b.reply(c, valueReply(fmt.Sprint("next", n)))
 					}
 				}
 			}
-			b.run(patience + 10*ms)
-			for _, e := range b.ends {
-				if bytes.Contains(e.reply.Value, []byte("first")) {
-					t.Fatalf("earned %v, after %v: a request is served with the copy of another's answer", earned, after)
+			b.run(requestTimeout + 10*ms)
+			for _, o := range b.outcomes {
+				if bytes.Contains(o.reply.Value, []byte("first")) {
+					t.Fatalf("trusted %v, copy after %v: it is taken for the reply to another request", isTrusted, after)
 				}
 			}
-			if earned && b.trusted(b.byID[1]) {
-				t.Fatalf("after %v: the backend is still trusted", after)
+			if isTrusted && b.trusted(b.byID[1]) {
+				t.Fatalf("copy after %v: the backend is still trusted", after)
 			}
 		}
 	}
 }
 
-// earn has the backend show that nothing comes behind its answers.
-func (b *bench) earn() {
+// earnTrust exchanges requests until the backend is trusted.
+func (b *testbed) earnTrust() {
 	b.Helper()
 	for n := 0; !b.trusted(b.byID[1]); n++ {
-		if n > 2*usualProof {
-			b.Fatal("no trust is earned")
+		if n > 2*defaultTrustThreshold {
+			b.Fatal("the backend is not trusted after twice the threshold")
 		}
 		b.exchange(fmt.Sprint("v", n))
-		b.run(fullRest)
+		b.run(reuseCooldown)
 	}
 }
 
-func TestEarnedConnectionsAreUsedAtOnce(t *testing.T) {
-	b := newBench(t)
-	b.earn()
+func TestTrustedConnectionIsReusedAtOnce(t *testing.T) {
+	b := newTestbed(t)
+	b.earnTrust()
 	before := b.Open()
 	first := b.exchange("1")
 	if b.exchange("2") != first {
-		t.Error("another connection is used")
+		t.Error("another connection is used than the one used last")
 	}
 	if b.Open() != before {
-		t.Errorf("%d connections, before %d", b.Open(), before)
+		t.Errorf("%d connections are open, before %d", b.Open(), before)
 	}
 }
 
-// A connection carries no more within the time of a rest than it remembers: the
-// first answer of them could come once more.
-func TestConnectionCarriesNoMoreThanItRemembers(t *testing.T) {
-	b := newBench(t)
-	b.earn()
-	to := b.byID[1]
-	c := to.idle[len(to.idle)-1]
-	now := b.near.Now()
-	c.since, c.history = now, &history{}
+// A connection must not carry more replies within a cooldown than its history holds: a
+// copy of a reply that was dropped from the history could still arrive.
+func TestConnectionCarriesNoMoreThanItsHistoryHolds(t *testing.T) {
+	b := newTestbed(t)
+	b.earnTrust()
+	target := b.byID[1]
+	c := target.idle[len(target.idle)-1]
+	now := b.ingressNode.Now()
+	c.idleSince, c.history = now, &history{}
 	for n := range historySize {
 		c.history.add(uint64(n), now-time.Duration(historySize-n)*ms/2)
 	}
-	before := len(to.idle)
-	if got := b.take(to, now); got == c {
-		t.Error("the connection is used though it would forget an answer of 16 ms ago")
+	before := len(target.idle)
+	if got := b.takeIdle(target, now); got == c {
+		t.Error("the connection is used though its history would drop a reply of 16 ms ago")
 	} else if got != nil {
-		to.idle = append(to.idle, got)
+		target.idle = append(target.idle, got)
 	}
-	if len(to.idle) != before {
-		t.Errorf("%d connections are idle, before %d", len(to.idle), before)
+	if len(target.idle) != before {
+		t.Errorf("%d connections are idle, before %d", len(target.idle), before)
 	}
-	if got := b.take(to, now+fullRest-16*ms); got != c {
-		t.Error("the connection is not used though the oldest answer is as old as a rest")
+	if got := b.takeIdle(target, now+reuseCooldown-16*ms); got != c {
+		t.Error("the connection is not used though the oldest reply is as old as the cooldown")
 	}
 }
 
-func TestAnswersAllAlikeEarnNothing(t *testing.T) {
-	b := newBench(t)
-	for range 2 * usualProof {
+// While replies are equal, a copy can't be told from the next reply.
+func TestEqualRepliesEarnNoTrust(t *testing.T) {
+	b := newTestbed(t)
+	for range 2 * defaultTrustThreshold {
 		b.exchange("OK")
-		b.run(fullRest)
+		b.run(reuseCooldown)
 	}
 	if b.trusted(b.byID[1]) {
-		t.Error("a copy could not be told from the next answer, and still no rest is kept")
+		t.Error("the backend is trusted though all its replies are equal")
 	}
 }
 
-// Noise on a connection at rest costs that connection, and the trust in all.
-func TestNoiseBetweenRequests(t *testing.T) {
-	b := newBench(t)
-	b.earn()
+// Unsolicited bytes on an idle connection close it, and all backends lose their trust.
+func TestUnsolicitedBytesOnAnIdleConnection(t *testing.T) {
+	b := newTestbed(t)
+	b.earnTrust()
 	c := b.exchange("1")
 	b.reply(c, []byte("noise"))
-	if !c.over {
+	if !c.closed {
 		b.run(5 * ms)
 	}
-	if !c.over || b.trusted(b.byID[1]) {
-		t.Errorf("the connection is closed: %v; the backend is trusted: %v", c.over, b.trusted(b.byID[1]))
+	if !c.closed || b.trusted(b.byID[1]) {
+		t.Errorf("the connection is closed: %v, want true; the backend is trusted: %v, want false", c.closed, b.trusted(b.byID[1]))
 	}
 }
 
-// Answers come in order, so a second request on a busy connection would wait.
+// Replies come in order, so a second request on a busy connection would wait for the first.
 func TestConnectionsCarryOneRequestAtATime(t *testing.T) {
-	b := newBench(t)
-	b.earn()
+	b := newTestbed(t)
+	b.earnTrust()
 	b.begin("x")
 	b.begin("y")
 	b.run(5 * ms)
 	busy := 0
-	for _, c := range b.far.conns {
-		if !c.over && len(c.got) > 0 {
+	for _, c := range b.backend.conns {
+		if !c.closed && len(c.got) > 0 {
 			busy++
 		}
 	}
 	if busy != 2 {
-		t.Errorf("two requests are out on %d connections", busy)
+		t.Errorf("two requests are in flight on %d connections, want 2", busy)
 	}
 }
 
-// A request on a connection that the backend has closed would be a reset, and
-// lost if unsafe: a closed one is noticed while idle, and in the moment before.
+// A request written to a connection that the backend has closed ends as a reset, and is
+// lost if it is not repeatable: a closed connection must be noticed while it is idle,
+// and just before the request is written.
 func TestClosedConnectionCarriesNothing(t *testing.T) {
 	for wait := time.Duration(0); wait < 3*ms; wait += ms / 8 {
-		b := newBench(t)
+		b := newTestbed(t)
 		c := b.exchange("1")
-		b.run(fullRest)
+		b.run(reuseCooldown)
 		c.Close()
 		b.run(wait)
 		b.begin("x")
 		b.run(5 * ms)
-		for _, far := range b.far.conns[1:] {
-			b.reply(far, answer("2"))
+		for _, peer := range b.backend.conns[1:] {
+			b.reply(peer, valueReply("2"))
 		}
 		b.run(5 * ms)
-		// Only an end that has not come yet can't be seen.
-		if len(b.ends) == 0 || b.ends[0].reply.Status != choice.OK && wait > ms/2 {
-			t.Errorf("%v after the end: %+v", wait, b.ends)
+		// Only an end that has not arrived yet can't be noticed.
+		if len(b.outcomes) == 0 || b.outcomes[0].reply.Status != choice.OK && wait > ms/2 {
+			t.Errorf("request %v after the connection's end: outcomes %+v, want OK", wait, b.outcomes)
 		}
 	}
 }
 
-// While kept connections are reset at their next request, a payment on one
-// would be lost: it goes on a new one, that is not kept.
-func TestPaymentAvoidsKeptConnectionsWhileTheyAreReset(t *testing.T) {
-	b := newBench(t)
+// While reused connections are often reset at their next request, a payment would be
+// lost on one: it uses a new connection, which is closed afterwards.
+func TestPaymentAvoidsReuseWhileConnectionsAreReset(t *testing.T) {
+	b := newTestbed(t)
 	c := b.exchange("1")
-	b.run(fullRest)
+	b.run(reuseCooldown)
 	b.begin("x")
 	b.run(2 * ms)
 	c.Close()
-	c.over = true
+	c.closed = true
 	b.run(2 * ms)
-	b.want(choice.Reset)
-	kept := b.exchange("2")
-	if !kept.over {
-		t.Error("the connection of the payment is kept")
+	b.wantStatuses(choice.Reset)
+	single := b.exchange("2")
+	if !single.closed {
+		t.Error("the connection of the payment stays open")
 	}
-	b.do(func() {
-		b.Start(&Attempt{Message: say("l"), Backend: 1, Repeatable: true, Deadline: b.near.Now() + patience})
+	b.inLoop(func() {
+		b.Start(&Attempt{Message: message("l"), Backend: 1, Repeatable: true, Deadline: b.ingressNode.Now() + requestTimeout})
 	})
 	b.run(3 * ms)
-	last := b.far.conns[len(b.far.conns)-1]
-	b.reply(last, answer("3"))
-	b.want(choice.OK)
-	b.run(fullRest)
-	if b.Reusable() != 1 || last.over {
-		t.Error("the connection of a lookup is not kept")
+	last := b.backend.conns[len(b.backend.conns)-1]
+	b.reply(last, valueReply("3"))
+	b.wantStatuses(choice.OK)
+	b.run(reuseCooldown)
+	if b.Reusable() != 1 || last.closed {
+		t.Error("the connection of a repeatable request does not stay open")
 	}
 }
 
-func TestIdleConnectionIsDroppedBeforeTheBackendCloses(t *testing.T) {
-	b := newBench(t)
+func TestIdleConnectionIsClosedBeforeTheBackendClosesIt(t *testing.T) {
+	b := newTestbed(t)
 	b.exchange("1")
-	b.run(time.Duration(idleShare * 10 * float64(time.Second)))
+	b.run(time.Duration(idleTimeoutShare * 10 * float64(time.Second)))
 	if b.Open() != 0 {
-		t.Error("the connection stays open")
+		t.Error("the connection stays open past its share of the backend's idle timeout")
 	}
 }
 
-func TestConnectionToADrainingBackendIsNotKept(t *testing.T) {
-	b := newBench(t)
+func TestConnectionToADrainingBackendIsClosedAfterTheReply(t *testing.T) {
+	b := newTestbed(t)
 	b.begin("x")
 	b.run(3 * ms)
-	b.do(func() { b.Update(Member{Name: "b", State: choice.Draining}) })
-	b.reply(b.far.conns[0], answer("1"))
-	b.want(choice.OK)
+	b.inLoop(func() { b.Update(Member{Name: "b", State: choice.Draining}) })
+	b.reply(b.backend.conns[0], valueReply("1"))
+	b.wantStatuses(choice.OK)
 	if b.Open() != 0 {
-		t.Error("the connection is kept")
+		t.Error("the connection stays open")
 	}
 }
 
-func TestIdleConnectionMakesRoomForAnother(t *testing.T) {
-	b := newBench(t)
+func TestIdleConnectionIsEvictedForANewOne(t *testing.T) {
+	b := newTestbed(t)
 	b.cfg.MaxConnections = 1
 	first := b.exchange("1")
-	b.begin("x") // the first rests still
+	b.begin("x") // the first is still in its cooldown
 	b.run(5 * ms)
-	if !first.over || len(b.far.conns) != 2 {
-		t.Errorf("the idle connection has ended: %v; %d connections came", first.over, len(b.far.conns))
+	if !first.closed || len(b.backend.conns) != 2 {
+		t.Errorf("the idle connection was closed: %v, want true; %d connections were accepted, want 2", first.closed, len(b.backend.conns))
 	}
-	b.begin("y") // no room, and nothing idle
-	b.want(choice.ConnectFailed)
+	b.begin("y") // the limit is reached, and no connection is idle
+	b.wantStatuses(choice.ConnectFailed)
 }
 
-func TestAnswersAreUnderstood(t *testing.T) {
-	p := newBench(t).Pool
+func TestRepliesAreParsed(t *testing.T) {
+	p := newTestbed(t).Pool
 	load := choice.Load{N: 2, Values: [4]float64{7, 12.5}}
 	for _, c := range []struct {
 		text string
@@ -587,7 +604,7 @@
 			Reply{Status: choice.OK, Value: []byte{}, Load: load}},
 		{"*3\r\n$-1\r\n$6\r\nused=0\r\n$-1\r\n", Reply{Status: choice.Error, Metered: true}},
 		{"*3\r\n$1\r\nv\r\n:5\r\n+x\r\n", Reply{Status: choice.OK, Value: []byte("v")}},
-		// figures that can't be read, or beyond reason, are left out; the value stays
+		// reports that can't be parsed or are out of range are left out; the value stays
 		{"*3\r\n$1\r\nv\r\n$8\r\nused=-37\r\n$-1\r\n", Reply{Status: choice.OK, Value: []byte("v")}},
 		{"*3\r\n$1\r\nv\r\n$8\r\nused=1e9\r\n$-1\r\n", Reply{Status: choice.OK, Value: []byte("v")}},
 		{"*3\r\n$1\r\nv\r\n$11\r\nused=999999\r\n$-1\r\n", Reply{Status: choice.OK, Value: []byte("v")}},
@@ -596,7 +613,7 @@
 		{"$25\r\ninflight=7,inflight=77.00\r\n", Reply{Status: choice.OK}},
 		{"$10\r\ninflight=7\r\n", Reply{Status: choice.OK}},
 		{"$31\r\ninflight=7000000,latency_ms=1.5\r\n", Reply{Status: choice.OK}},
-		// a spoilt line proves nothing
+		// a corrupted line does not prove a refusal
 		{"-BUSY \x01\xff\r\n", Reply{Status: choice.Error}},
 		{"-BUSYx\r\n", Reply{Status: choice.Error}},
 		{"-ERR failed\r\n", Reply{Status: choice.Error}},
@@ -611,85 +628,86 @@
 		{"$26\r\ninflight=7,latency_ms=12.5\r\n", Reply{Status: choice.OK, Load: load}},
 	} {
 		for cut := range c.text {
-			if _, n, err := p.nextReply([]byte(c.text[:cut])); n != 0 || err != nil {
-				t.Errorf("%q: %d bytes taken, %v", c.text[:cut], n, err)
+			if _, n, err := p.parseReply([]byte(c.text[:cut])); n != 0 || err != nil {
+				t.Errorf("incomplete %q: parseReply consumes %d bytes, %v; want 0 and no error", c.text[:cut], n, err)
 			}
 		}
-		got, n, err := p.nextReply([]byte(c.text))
+		got, n, err := p.parseReply([]byte(c.text))
 		if err != nil || n != len(c.text) || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%q is understood as %+v (%d bytes, %v), want %+v", c.text, got, n, err, c.want)
+			t.Errorf("%q is parsed as %+v (%d bytes, %v), want %+v", c.text, got, n, err, c.want)
 		}
 	}
 	for _, text := range []string{"$9223372036854775807\r\nxx\r\n", "*1\r\n", "*3\r\n$x", "*3\r\n$3000000000", "*3\r\n$4194305\r\n",
 		"*3\r\n$1\r\nvv\r\n", "*3\r\n*1\r\n", "*-1\r\n", "*3\r\n$-2", "*3\r\n$1\r\nv\r\n$9999\r\n", "*3\r\n$1\r\nv\r\nx", "\x00", "noise",
 		"+OK\n", "-" + strings.Repeat("x", resp.MaxLine)} {
-		if _, _, err := p.nextReply([]byte(text)); err == nil {
-			t.Errorf("%.40q: no error", text)
+		if _, _, err := p.parseReply([]byte(text)); err == nil {
+			t.Errorf("malformed %.40q: no error", text)
 		}
 	}
 }
 
-// What is withdrawn before its last byte is written never ran, and speaks against no backend; what was
-// written goes on.
+// An attempt that is withdrawn before its last byte is written never ran, and must not count against its
+// backend; one that was written goes on.
 func TestWithdrawnAttemptsNeverRan(t *testing.T) {
-	for name, before := range map[string]func(*bench) *Attempt{
-		"connecting": func(b *bench) *Attempt { return b.begin("x") },
-		"no descriptor": func(b *bench) *Attempt {
-			b.near.Files = 1
-			b.do(func() { _, _ = b.near.Dial("10.0.0.2:9", nil) }) // takes the only one
+	for name, prepare := range map[string]func(*testbed) *Attempt{
+		"connecting": func(b *testbed) *Attempt { return b.begin("x") },
+		"no descriptor": func(b *testbed) *Attempt {
+			b.ingressNode.Files = 1
+			b.inLoop(func() { _, _ = b.ingressNode.Dial("10.0.0.2:9", nil) }) // uses the only descriptor
 			return b.begin("x")
 		},
-		"half written": func(b *bench) *Attempt {
+		"half written": func(b *testbed) *Attempt {
 			a := b.begin(strings.Repeat("x", 1<<20))
 			b.run(2 * ms)
 			return a
 		},
 	} {
-		b := newBench(t)
-		a := before(b)
+		b := newTestbed(t)
+		a := prepare(b)
 		if b.written != 0 {
-			t.Fatalf("%s: it was written", name)
+			t.Fatalf("%s: the attempt was written before it is withdrawn", name)
 		}
-		b.do(func() { b.Withdraw(a); b.Withdraw(a) })
-		b.want(choice.Moot)
+		b.inLoop(func() { b.Withdraw(a); b.Withdraw(a) })
+		b.wantStatuses(choice.Moot)
 		if b.Open() != 0 {
-			t.Errorf("%s: %d connections stay", name, b.Open())
+			t.Errorf("%s: %d connections stay open, want 0", name, b.Open())
 		}
 	}
-	b := newBench(t)
+	b := newTestbed(t)
 	a := b.begin("x")
 	b.run(5 * ms)
-	b.do(func() { b.Withdraw(a) })
-	b.want()
-	b.run(2 * patience)
-	b.want(choice.Timeout)
-}
-
-// A backend begins with the last byte: a repeat that is dropped for a time only must be
-// whole before that is over, not only begun.
-func TestAttemptHalfWrittenPastItsTimeNeverRuns(t *testing.T) {
-	b := newBench(t)
-	a := &Attempt{Message: say(strings.Repeat("x", 1<<20)), Backend: 1, Deadline: b.near.Now() + patience, WriteBy: b.near.Now() + 3*ms}
-	b.do(func() { b.Start(a) })
+	b.inLoop(func() { b.Withdraw(a) })
+	b.wantStatuses()
+	b.run(2 * requestTimeout)
+	b.wantStatuses(choice.Timeout)
+}
+
+// A backend runs a request once its last byte has arrived. A retry of a request that backends deduplicate
+// for a limited time must therefore be written completely by WriteBy, not only begun.
+func TestAttemptHalfWrittenAtWriteByNeverRuns(t *testing.T) {
+	b := newTestbed(t)
+	a := &Attempt{Message: message(strings.Repeat("x", 1<<20)), Backend: 1,
+		Deadline: b.ingressNode.Now() + requestTimeout, WriteBy: b.ingressNode.Now() + 3*ms}
+	b.inLoop(func() { b.Start(a) })
 	b.run(2 * ms)
-	if len(b.far.conns) != 1 || len(b.far.conns[0].got) == 0 {
-		t.Fatal("it has not begun")
+	if len(b.backend.conns) != 1 || len(b.backend.conns[0].got) == 0 {
+		t.Fatal("no part of the attempt was written")
 	}
-	b.run(patience / 2)
-	b.want(choice.ConnectFailed)
+	b.run(requestTimeout / 2)
+	b.wantStatuses(choice.ConnectFailed)
 	if b.written != 0 {
-		t.Error("it was written whole")
+		t.Error("the attempt was written completely")
 	}
-	whole := &Attempt{Message: say("x"), Backend: 1, Deadline: b.near.Now() + patience, WriteBy: b.near.Now() + 3*ms}
-	b.do(func() { b.Start(whole) })
-	b.run(10 * ms) // its answer may come later
-	b.reply(b.far.conns[1], answer("v"))
-	b.want(choice.OK)
+	whole := &Attempt{Message: message("x"), Backend: 1, Deadline: b.ingressNode.Now() + requestTimeout, WriteBy: b.ingressNode.Now() + 3*ms}
+	b.inLoop(func() { b.Start(whole) })
+	b.run(10 * ms) // past WriteBy: only the reply may come later
+	b.reply(b.backend.conns[1], valueReply("v"))
+	b.wantStatuses(choice.OK)
 }
 
-// The backend that shares an address is found among those there, whatever else has come, gone or moved.
-func TestSharingLooksAtTheAddressAlone(t *testing.T) {
-	b := newBench(t)
+// Guards against a stale index of addresses, after backends were added, removed or have moved.
+func TestOtherAtAddressMatchesASearchOverAll(t *testing.T) {
+	b := newTestbed(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
 		m := Member{Name: fmt.Sprint(rng.IntN(12)), Address: fmt.Sprint("10.0.0.", rng.IntN(6), ":7"), StartedAt: rng.Int64N(4),
@@ -699,29 +717,30 @@
 		}
 		b.Update(m)
 		var want Member
-		any := false
-		for _, o := range b.byName { // as it was found before: among all
-			if o.name != m.Name && o.addr == m.Address && !o.stopped && (!any || o.name < want.Name) {
-				want, any = Member{Name: o.name, Address: o.addr, StartedAt: o.since}, true
+		wantFound := false
+		for _, o := range b.byName { // search over all backends
+			if o.name != m.Name && o.addr == m.Address && !o.stopped && (!wantFound || o.name < want.Name) {
+				want, wantFound = Member{Name: o.name, Address: o.addr, StartedAt: o.startedAt}, true
 			}
 		}
-		if got, found := b.OtherAtAddress(m); got != want || found != any {
-			t.Fatalf("%v shares with %v (%v), want %v (%v)", m, got, found, want, any)
+		if got, found := b.OtherAtAddress(m); got != want || found != wantFound {
+			t.Fatalf("OtherAtAddress(%v) = %v, %v; want %v, %v", m, got, found, want, wantFound)
 		}
-		at := 0
+		indexed := 0
 		for addr, all := range b.byAddr {
-			if at += len(all); len(all) == 0 {
-				t.Fatalf("%s is kept with nobody there", addr)
+			if indexed += len(all); len(all) == 0 {
+				t.Fatalf("the index holds address %s without a backend", addr)
 			}
 		}
-		if at != len(b.byName) {
-			t.Fatalf("%d are at addresses, %d have names", at, len(b.byName))
+		if indexed != len(b.byName) {
+			t.Fatalf("%d backends are indexed by address, %d by name", indexed, len(b.byName))
 		}
 	}
 }
 
-// BenchmarkSharing measures the look for another backend at an address, once a member of each list.
-func BenchmarkSharing(b *testing.B) {
+// BenchmarkOtherAtAddress measures the search for another backend at an address, which runs for each member of
+// each list from discovery.
+func BenchmarkOtherAtAddress(b *testing.B) {
 	for _, n := range [...]int{59, 840, 4200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := New(Config{}, nil, nil)
@@ -735,70 +754,70 @@
 	}
 }
 
-// Half a line that a backend sends on a connection at rest, whenever that is about
-// the next request or the connection's end, is no answer: not with what the
-// connection's next answer begins with, either. What came whole to the backend may have run.
-func TestHalfALineAnswersNothing(t *testing.T) {
+// A backend sends half a line on an idle connection, at any time around the next request or the
+// connection's end. It must not be taken for a reply, alone or together with the beginning of the next
+// reply, and a request that was received completely may have run.
+func TestUnsolicitedHalfLineIsNotAReply(t *testing.T) {
 	for _, half := range []string{"-BUSY", "-BUSY ", "-BUSY used=3", "-ERR fail", "*3\r\n$9\r\nwro", "*3\r\n$4\r\n", "$9\r\ninfl", "$", "+"} {
-		for _, about := range []string{"the next request", "the end at rest", "the news of a drain"} {
+		for _, event := range []string{"the next request", "the idle timeout", "the drain"} {
 			for after := -2 * ms; after <= 2*ms; after += ms / 8 {
-				b := newBench(t)
+				b := newTestbed(t)
 				c := b.exchange("first")
-				b.run(2 * fullRest)
+				b.run(2 * reuseCooldown)
 				at := b.net.Now() + 5*ms
-				if about == "the end at rest" {
-					at = b.net.Now() - 2*fullRest + time.Duration(idleShare*10*float64(time.Second))
+				if event == "the idle timeout" {
+					at = b.net.Now() - 2*reuseCooldown + time.Duration(idleTimeoutShare*10*float64(time.Second))
 				}
 				b.net.After(at+after-b.net.Now()-b.net.Faults.Latency, func() { _, _ = c.Write([]byte(half)) })
 				b.net.Until(at)
-				if about == "the news of a drain" {
-					b.do(func() { b.Update(Member{Name: "b", State: choice.Draining}) })
+				if event == "the drain" {
+					b.inLoop(func() { b.Update(Member{Name: "b", State: choice.Draining}) })
 					b.run(10 * ms)
-					b.do(func() { b.Update(Member{Name: "b", State: choice.Ready}) })
+					b.inLoop(func() { b.Update(Member{Name: "b", State: choice.Ready}) })
 				}
 				ran := false
-				b.far.seen = func(c *farConn) {
-					if string(c.got) == "payment" && !c.over {
+				b.backend.onData = func(c *backendConn) {
+					if string(c.got) == "payment" && !c.closed {
 						c.got, ran = nil, true
-						_, _ = c.Write(answer("right"))
+						_, _ = c.Write(valueReply("right"))
 					}
 				}
 				b.begin("payment")
-				b.run(patience + 10*ms)
-				if len(b.ends) != 1 {
-					t.Fatalf("%q %v after %s: %d outcomes", half, after, about, len(b.ends))
+				b.run(requestTimeout + 10*ms)
+				if len(b.outcomes) != 1 {
+					t.Fatalf("%q %v after %s: %d outcomes, want 1", half, after, event, len(b.outcomes))
 				}
-				switch r := b.ends[0].reply; {
+				switch r := b.outcomes[0].reply; {
 				case r.Status == choice.OK && string(r.Value) != "right":
-					t.Errorf("%q %v after %s: served with %q", half, after, about, r.Value)
+					t.Errorf("%q %v after %s: the request gets the value %q", half, after, event, r.Value)
 				case ran && (r.Status == choice.Refused || r.Status == choice.ConnectFailed):
-					t.Errorf("%q %v after %s: it ran, and ends as %v", half, after, about, r.Status)
+					t.Errorf("%q %v after %s: the request ran, and ends as %v", half, after, event, r.Status)
 				}
-				if about != "the next request" && b.ends[0].reply.Status != choice.OK {
-					t.Errorf("%q %v after %s: the next request ends as %v", half, after, about, b.ends[0].reply.Status)
+				if event != "the next request" && b.outcomes[0].reply.Status != choice.OK {
+					t.Errorf("%q %v after %s: the next request ends as %v, want OK", half, after, event, b.outcomes[0].reply.Status)
 				}
 			}
 		}
 	}
 }
 
-// At its time a connection is closed only behind a look for what has come since the
-// poller was asked: the close would take the answer with it.
-func TestAnswerThatCameInTimeIsReadBeforeTheClose(t *testing.T) {
-	for name, text := range map[string]string{"whole": string(answer("v")), "begun before": string(answer("v"))[6:]} {
-		b := newBench(t)
+// At its deadline, a connection is closed only after a check for data that has arrived
+// since the last poll: the close would drop a reply that arrived in time.
+func TestReplyThatArrivedInTimeIsReadBeforeTheClose(t *testing.T) {
+	for name, text := range map[string]string{"complete": string(valueReply("v")), "second part": string(valueReply("v"))[6:]} {
+		b := newTestbed(t)
 		a := b.begin("x")
 		b.run(5 * ms)
-		if name != "whole" {
-			b.reply(b.far.conns[0], answer("v")[:6])
+		if name != "complete" {
+			b.reply(b.backend.conns[0], valueReply("v")[:6])
 		}
-		b.near.Pause() // its poller tells nothing
-		_, _ = b.far.conns[0].Write([]byte(text))
-		b.run(2 * patience)
+		b.ingressNode.Pause() // no events are delivered
+		_, _ = b.backend.conns[0].Write([]byte(text))
+		b.run(2 * requestTimeout)
 		a.conn.Ring()
-		b.near.Resume()
+		b.ingressNode.Resume()
 		b.run(5 * ms)
 		b.Log(name)
-		b.want(choice.OK)
+		b.wantStatuses(choice.OK)
 	}
 }
