--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -6,7 +6,8 @@
 )
 
 func newRequest(idempotency Idempotency) *Request {
-	return &Request{Rules: &Rules{Idempotency: idempotency, DedupWindow: time.Second, MaxInFlight: 1, MaxAttempts: 4}, Deadline: 3 * time.Second}
+	return &Request{Rules: &Rules{Idempotency: idempotency, DedupWindow: time.Second, MaxInFlight: 1, MaxAttempts: 4},
+		Deadline: 3 * time.Second}
 }
 
 func checkViolation(t *testing.T, step string, got, want Violation) {
--- a/internal/lifecycle/violation.go
+++ b/internal/lifecycle/violation.go
@@ -18,8 +18,8 @@
 	NumViolations
 )
 
-var violationNames = [NumViolations]string{"none", "begin-after-end", "begin-after-deadline", "begin-beside", "begin-too-many", "repeat-may-run-twice",
-	"write-after-end", "refuse-may-have-run", "close-over-open", "end-over-open"}
+var violationNames = [NumViolations]string{"none", "begin-after-end", "begin-after-deadline", "begin-beside", "begin-too-many",
+	"repeat-may-run-twice", "write-after-end", "refuse-may-have-run", "close-over-open", "end-over-open"}
 
 // String returns the name used in logs and in the event counts.
 func (v Violation) String() string { return violationNames[v] }
--- a/internal/upstream/cause.go
+++ b/internal/upstream/cause.go
@@ -28,8 +28,8 @@
 	NumCauses
 )
 
-var causeNames = [NumCauses]string{"none", "backend-gone", "no-place", "no-descriptor", "dial-failed", "refused", "connect-late", "expired",
-	"write-failed", "answered-early", "read-failed", "malformed", "unexpected", "copy", "stalled", "deadline", "cancelled", "withdrawn", "forbidden"}
+var causeNames = [NumCauses]string{"none", "backend-gone", "no-place", "no-descriptor", "dial-failed", "refused", "connect-late",
+	"expired", "write-failed", "answered-early", "read-failed", "malformed", "unexpected", "copy", "stalled", "deadline", "cancelled", "withdrawn", "forbidden"}
 
 // String returns the name used in logs and in the event counts.
 func (c Cause) String() string { return causeNames[c] }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -698,8 +698,8 @@
 	if b.written != 0 {
 		t.Error("the attempt was written completely")
 	}
-	whole := &Attempt{Message: message("x"), Backend: 1, Deadline: b.ingressNode.Now() + requestTimeout, WriteBy: b.ingressNode.Now() + 3*ms}
-	b.inLoop(func() { b.Start(whole) })
+	small := &Attempt{Message: message("x"), Backend: 1, Deadline: b.ingressNode.Now() + requestTimeout, WriteBy: b.ingressNode.Now() + 3*ms}
+	b.inLoop(func() { b.Start(small) })
 	b.run(10 * ms) // past WriteBy: only the reply may come later
 	b.reply(b.backend.conns[1], valueReply("v"))
 	b.wantStatuses(choice.OK)
