--- a/internal/upstream/cause.go
+++ b/internal/upstream/cause.go
@@ -29,7 +29,8 @@
 )
 
 var causeNames = [NumCauses]string{"none", "backend-gone", "no-place", "no-descriptor", "dial-failed", "refused", "connect-late",
-	"expired", "write-failed", "answered-early", "read-failed", "malformed", "unexpected", "copy", "stalled", "deadline", "cancelled", "withdrawn", "forbidden"}
+	"expired", "write-failed", "answered-early", "read-failed", "malformed", "unexpected", "copy",
+	"stalled", "deadline", "cancelled", "withdrawn", "forbidden"}
 
 // String returns the name used in logs and in the event counts.
 func (c Cause) String() string { return causeNames[c] }
