--- a/cmd/bench/capacity/change.go
+++ b/cmd/bench/capacity/change.go
@@ -93,17 +93,17 @@
 		name  string
 		waves []float64
 		soak  time.Duration
-	}{{"waves 1, 10%, 50%, 100%, soak 5m", []float64{1, 0.1, 0.5, rollout.All}, 5 * time.Minute},
-		{"waves 1, 10%, 50%, 100%, soak 30s", []float64{1, 0.1, 0.5, rollout.All}, 30 * time.Second},
-		{"one wave, soak 1s", []float64{rollout.All}, time.Second}} {
+	}{{"waves 1, 10%, 50%, 100%, soak 5m", []float64{1, 0.1, 0.5, rollout.AllMembers}, 5 * time.Minute},
+		{"waves 1, 10%, 50%, 100%, soak 30s", []float64{1, 0.1, 0.5, rollout.AllMembers}, 30 * time.Second},
+		{"one wave, soak 1s", []float64{rollout.AllMembers}, time.Second}} {
 		var took []time.Duration
 		out, orders := 0, 0
 		for i := range c.Plays {
 			s := fleetsim.Draw(uint64(i+1), c.Ingresses, 0, 3)
 			s.Zones, s.Timing, s.Decide, s.RaftTick = zonesOfFleet, rollout.DefaultTiming(), 250*time.Millisecond, 100*time.Millisecond
-			s.Budgets = []rollout.Budget{{Name: "ingresses", Role: "ingress", Share: 0.10, Of: c.Ingresses}}
+			s.Budgets = []rollout.Budget{{Name: "ingresses", Role: "ingress", Share: 0.10, ExpectedMembers: c.Ingresses}}
 			s.Releases, s.Faulty, s.Hands, s.Trouble, s.Noisy = []fleetsim.Kind{fleetsim.Good}, false, false, nil, 0
-			s.Waves, s.Gate = way.waves, rollout.Gate{Soak: way.soak, Requests: 200, Patience: 200*time.Second + 2*way.soak, Alpha: 0.01, Margin: 0.03, Slower: 1.5}
+			s.Waves, s.Gate = way.waves, rollout.Gate{Soak: way.soak, MinRequests: 200, StallTimeout: 200*time.Second + 2*way.soak, Alpha: 0.01, Margin: 0.03, MaxLatencyFactor: 1.5}
 			s.Calm, s.End = 60*time.Second, 3600*time.Second
 			r := fleetsim.Run(s, nil)
 			for _, f := range r.Faults {
--- a/cmd/bench/capacity/coordinators.go
+++ b/cmd/bench/capacity/coordinators.go
@@ -117,7 +117,7 @@
 }
 
 func (c *coordinators) status(ctx context.Context, client *http.Client) (s rolloutlink.Status, err error) {
-	err = rolloutlink.Ask(ctx, client, c.Addresses, http.MethodGet, rolloutlink.PathStatus, nil, &s, rolloutlink.MostStatus)
+	err = rolloutlink.CallLeader(ctx, client, c.Addresses, http.MethodGet, rolloutlink.PathStatus, nil, &s, rolloutlink.MaxStatusBytes)
 	return s, err
 }
 
@@ -158,10 +158,10 @@
 func (a *agents) one(ctx context.Context, m rollout.Member) {
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	d := rollout.NewAgent(rollout.AgentConfig{Member: m, Coordinators: len(a.Coordinators), Version: "v1", Report: a.Report, Begin: 4 * a.Report, Drain: 5 * time.Second,
-		Stop: 10 * time.Second, Start: 30 * time.Second, Prove: time.Second, Backoff: time.Second, Tries: 3},
-		rollout.Memory{}, &rollout.Running{Version: "v1"}, rand.Uint64()>>11|1, 0)
-	client := rolloutlink.NewHTTP(2 * a.Report)
+	d := rollout.NewAgent(rollout.AgentConfig{Member: m, Coordinators: len(a.Coordinators), Version: "v1", ReportInterval: a.Report, BeginTimeout: 4 * a.Report, DrainTimeout: 5 * time.Second,
+		StopTimeout: 10 * time.Second, StartTimeout: 30 * time.Second, ProvePeriod: time.Second, Backoff: time.Second, MaxStarts: 3},
+		rollout.AgentState{}, &rollout.Running{Version: "v1"}, rand.Uint64()>>11|1, 0)
+	client := rolloutlink.NewHTTPClient(2 * a.Report)
 	t := client.Transport.(*http.Transport)
 	dial := t.DialContext
 	t.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -186,7 +186,7 @@
 				defer stop()
 				var reply rollout.Reply
 				a.calls.Add(1)
-				leader, err := rolloutlink.Call(call, client, http.MethodPost, a.Coordinators[to], rolloutlink.PathReport, r, &reply, rolloutlink.MostReport)
+				leader, err := rolloutlink.Call(call, client, http.MethodPost, a.Coordinators[to], rolloutlink.PathReport, r, &reply, rolloutlink.MaxReportBytes)
 				if time.Since(asked) > a.Report {
 					a.late.Add(1)
 				}
@@ -214,7 +214,7 @@
 			f()
 		case <-due.C:
 			n := uint64(now() / time.Millisecond) // about what an ingress of the fleet serves
-			figures := rollout.Figures{Boot: 1, Classes: map[string]rollout.Count{"lookup": {Served: n / 9, Refused: n / 900}, "payment": {Served: n / 80}}, Open: now().Seconds()}
+			figures := rollout.Stats{BootID: 1, Classes: map[string]rollout.Count{"lookup": {Served: n / 9, Refused: n / 900}, "payment": {Served: n / 80}}, InFlightSeconds: now().Seconds()}
 			do(d.Ready(now(), true, figures))
 			do(d.Tick(now()))
 		}
@@ -238,7 +238,7 @@
 		return nil, err
 	}
 	defer a.stop()
-	client := rolloutlink.NewHTTP(5 * time.Second)
+	client := rolloutlink.NewHTTPClient(5 * time.Second)
 	defer client.CloseIdleConnections()
 	began := time.Now()
 	in := 0
--- a/cmd/bench/capacity/scale_test.go
+++ b/cmd/bench/capacity/scale_test.go
@@ -292,8 +292,8 @@
 	for _, size := range []int{20, 40, 120} {
 		s := fleetsim.Draw(1, size, 0, 3)
 		s.Releases, s.Hands, s.Faulty, s.Weigh, s.Noisy = []fleetsim.Kind{fleetsim.Good}, false, false, true, 0
-		s.Budgets = []rollout.Budget{{Name: "ingresses", Role: "ingress", Most: size / 10, Of: size}}
-		s.Waves, s.Gate = []float64{rollout.All}, rollout.Gate{Soak: time.Second, Requests: 200, Patience: 200 * time.Second, Alpha: 0.01, Margin: 0.03, Slower: 1.5}
+		s.Budgets = []rollout.Budget{{Name: "ingresses", Role: "ingress", MaxOut: size / 10, ExpectedMembers: size}}
+		s.Waves, s.Gate = []float64{rollout.AllMembers}, rollout.Gate{Soak: time.Second, MinRequests: 200, StallTimeout: 200 * time.Second, Alpha: 0.01, Margin: 0.03, MaxLatencyFactor: 1.5}
 		s.Trouble, s.Dense, s.Calm, s.End = nil, 1, 60*time.Second, 900*time.Second
 		r := fleetsim.Run(s, nil)
 		if len(r.Faults) > 0 {
--- a/cmd/bench/followers/main.go
+++ b/cmd/bench/followers/main.go
@@ -56,7 +56,7 @@
 
 // countedClient is a client of HTTP whose traffic is counted.
 func countedClient(patience time.Duration, traffic *standin.Traffic) *http.Client {
-	h := rolloutlink.NewHTTP(patience)
+	h := rolloutlink.NewHTTPClient(patience)
 	h.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		nc, err := new(net.Dialer).DialContext(ctx, network, address)
 		if err != nil {
@@ -139,7 +139,7 @@
 		wait = every
 		var c rolloutlink.Config
 		call, cancel := context.WithTimeout(ctx, 10*time.Second)
-		err := rolloutlink.Ask(call, client, h.fleet.control.Addresses, http.MethodGet, rolloutlink.PathConfig, nil, &c, rolloutlink.MostConfig)
+		err := rolloutlink.CallLeader(call, client, h.fleet.control.Addresses, http.MethodGet, rolloutlink.PathConfig, nil, &c, rolloutlink.MaxConfigBytes)
 		cancel()
 		if err != nil || c.Version <= version {
 			continue
@@ -181,9 +181,9 @@
 func (f *fleet) push(p distribution.Push) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	var made rolloutlink.Ordered
+	var made rolloutlink.ConfigOrderReply
 	e := distribution.Entry{Request: fmt.Sprint(rand.Uint64()), By: "bench", Push: &p}
-	err := rolloutlink.Ask(ctx, rolloutlink.NewHTTP(12*time.Second), f.control.Addresses, http.MethodPost, rolloutlink.PathConfigOrder, e, &made, rolloutlink.MostReport)
+	err := rolloutlink.CallLeader(ctx, rolloutlink.NewHTTPClient(12*time.Second), f.control.Addresses, http.MethodPost, rolloutlink.PathConfigOrder, e, &made, rolloutlink.MaxReportBytes)
 	return made.Version, err
 }
 
@@ -383,7 +383,7 @@
 func (f *fleet) newest() (c rolloutlink.Config, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	err = rolloutlink.Ask(ctx, rolloutlink.NewHTTP(12*time.Second), f.control.Addresses, http.MethodGet, rolloutlink.PathConfig, nil, &c, rolloutlink.MostConfig)
+	err = rolloutlink.CallLeader(ctx, rolloutlink.NewHTTPClient(12*time.Second), f.control.Addresses, http.MethodGet, rolloutlink.PathConfig, nil, &c, rolloutlink.MaxConfigBytes)
 	return c, err
 }
 
--- a/cmd/wickarch-fleet/config.go
+++ b/cmd/wickarch-fleet/config.go
@@ -43,7 +43,7 @@
 
 // config is the newest version, whole.
 func (f *fleet) config() (c rolloutlink.Config, set distribution.Set, err error) {
-	if err = f.ask(http.MethodGet, rolloutlink.PathConfig, nil, &c, rolloutlink.MostConfig); err != nil {
+	if err = f.ask(http.MethodGet, rolloutlink.PathConfig, nil, &c, rolloutlink.MaxConfigBytes); err != nil {
 		return c, nil, err
 	}
 	set = distribution.Set{}
@@ -65,8 +65,8 @@
 	if e.Request = f.Request; e.Request == "" {
 		e.Request = rand.Text()
 	}
-	var made rolloutlink.Ordered
-	err := f.ask(http.MethodPost, rolloutlink.PathConfigOrder, e, &made, rolloutlink.MostReport)
+	var made rolloutlink.ConfigOrderReply
+	err := f.ask(http.MethodPost, rolloutlink.PathConfigOrder, e, &made, rolloutlink.MaxReportBytes)
 	return made.Version, err
 }
 
@@ -158,7 +158,7 @@
 }
 
 func (f *fleet) configStatus() (st distribution.Status, err error) {
-	err = f.ask(http.MethodGet, rolloutlink.PathConfigStatus, nil, &st, rolloutlink.MostStatus)
+	err = f.ask(http.MethodGet, rolloutlink.PathConfigStatus, nil, &st, rolloutlink.MaxStatusBytes)
 	return st, err
 }
 
--- a/cmd/wickarch-fleet/main.go
+++ b/cmd/wickarch-fleet/main.go
@@ -61,7 +61,7 @@
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, f.Patience)
 	defer cancel()
-	return rolloutlink.Ask(ctx, f.http, f.Coordinators, method, path, in, out, most)
+	return rolloutlink.CallLeader(ctx, f.http, f.Coordinators, method, path, in, out, most)
 }
 
 // order sends an order until it is decided, under one name.
@@ -75,7 +75,7 @@
 	if e.Request = f.Request; e.Request == "" {
 		e.Request = rand.Text()
 	}
-	if err := f.ask(http.MethodPost, rolloutlink.PathOrder, e, nil, rolloutlink.MostReport); err != nil {
+	if err := f.ask(http.MethodPost, rolloutlink.PathOrder, e, nil, rolloutlink.MaxReportBytes); err != nil {
 		return err
 	}
 	if f.JSON {
@@ -95,7 +95,7 @@
 }
 
 func (f *fleet) status() (s rolloutlink.Status, err error) {
-	err = f.ask(http.MethodGet, rolloutlink.PathStatus, nil, &s, rolloutlink.MostStatus)
+	err = f.ask(http.MethodGet, rolloutlink.PathStatus, nil, &s, rolloutlink.MaxStatusBytes)
 	return s, err
 }
 
@@ -118,7 +118,7 @@
 // Run starts a rollout.
 func (c *startCommand) Run(f *fleet) error {
 	spec := rollout.Spec{ID: c.ID, Role: c.Role, Zones: c.Zones, Version: c.Version, After: c.After, ByZone: c.ByZone,
-		Gate: rollout.Gate{Soak: c.Soak, Requests: c.Requests, Patience: c.Wait, Alpha: c.Alpha, Margin: c.Margin, Slower: c.Slower}}
+		Gate: rollout.Gate{Soak: c.Soak, MinRequests: c.Requests, StallTimeout: c.Wait, Alpha: c.Alpha, Margin: c.Margin, MaxLatencyFactor: c.Slower}}
 	for _, w := range c.Waves {
 		size, err := parseWave(w)
 		if err != nil {
@@ -140,7 +140,7 @@
 	case err != nil || !(v > 0):
 		return 0, &rollout.BadRequest{What: fmt.Sprintf("a wave is a number of members or a share such as 10%%, not %q", s)}
 	case percent && v >= 100:
-		return rollout.All, nil
+		return rollout.AllMembers, nil
 	case percent:
 		return v / 100, nil
 	case v < 1 || v != float64(int(v)):
@@ -160,7 +160,7 @@
 	if u, err := user.Current(); by == "" && err == nil {
 		by = u.Username
 	}
-	return f.order(rollout.Entry{HaltOf: rollout.HaltFor(c.ID, &rollout.HaltedByOperator{By: by, Why: c.Why})}, "halted "+c.ID)
+	return f.order(rollout.Entry{Halt: rollout.NewHaltEntry(c.ID, &rollout.HaltedByOperator{By: by, Why: c.Why})}, "halted "+c.ID)
 }
 
 type resumeCommand struct {
@@ -181,7 +181,7 @@
 			}
 		}
 	}
-	return f.order(rollout.Entry{Resume: &rollout.ResumeOf{Rollout: c.ID, Number: c.Halt}}, "resumed "+c.ID)
+	return f.order(rollout.Entry{Resume: &rollout.ResumeEntry{Rollout: c.ID, Number: c.Halt}}, "resumed "+c.ID)
 }
 
 type backCommand struct {
@@ -190,7 +190,7 @@
 
 // Run has a rollout go back.
 func (c *backCommand) Run(f *fleet) error {
-	return f.order(rollout.Entry{Back: c.ID}, "going back: "+c.ID)
+	return f.order(rollout.Entry{Rollback: c.ID}, "going back: "+c.ID)
 }
 
 type watchCommand struct {
@@ -211,7 +211,7 @@
 		}
 		i := slices.IndexFunc(s.Rollouts, func(r rollout.Progress) bool { return r.ID == c.ID })
 		if err == nil && i < 0 {
-			return &rollout.Unknown{What: "rollout", Name: c.ID}
+			return &rollout.Unknown{Kind: "rollout", Name: c.ID}
 		}
 		if err == nil {
 			r := s.Rollouts[i]
@@ -227,7 +227,7 @@
 			switch {
 			case r.Phase == rollout.Done:
 				return nil
-			case r.Phase == rollout.Undone:
+			case r.Phase == rollout.RolledBack:
 				return status(codeUndone)
 			case r.Halt != nil:
 				return status(codeHalted)
@@ -243,9 +243,9 @@
 // words tells how a rollout stands, in lines.
 func words(s rolloutlink.Status, r rollout.Progress) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s to %s: %s, wave %d of %d, %d of %d members", r.ID, r.Version, r.Phase, r.Wave, r.Waves, r.Done, r.Of)
-	if r.Left > 0 && r.Done < r.Of {
-		fmt.Fprintf(&b, ", some %v left", r.Left.Round(time.Second))
+	fmt.Fprintf(&b, "%s to %s: %s, wave %d of %d, %d of %d members", r.ID, r.Version, r.Phase, r.Wave, r.Waves, r.Done, r.Total)
+	if r.TimeLeft > 0 && r.Done < r.Total {
+		fmt.Fprintf(&b, ", some %v left", r.TimeLeft.Round(time.Second))
 	}
 	b.WriteByte('\n')
 	if r.Halt != nil {
@@ -254,7 +254,7 @@
 	if r.Gate != "" {
 		fmt.Fprintf(&b, "  %s\n", r.Gate)
 	}
-	for _, w := range r.Waits {
+	for _, w := range r.WaitingFor {
 		fmt.Fprintf(&b, "  waits for %s\n", w)
 	}
 	for _, m := range s.Members {
@@ -282,8 +282,8 @@
 	for _, id := range slices.Sorted(maps.Keys(s.Coordinators)) {
 		fmt.Printf("coordinator %d at %s\n", id, s.Coordinators[id])
 	}
-	if s.Unsure != "" {
-		fmt.Printf("nothing is granted: %s\n", s.Unsure)
+	if s.GrantsBlocked != "" {
+		fmt.Printf("nothing is granted: %s\n", s.GrantsBlocked)
 	}
 	if s.Stop != nil {
 		fmt.Printf("everything is stopped (number %d, %s): %s\nwhat to do: %s\n", s.Stop.Number, s.Stop.Kind, s.Stop.Text, s.Stop.Remedy)
@@ -292,13 +292,13 @@
 	fmt.Fprintln(t, "budget\tof\tout\tmost\tweight out\tallowed\tmembers")
 	for _, b := range s.Budgets {
 		most, share := "-", "-"
-		if b.Most > 0 {
-			most = fmt.Sprint(b.Most)
+		if b.MaxOut > 0 {
+			most = fmt.Sprint(b.MaxOut)
 		}
 		if b.Share > 0 {
 			share = fmt.Sprintf("%.1f%%", 100*b.Share)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%.1f%%\t%s\t%d\n", b.Budget, b.Group, b.Out, most, 100*b.Weight, share, b.Of)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%.1f%%\t%s\t%d\n", b.Budget, b.Group, b.Out, most, 100*b.Weight, share, b.Members)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -309,7 +309,7 @@
 	fmt.Fprintln(t, "member\tzone\tversion\tdoes\tcounts as out\tdenied\tcan't")
 	for _, m := range s.Members {
 		if c.All || m.Out != "" || m.Denied != "" || m.Failed != "" || m.Drain != "" {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Zone, m.Version, m.Does, m.Out, m.Denied, m.Failed)
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Zone, m.Version, m.State, m.Out, m.Denied, m.Failed)
 		}
 	}
 	return t.Flush()
@@ -352,7 +352,7 @@
 	if u, err := user.Current(); by == "" && err == nil {
 		by = u.Username
 	}
-	return f.order(rollout.Entry{HaltOf: rollout.HaltFor("", &rollout.HaltedByOperator{By: by, Why: c.Why})}, "stopped: nothing new goes out")
+	return f.order(rollout.Entry{Halt: rollout.NewHaltEntry("", &rollout.HaltedByOperator{By: by, Why: c.Why})}, "stopped: nothing new goes out")
 }
 
 type liftCommand struct {
@@ -361,7 +361,7 @@
 
 // Run lifts a stop.
 func (c *liftCommand) Run(f *fleet) error {
-	return f.order(rollout.Entry{Resume: &rollout.ResumeOf{Number: c.Halt}}, "lifted")
+	return f.order(rollout.Entry{Resume: &rollout.ResumeEntry{Number: c.Halt}}, "lifted")
 }
 
 type replaceCommand struct {
@@ -372,7 +372,7 @@
 
 // Run replaces a coordinator.
 func (c *replaceCommand) Run(f *fleet) error {
-	if err := f.ask(http.MethodPost, rolloutlink.PathReplace, rolloutlink.Replace{Old: c.Old, New: c.New, Address: c.Address}, nil, rolloutlink.MostReport); err != nil {
+	if err := f.ask(http.MethodPost, rolloutlink.PathReplace, rolloutlink.Replace{Old: c.Old, New: c.New, Address: c.Address}, nil, rolloutlink.MaxReportBytes); err != nil {
 		return err
 	}
 	fmt.Println("on its way: see status")
@@ -411,7 +411,7 @@
 		k.Errorf("missing flags: --coordinators=ADDRESS,... (or WICKARCH_COORDINATORS)")
 		os.Exit(2)
 	}
-	line.fleet.http = rolloutlink.NewHTTP(12 * time.Second)
+	line.fleet.http = rolloutlink.NewHTTPClient(12 * time.Second)
 	if err := k.Run(&line.fleet); err != nil {
 		os.Exit(end(&line.fleet, err))
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -48,8 +48,8 @@
 		_ = lock.Close()
 		return nil, &AlreadyRuns{cfg.Dir}
 	}
-	a := &Agent{cfg: cfg, log: log, began: time.Now(), mail: make(chan func(), 64), http: rolloutlink.NewHTTP(2 * cfg.Decides().Report), lock: lock}
-	var mem rollout.Memory
+	a := &Agent{cfg: cfg, log: log, began: time.Now(), mail: make(chan func(), 64), http: rolloutlink.NewHTTPClient(2 * cfg.Decides().ReportInterval), lock: lock}
+	var mem rollout.AgentState
 	b, err := retry.For(diskPatience, nil, func() ([]byte, error) { return os.ReadFile(a.path()) })
 	switch {
 	case errors.Is(err, os.ErrNotExist):
@@ -148,7 +148,7 @@
 				continue
 			}
 			a.log.Error("memory", "error", &StateFailed{a.path(), err}, "remedy", (&StateFailed{}).Remedy())
-			if act.Must { // what rests on it is dropped
+			if act.SaveRequired { // what rests on it is dropped
 				actions = append(slices.Clone(actions[:i+1]), a.decides.SaveFailed(a.now(), err)...)
 			}
 		case act.Send != nil:
@@ -176,8 +176,8 @@
 		case act.Kill:
 			a.log.Warn("kill")
 			a.driver.kill()
-		case act.Note != "":
-			a.log.Info(act.Note)
+		case act.Log != "":
+			a.log.Info(act.Log)
 		}
 	}
 }
@@ -185,10 +185,10 @@
 // send carries a report, beside everything else.
 func (a *Agent) send(r rollout.Report, to int) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), 2*a.cfg.Decides().Report)
+		ctx, cancel := context.WithTimeout(context.Background(), 2*a.cfg.Decides().ReportInterval)
 		defer cancel()
 		var reply rollout.Reply
-		leader, err := rolloutlink.Call(ctx, a.http, http.MethodPost, a.cfg.Coordinators[to], rolloutlink.PathReport, r, &reply, rolloutlink.MostReport)
+		leader, err := rolloutlink.Call(ctx, a.http, http.MethodPost, a.cfg.Coordinators[to], rolloutlink.PathReport, r, &reply, rolloutlink.MaxReportBytes)
 		a.mail <- func() {
 			if err != nil {
 				a.log.Debug("report", "to", a.cfg.Coordinators[to], "error", err)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -60,12 +60,12 @@
 	a := rollout.AgentConfig{
 		Member:       rollout.Member{Name: c.Name, Role: c.Role, Zone: c.Zone, Cell: c.Cell, Weight: c.Weight},
 		Coordinators: len(c.Coordinators), Version: c.Version,
-		Report: ms(t.Report, time.Second), Begin: ms(t.Begin, 4*time.Second), Drain: ms(t.Drain, 5*time.Second),
-		Stop: ms(t.Stop, 10*time.Second), Start: ms(t.Start, 30*time.Second),
-		Prove: ms(t.Prove, 10*time.Second), Backoff: ms(t.Backoff, time.Second), Tries: 3,
+		ReportInterval: ms(t.Report, time.Second), BeginTimeout: ms(t.Begin, 4*time.Second), DrainTimeout: ms(t.Drain, 5*time.Second),
+		StopTimeout: ms(t.Stop, 10*time.Second), StartTimeout: ms(t.Start, 30*time.Second),
+		ProvePeriod: ms(t.Prove, 10*time.Second), Backoff: ms(t.Backoff, time.Second), MaxStarts: 3,
 	}
 	if t.Tries > 0 {
-		a.Tries = t.Tries
+		a.MaxStarts = t.Tries
 	}
 	return a
 }
@@ -121,7 +121,7 @@
 			file.Fault("times."+key, "not below 0")
 		}
 	}
-	if d := c.Decides(); d.Begin < 2*d.Report {
+	if d := c.Decides(); d.BeginTimeout < 2*d.ReportInterval {
 		file.Fault("times.begin_ms", "twice report_ms at least, and the same as the coordinators'")
 	}
 	return c, file.Faults()
--- a/internal/agent/program.go
+++ b/internal/agent/program.go
@@ -34,7 +34,7 @@
 	// as long as its time limit, and is called beside the others: it changes nothing.
 	look(ctx context.Context) seen
 	// figures makes of what was seen what is reported.
-	figures(s seen) rollout.Figures
+	figures(s seen) rollout.Stats
 	// adopt finds the program that ran before this agent started.
 	adopt() *rollout.Running
 }
@@ -238,15 +238,15 @@
 	return s
 }
 
-func (p *process) figures(s seen) rollout.Figures {
+func (p *process) figures(s seen) rollout.Stats {
 	if s.classes == nil {
-		return rollout.Figures{}
+		return rollout.Stats{}
 	}
 	// Requests open, added up over time: how many there are now stands for the time since the last look.
 	now := p.now()
 	p.open += float64(s.open) * min(now-p.last, 2*time.Second).Seconds()
 	p.last = now
-	return rollout.Figures{Boot: p.boot, Classes: s.classes, Open: p.open}
+	return rollout.Stats{BootID: p.boot, Classes: s.classes, InFlightSeconds: p.open}
 }
 
 // hooked drives a member by its owner's commands.
@@ -325,7 +325,7 @@
 	return seen{ready: err == nil, gone: notRunning(err)}
 }
 
-func (h *hooked) figures(seen) rollout.Figures { return rollout.Figures{} }
+func (h *hooked) figures(seen) rollout.Stats { return rollout.Stats{} }
 
 // notRunning tells whether a ready hook says that its program does not run.
 func notRunning(err error) bool {
@@ -344,7 +344,7 @@
 	return &rollout.Running{}
 }
 
-func newClient() *http.Client { return rolloutlink.NewHTTP(2 * time.Second) }
+func newClient() *http.Client { return rolloutlink.NewHTTPClient(2 * time.Second) }
 
 // diskPatience is how long an agent waits for a disk that fails.
 const diskPatience = time.Second
--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -42,7 +42,7 @@
 	for _, x := range []struct {
 		to *time.Duration
 		ms int
-	}{{&d.Report, t.Report}, {&d.Fresh, t.Fresh}, {&d.Learn, t.Learn}, {&d.Begin, t.Begin}, {&d.Bear, t.Bear}, {&d.Watch, t.Watch}} {
+	}{{&d.ReportInterval, t.Report}, {&d.MaxStaleness, t.Fresh}, {&d.LearnPeriod, t.Learn}, {&d.BeginTimeout, t.Begin}, {&d.OverBudgetTimeout, t.Bear}, {&d.WatchInterval, t.Watch}} {
 		if x.ms > 0 {
 			*x.to = time.Duration(x.ms) * time.Millisecond
 		}
@@ -92,7 +92,7 @@
 	if err := c.Times.Timing().Check(); err != nil {
 		file.Fault("times", "%v", err)
 	}
-	if t := c.Times; t.Tick < 0 || t.Decide < 0 || t.tick() < 10*time.Millisecond || t.decide() > c.Times.Timing().Fresh/3 {
+	if t := c.Times; t.Tick < 0 || t.Decide < 0 || t.tick() < 10*time.Millisecond || t.decide() > c.Times.Timing().MaxStaleness/3 {
 		file.Fault("times", "tick_ms is 10 at least, decide_ms a third of fresh_ms at most")
 	}
 	return c, file.Faults()
--- a/internal/coordinator/disk_test.go
+++ b/internal/coordinator/disk_test.go
@@ -24,7 +24,7 @@
 func fresh(t interface {
 	Fatal(...any)
 }, dir string) *Disk {
-	stored, err := replica.Founding(map[uint64]string{1: "a:1"})
+	stored, err := replica.Bootstrap(map[uint64]string{1: "a:1"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -63,7 +63,7 @@
 	if addresses[cfg.ID] == "" {
 		return &rollout.BadRequest{What: fmt.Sprintf("coordinator %d is none of the founding set", cfg.ID)}
 	}
-	stored, err := replica.Founding(addresses)
+	stored, err := replica.Bootstrap(addresses)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 // coordinator that is to take another's place.
 func Listen(cfg Config, join bool, seed uint64, log *slog.Logger) (*Server, error) {
 	s := &Server{cfg: cfg, log: log, began: time.Now(), work: make(chan func(), mostWaiting), ended: make(chan struct{}), peers: map[uint64]*peer{},
-		http: rolloutlink.NewHTTP(2 * time.Second)}
+		http: rolloutlink.NewHTTPClient(2 * time.Second)}
 	var stored replica.Stored
 	var err error
 	s.disk, stored, err = Open(cfg.Dir, cfg.ID)
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	s.replica, err = replica.New(replica.Config{ID: cfg.ID, Rollout: rollout.Config{Budgets: cfg.Budget, Timing: cfg.Times.Timing()},
-		Tick: cfg.Times.tick(), Election: 10, Compact: compact, Decide: cfg.Times.decide()}, stored, s.disk, seed, s.now())
+		TickInterval: cfg.Times.tick(), ElectionTicks: 10, CompactAfter: compact, DecideInterval: cfg.Times.decide()}, stored, s.disk, seed, s.now())
 	if err == nil {
 		s.ln, err = net.Listen("tcp", cfg.Listen)
 	}
@@ -140,10 +140,10 @@
 		if err := s.replica.Err(); err != nil {
 			return err
 		}
-		for _, m := range s.replica.Take() {
+		for _, m := range s.replica.TakeMessages() {
 			s.send(ctx, all, m)
 		}
-		if l, is := s.replica.Leads(), s.replica.Leading(); l != leads || is != led {
+		if l, is := s.replica.LeaderID(), s.replica.IsLeader(); l != leads || is != led {
 			leads, led = l, is
 			s.log.Info("leader", "coordinator", s.cfg.ID, "leads", leads, "here", led, "term", s.replica.Term())
 		}
@@ -182,7 +182,7 @@
 
 func (p *peer) carry(ctx context.Context, c *http.Client) {
 	for {
-		var batch rolloutlink.Raft
+		var batch rolloutlink.RaftMessages
 		select {
 		case <-ctx.Done():
 			return
@@ -191,7 +191,7 @@
 		}
 		size := len(batch.Messages[0])
 	more:
-		for size < rolloutlink.MostRaft/4 {
+		for size < rolloutlink.MaxRaftBytes/4 {
 			select {
 			case m := <-p.queue:
 				batch.Messages = append(batch.Messages, m)
@@ -201,7 +201,7 @@
 			}
 		}
 		// What is lost is sent again by the library.
-		_, _ = rolloutlink.Call(ctx, c, http.MethodPost, p.address, rolloutlink.PathRaft, batch, nil, rolloutlink.MostReport)
+		_, _ = rolloutlink.Call(ctx, c, http.MethodPost, p.address, rolloutlink.PathRaft, batch, nil, rolloutlink.MaxReportBytes)
 	}
 }
 
@@ -258,15 +258,15 @@
 			s.answer(w, out, err)
 		})
 	}
-	handle("POST "+rolloutlink.PathReport, rolloutlink.MostReport, callTime, decoded(s.report))
-	handle("POST "+rolloutlink.PathOrder, rolloutlink.MostOrder, orderTime, decoded(s.order))
-	handle("POST "+rolloutlink.PathReplace, rolloutlink.MostOrder, callTime, decoded(s.replace))
+	handle("POST "+rolloutlink.PathReport, rolloutlink.MaxReportBytes, callTime, decoded(s.report))
+	handle("POST "+rolloutlink.PathOrder, rolloutlink.MaxOrderBytes, orderTime, decoded(s.order))
+	handle("POST "+rolloutlink.PathReplace, rolloutlink.MaxOrderBytes, callTime, decoded(s.replace))
 	handle("GET "+rolloutlink.PathStatus, 0, callTime, s.status)
-	handle("POST "+rolloutlink.PathConfigPoll, rolloutlink.MostReport, pollTime, decoded(s.configPoll))
-	handle("POST "+rolloutlink.PathConfigOrder, rolloutlink.MostConfig, orderTime, decoded(s.configOrder))
+	handle("POST "+rolloutlink.PathConfigPoll, rolloutlink.MaxReportBytes, pollTime, decoded(s.configPoll))
+	handle("POST "+rolloutlink.PathConfigOrder, rolloutlink.MaxConfigBytes, orderTime, decoded(s.configOrder))
 	handle("GET "+rolloutlink.PathConfig, 0, callTime, s.config)
 	handle("GET "+rolloutlink.PathConfigStatus, 0, callTime, s.configStatus)
-	handle("POST "+rolloutlink.PathRaft, rolloutlink.MostRaft, callTime, decoded(s.raft))
+	handle("POST "+rolloutlink.PathRaft, rolloutlink.MaxRaftBytes, callTime, decoded(s.raft))
 	return mux
 }
 
@@ -330,7 +330,7 @@
 		})
 	})
 	s.log.Info("configuration", "by", e.By, "request", e.Request, "version", made, "error", err)
-	return rolloutlink.Ordered{Version: made}, err
+	return rolloutlink.ConfigOrderReply{Version: made}, err
 }
 
 func (s *Server) config(ctx context.Context, _ []byte) (any, error) {
@@ -356,7 +356,7 @@
 }
 
 // raft takes messages of other coordinators; all of them, and the last error.
-func (s *Server) raft(ctx context.Context, batch rolloutlink.Raft) (any, error) {
+func (s *Server) raft(ctx context.Context, batch rolloutlink.RaftMessages) (any, error) {
 	return struct{}{}, s.do(ctx, func(done func(error)) {
 		var err error
 		for _, m := range batch.Messages {
@@ -371,7 +371,7 @@
 func (s *Server) answer(w http.ResponseWriter, out any, err error) {
 	code := http.StatusOK
 	if err != nil {
-		f := rolloutlink.Failure{Error: rollout.ToRemoteError(err)}
+		f := rolloutlink.ErrorReply{Error: rollout.ToRemoteError(err)}
 		switch f.Error.Kind {
 		case "NotLeader":
 			code = http.StatusMisdirectedRequest
--- a/internal/fleetproc/configured.go
+++ b/internal/fleetproc/configured.go
@@ -105,7 +105,7 @@
 func (f *Fleet) ConfigStatus(patience time.Duration) (s distribution.Status, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	err = rolloutlink.Ask(ctx, f.http, f.Addresses, http.MethodGet, rolloutlink.PathConfigStatus, nil, &s, rolloutlink.MostStatus)
+	err = rolloutlink.CallLeader(ctx, f.http, f.Addresses, http.MethodGet, rolloutlink.PathConfigStatus, nil, &s, rolloutlink.MaxStatusBytes)
 	return s, err
 }
 
--- a/internal/fleetproc/fleet.go
+++ b/internal/fleetproc/fleet.go
@@ -158,7 +158,7 @@
 }
 
 func newFleet(cfg Config) *Fleet {
-	f := &Fleet{Config: cfg, registry: standin.NewRegistry(), http: rolloutlink.NewHTTP(3 * time.Second), done: make(chan standin.FrontTally, 1)}
+	f := &Fleet{Config: cfg, registry: standin.NewRegistry(), http: rolloutlink.NewHTTPClient(3 * time.Second), done: make(chan standin.FrontTally, 1)}
 	f.control = httptest.NewServer(http.HandlerFunc(f.hook))
 	return f
 }
@@ -321,7 +321,7 @@
 func (f *Fleet) Status(patience time.Duration) (s rolloutlink.Status, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	err = rolloutlink.Ask(ctx, f.http, f.Addresses, http.MethodGet, rolloutlink.PathStatus, nil, &s, rolloutlink.MostStatus)
+	err = rolloutlink.CallLeader(ctx, f.http, f.Addresses, http.MethodGet, rolloutlink.PathStatus, nil, &s, rolloutlink.MaxStatusBytes)
 	return s, err
 }
 
@@ -338,14 +338,14 @@
 		if err == nil {
 			last = ""
 			for _, r := range s.Rollouts {
-				last += fmt.Sprintf("%s %s wave %d %d/%d halt %v waits %v gate %s; ", r.ID, r.Phase, r.Wave, r.Done, r.Of, r.Halt, r.Waits, r.Gate)
+				last += fmt.Sprintf("%s %s wave %d %d/%d halt %v waits %v gate %s; ", r.ID, r.Phase, r.Wave, r.Done, r.Total, r.Halt, r.WaitingFor, r.Gate)
 			}
 			for _, m := range s.Members {
 				if m.Out != "" {
 					last += m.Name + ": " + m.Out + "; "
 				}
 			}
-			last += s.Unsure
+			last += s.GrantsBlocked
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/fleetproc/fleet_test.go
+++ b/internal/fleetproc/fleet_test.go
@@ -353,7 +353,7 @@
 
 	t.Run("all coordinators lost, and founded anew", func(t *testing.T) {
 		f.must(t, 0, "drain", "n6")
-		f.wait(t, "one is out", func(s rolloutlink.Status) bool { return member(s, "n6").Does == rollout.Detached })
+		f.wait(t, "one is out", func(s rolloutlink.Status) bool { return member(s, "n6").State == rollout.Detached })
 		for i, c := range f.Coordinators {
 			c.Kill()
 			dir, file := fmt.Sprintf("%s/c%d", f.Dir, i+1), fmt.Sprintf("%s/c%d.toml", f.Dir, i+1)
@@ -391,7 +391,7 @@
 		f.wait(t, "it is out", func(s rolloutlink.Status) bool {
 			for _, m := range s.Members {
 				if m.Name == "n5" {
-					return m.Does == rollout.Detached
+					return m.State == rollout.Detached
 				}
 			}
 			return false
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -20,7 +20,7 @@
 		// Small and short: cmd/bench/rollouts plays them at full size.
 		s := Draw(seed, 7, 2, 3)
 		s.Calm, s.End = 130*time.Second, 1200*time.Second
-		s.Gate.Patience, s.Gate.Soak, s.Gate.Requests = 80*time.Second, 15*time.Second, 50
+		s.Gate.StallTimeout, s.Gate.Soak, s.Gate.MinRequests = 80*time.Second, 15*time.Second, 50
 		return Run(s, nil)
 	}, func(seed uint64, r Report) bool {
 		for _, f := range r.Faults {
--- a/internal/fleetsim/member.go
+++ b/internal/fleetsim/member.go
@@ -32,9 +32,9 @@
 	end     int // of links
 	clock   clock
 	agent   *rollout.Agent
-	mem     rollout.Memory // on its disk
-	full    time.Duration  // until then nothing can be kept there
-	until   time.Duration  // paused until then
+	mem     rollout.AgentState // on its disk
+	full    time.Duration      // until then nothing can be kept there
+	until   time.Duration      // paused until then
 	life    int
 	prog    program
 	granted uint64 // fence of the order that it was given, until it is back and proven
@@ -52,7 +52,7 @@
 	if !p.running || p.unready || p.standby || p.ends || m.w.Now() < p.readyAt {
 		return false
 	}
-	return m.w.Now()-p.readyAt >= time.Duration(0.97*float64(m.cfg.Prove)) || p.was
+	return m.w.Now()-p.readyAt >= time.Duration(0.97*float64(m.cfg.ProvePeriod)) || p.was
 }
 
 // lostFor is for how long it has not served.
@@ -116,14 +116,14 @@
 		p := &m.prog
 		ready := p.running && !p.unready && !p.standby && m.w.Now() >= p.readyAt
 		m.count()
-		f := rollout.Figures{Boot: p.boot, Open: p.open, Classes: map[string]rollout.Count{}}
+		f := rollout.Stats{BootID: p.boot, InFlightSeconds: p.open, Classes: map[string]rollout.Count{}}
 		for name, c := range p.classes {
 			f.Classes[name] = c
 		}
 		m.act(m.agent.Ready(m.now(), ready, f))
-		m.w.After(m.clock.to(m.cfg.Report), poll)
+		m.w.After(m.clock.to(m.cfg.ReportInterval), poll)
 	}
-	m.w.After(time.Duration(m.w.rng.Int64N(int64(m.cfg.Report))), poll)
+	m.w.After(time.Duration(m.w.rng.Int64N(int64(m.cfg.ReportInterval))), poll)
 	m.wake()
 }
 
@@ -170,7 +170,7 @@
 		switch a := do[i]; {
 		case a.Save != nil:
 			if m.w.Now() < m.full {
-				if a.Must {
+				if a.SaveRequired {
 					do = append(do[:i+1:i+1], m.agent.SaveFailed(m.now(), errFull)...)
 				}
 				continue
@@ -192,19 +192,19 @@
 				m.w.Fault("%s goes out with no grant", m.name())
 			} else {
 				// It was asked for so long ago at most.
-				m.w.checkGrant(truth, m.w.slack()+time.Duration(1.02*float64(m.cfg.Begin)))
+				m.w.checkGrant(truth, m.w.slack()+time.Duration(1.02*float64(m.cfg.BeginTimeout)))
 			}
 		case a.Terminate:
 			m.terminate(time.Duration((0.3 + m.w.rng.Float64()*2) * float64(time.Second)))
 		case a.Kill:
 			m.exit(m.prog.boot, "killed")
-		case a.Note != "":
-			m.w.Note("%s: %s", m.name(), a.Note)
+		case a.Log != "":
+			m.w.Note("%s: %s", m.name(), a.Log)
 		}
 	}
 	truth := m.truth()
 	if m.agent != nil && truth.granted != 0 {
-		if mem := m.agent.Memory(); mem.Grant == nil && mem.Seen >= truth.granted && m.agent.Does() != rollout.Leaves {
+		if mem := m.agent.PersistentState(); mem.Grant == nil && mem.SeenFence >= truth.granted && m.agent.MemberState() != rollout.Draining {
 			truth.granted = 0
 		}
 	}
@@ -330,7 +330,7 @@
 	}
 	if w.Way != Agreed {
 		reply := rollout.Reply{Stamp: r.Stamp}
-		if m.goAt > 0 && w.Now() >= m.goAt && r.Seen == 0 {
+		if m.goAt > 0 && w.Now() >= m.goAt && r.SeenFence == 0 {
 			reply.Order = &rollout.Order{Fence: 1, Kind: rollout.Release, Version: version(0)}
 			truth.granted = 1
 		}
@@ -339,7 +339,7 @@
 		})
 		return
 	}
-	w.After(m.clock.to(2*m.cfg.Report), func() { failed(-1) })
+	w.After(m.clock.to(2*m.cfg.ReportInterval), func() { failed(-1) })
 	w.carry(m.end, place, func() {
 		c := w.slots[place]
 		if c.r == nil {
@@ -359,10 +359,10 @@
 			if err != nil {
 				return // no answer: it asks again
 			}
-			if o := reply.Order; o != nil && r.Holds == nil {
+			if o := reply.Order; o != nil && r.HeldGrant == nil {
 				w.given(truth, c, o)
 			}
-			if reply.Void != 0 {
+			if reply.VoidFence != 0 {
 				w.Report.Voided++
 			}
 			w.Report.Messages++
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -75,29 +75,29 @@
 	s := Scenario{Seed: seed, Coordinators: coordinators, Ingresses: ingresses, Backends: backends, Zones: 1 + rng.IntN(4),
 		RaftTick: 250 * time.Millisecond, Decide: time.Second, Faulty: true, Hands: true,
 		Calm: 400 * time.Second, End: 1800 * time.Second, Slow: 20 * time.Second, Noisy: 0.3}
-	s.Timing = rollout.Timing{Report: 4 * time.Second, Fresh: 12 * time.Second, Learn: 9 * time.Second, Begin: 8 * time.Second,
-		Bear: 30 * time.Second, Watch: 10 * time.Second}
-	s.Budgets = []rollout.Budget{{Name: "ingresses", Role: "ingress", Most: max(2, ingresses/10)}, {Name: "backends", Role: "backend", Share: 0.25}}
+	s.Timing = rollout.Timing{ReportInterval: 4 * time.Second, MaxStaleness: 12 * time.Second, LearnPeriod: 9 * time.Second, BeginTimeout: 8 * time.Second,
+		OverBudgetTimeout: 30 * time.Second, WatchInterval: 10 * time.Second}
+	s.Budgets = []rollout.Budget{{Name: "ingresses", Role: "ingress", MaxOut: max(2, ingresses/10)}, {Name: "backends", Role: "backend", Share: 0.25}}
 	if rng.IntN(2) == 0 {
-		s.Budgets = append(s.Budgets, rollout.Budget{Name: "zone", Role: "ingress", Each: "zone", Most: max(1, ingresses/20)})
+		s.Budgets = append(s.Budgets, rollout.Budget{Name: "zone", Role: "ingress", GroupBy: "zone", MaxOut: max(1, ingresses/20)})
 	}
 	if rng.IntN(3) == 0 {
 		s.Budgets = append(s.Budgets, rollout.Budget{Name: "all", Share: 0.15})
 	}
 	for i := range s.Budgets { // the zones have as many, or one more
 		switch b := &s.Budgets[i]; {
-		case b.Each == "zone":
-			b.Of = ingresses / s.Zones
+		case b.GroupBy == "zone":
+			b.ExpectedMembers = ingresses / s.Zones
 		case b.Role == "ingress":
-			b.Of = ingresses
+			b.ExpectedMembers = ingresses
 		case b.Role == "backend":
-			b.Of = backends
+			b.ExpectedMembers = backends
 		default:
-			b.Of = ingresses + backends
+			b.ExpectedMembers = ingresses + backends
 		}
 	}
-	s.Gate = rollout.Gate{Soak: 30 * time.Second, Requests: 200, Patience: 200 * time.Second, Alpha: 0.01, Margin: 0.03, Slower: 1.5}
-	s.Waves = [][]float64{{1, 0.1, 0.5, rollout.All}, {2, rollout.All}, {rollout.All}, {0.05, 0.3, rollout.All}}[rng.IntN(4)]
+	s.Gate = rollout.Gate{Soak: 30 * time.Second, MinRequests: 200, StallTimeout: 200 * time.Second, Alpha: 0.01, Margin: 0.03, MaxLatencyFactor: 1.5}
+	s.Waves = [][]float64{{1, 0.1, 0.5, rollout.AllMembers}, {2, rollout.AllMembers}, {rollout.AllMembers}, {0.05, 0.3, rollout.AllMembers}}[rng.IntN(4)]
 	s.Releases = []Kind{Kinds[rng.IntN(len(Kinds))], Good}
 	if rng.IntN(2) == 0 {
 		s.Releases = []Kind{Good}
@@ -138,13 +138,13 @@
 	add := func(role, name string, prove time.Duration, rate float64) {
 		m := &member{w: w, end: agentEnd + len(w.members), clock: w.drawClock()}
 		m.cfg = rollout.AgentConfig{Member: rollout.Member{Name: name, Role: role, Zone: fmt.Sprint("z", len(w.members)%w.Zones), Weight: 1 + float64(len(w.members)%3)},
-			Coordinators: w.Coordinators, Version: "v1", Report: w.Timing.Report, Begin: w.Timing.Begin, Drain: 2 * time.Second, Stop: 5 * time.Second,
-			Start: 10 * time.Second, Prove: prove, Tries: 2, Backoff: time.Second}
+			Coordinators: w.Coordinators, Version: "v1", ReportInterval: w.Timing.ReportInterval, BeginTimeout: w.Timing.BeginTimeout, DrainTimeout: 2 * time.Second, StopTimeout: 5 * time.Second,
+			StartTimeout: 10 * time.Second, ProvePeriod: prove, MaxStarts: 2, Backoff: time.Second}
 		m.prog = program{running: true, boot: w.Sequence(), version: "v1", began: -time.Hour, readyAt: -time.Hour, classes: map[string]rollout.Count{}, was: true,
 			rate: rate, refuses: 0.01 * math.Exp(0.5*w.rng.NormFloat64())}
 		w.members = append(w.members, m)
 		w.byName[name] = m
-		w.After(time.Duration(w.rng.Int64N(int64(w.Timing.Report))), m.startAgent)
+		w.After(time.Duration(w.rng.Int64N(int64(w.Timing.ReportInterval))), m.startAgent)
 	}
 	for i := range w.Ingresses {
 		add("ingress", fmt.Sprintf("n%d", i), 10*time.Second, 20*math.Exp(0.6*w.rng.NormFloat64()))
@@ -290,7 +290,7 @@
 		// The operator has looked whether all is as it was left, and lifts it.
 		clear(w.halted)
 		clear(w.ordered)
-		w.order(rollout.Entry{By: "op", Resume: &rollout.ResumeOf{Number: s.Stop.Number}}, nil)
+		w.order(rollout.Entry{By: "op", Resume: &rollout.ResumeEntry{Number: s.Stop.Number}}, nil)
 		return false
 	}
 	done := true
@@ -298,7 +298,7 @@
 		if w.lookedAt[r.ID] == nil {
 			w.lookedAt[r.ID] = new(int)
 		}
-		if r.Halt != nil && r.Phase == rollout.Going && *w.lookedAt[r.ID] < 2 {
+		if r.Halt != nil && r.Phase == rollout.InProgress && *w.lookedAt[r.ID] < 2 {
 			switch *w.lookedAt[r.ID]++; w.rng.IntN(3) {
 			case 0:
 				w.goBack(r.ID)
@@ -334,10 +334,10 @@
 	})
 }
 
-func (w *World) goBack(id string) { w.lift(id, "back", rollout.Entry{Back: id}) }
+func (w *World) goBack(id string) { w.lift(id, "back", rollout.Entry{Rollback: id}) }
 
 func (w *World) goOn(id string) {
-	w.lift(id, "resume", rollout.Entry{Resume: &rollout.ResumeOf{Rollout: id}})
+	w.lift(id, "resume", rollout.Entry{Resume: &rollout.ResumeEntry{Rollout: id}})
 }
 
 // hand is something that an operator does.
@@ -346,7 +346,7 @@
 	m := w.members[w.rng.IntN(len(w.members))].name()
 	halt := func() {
 		delete(w.lifted, id)
-		w.order(rollout.Entry{By: "op", HaltOf: rollout.HaltFor(id, &rollout.HaltedByOperator{By: "op", Why: "to look"})}, func(err error) {
+		w.order(rollout.Entry{By: "op", Halt: rollout.NewHaltEntry(id, &rollout.HaltedByOperator{By: "op", Why: "to look"})}, func(err error) {
 			w.Note("halt of %s: %v", id, err)
 			if err == nil && !w.lifted[id] && w.lifting[id] == 0 {
 				w.halted[id] = w.Now()
--- a/internal/fleetsim/search/search.go
+++ b/internal/fleetsim/search/search.go
@@ -216,7 +216,7 @@
 
 type member struct {
 	Agent   *rollout.Agent
-	Disk    rollout.Memory
+	Disk    rollout.AgentState
 	Running bool
 	Version string
 	Began   time.Duration
@@ -233,9 +233,9 @@
 	Lives   uint64
 }
 
-var timing = rollout.Timing{Report: second, Fresh: 3 * second, Learn: 2 * second, Begin: 2 * second, Bear: time.Hour, Watch: time.Hour}
+var timing = rollout.Timing{ReportInterval: second, MaxStaleness: 3 * second, LearnPeriod: 2 * second, BeginTimeout: 2 * second, OverBudgetTimeout: time.Hour, WatchInterval: time.Hour}
 
-var config = rollout.Config{Timing: timing, Budgets: []rollout.Budget{{Name: "all", Most: 2}, {Name: "zone", Each: "zone", Most: 1}}}
+var config = rollout.Config{Timing: timing, Budgets: []rollout.Budget{{Name: "all", MaxOut: 2}, {Name: "zone", GroupBy: "zone", MaxOut: 1}}}
 
 // A start takes longer than what a leader goes by may be old: a loss is to be seen.
 const (
@@ -245,7 +245,7 @@
 
 func agentConfig(i int) rollout.AgentConfig {
 	return rollout.AgentConfig{Member: rollout.Member{Name: fmt.Sprint("m", i), Role: "ingress", Zone: fmt.Sprint("z", i%2), Weight: 1}, Coordinators: coordinators,
-		Version: "v1", Report: second, Begin: timing.Begin, Drain: second, Stop: second, Start: 2 * starts, Prove: prove, Tries: 2, Backoff: second}
+		Version: "v1", ReportInterval: second, BeginTimeout: timing.BeginTimeout, DrainTimeout: second, StopTimeout: second, StartTimeout: 2 * starts, ProvePeriod: prove, MaxStarts: 2, Backoff: second}
 }
 
 func start() *world {
@@ -255,13 +255,13 @@
 	}
 	for i := range w.Crew {
 		w.Crew[i] = &member{Running: true, Version: "v1", Began: -time.Hour, ReadyAt: -time.Hour, LostAt: -1, Boot: 1, Lives: 1}
-		w.Crew[i].Agent = rollout.NewAgent(agentConfig(i), rollout.Memory{}, &rollout.Running{Version: "v1"}, 1, 0)
+		w.Crew[i].Agent = rollout.NewAgent(agentConfig(i), rollout.AgentState{}, &rollout.Running{Version: "v1"}, 1, 0)
 		m := agentConfig(i).Member
-		w.Log = append(w.Log, entry{0, rollout.Entry{Join: &rollout.Seat{Member: m, Version: "v1"}}})
+		w.Log = append(w.Log, entry{0, rollout.Entry{Join: &rollout.MemberRecord{Member: m, Version: "v1"}}})
 	}
 	gate := rollout.DefaultGate()
-	gate.Soak, gate.Patience = time.Hour, 2*time.Hour
-	w.Log = append(w.Log, entry{0, rollout.Entry{Start: &rollout.Spec{ID: "r", Role: "ingress", Version: "v2", Waves: []float64{rollout.All}, Gate: gate}}})
+	gate.Soak, gate.StallTimeout = time.Hour, 2*time.Hour
+	w.Log = append(w.Log, entry{0, rollout.Entry{Start: &rollout.Spec{ID: "r", Role: "ingress", Version: "v2", Waves: []float64{rollout.AllMembers}, Gate: gate}}})
 	w.elect(0, 2)
 	w.second() // the first leader has heard all, and has granted nothing yet
 	return w
@@ -288,7 +288,7 @@
 	case "agent dies":
 		m.restart(w, a.On)
 	case "agent forgets":
-		m.Disk = rollout.Memory{}
+		m.Disk = rollout.AgentState{}
 		m.restart(w, a.On)
 	case "report lost":
 		m.Lose = true
@@ -299,13 +299,13 @@
 	case "elect":
 		w.elect(a.On, a.With)
 	case "halt":
-		w.order(rollout.Entry{HaltOf: rollout.HaltFor("r", &rollout.HaltedByOperator{By: "op", Why: "to look"})})
+		w.order(rollout.Entry{Halt: rollout.NewHaltEntry("r", &rollout.HaltedByOperator{By: "op", Why: "to look"})})
 		w.Halt = w.Now
 	case "resume":
-		w.order(rollout.Entry{Resume: &rollout.ResumeOf{Rollout: "r"}})
+		w.order(rollout.Entry{Resume: &rollout.ResumeEntry{Rollout: "r"}})
 		w.Halt = -1
 	case "back":
-		w.order(rollout.Entry{Back: "r"})
+		w.order(rollout.Entry{Rollback: "r"})
 		w.Halt = -1
 	case "drain":
 		w.order(rollout.Entry{By: "op", Drain: agentConfig(a.On).Member.Name})
@@ -330,7 +330,7 @@
 func (w *world) apply(n *node) {
 	for ; n.Applied < len(w.Log); n.Applied++ {
 		e := w.Log[n.Applied]
-		n.State.Began(e.Term, uint64(n.Applied+1))
+		n.State.RecordTerm(e.Term, uint64(n.Applied+1))
 		_ = n.State.Apply(uint64(n.Applied+1), e.Rollout) // an entry that is refused changes nothing
 		if n.Leader != nil && e.Term == n.Term {
 			n.Leader.Applied(e.Rollout)
@@ -359,7 +359,7 @@
 		if !hears || before == on {
 			to = on
 		}
-		m.Agent.Ask(to)
+		m.Agent.SetCoordinator(to)
 	}
 }
 
@@ -388,7 +388,7 @@
 			continue
 		}
 		ready := m.Running && !m.Standby && w.Now >= m.ReadyAt
-		w.act(i, m.Agent.Ready(w.Now, ready, rollout.Figures{Boot: m.Boot}))
+		w.act(i, m.Agent.Ready(w.Now, ready, rollout.Stats{BootID: m.Boot}))
 		w.serves(m)
 	}
 }
@@ -432,9 +432,9 @@
 		g := *disk.Grant
 		disk.Grant = &g
 	}
-	to := m.Agent.Asks()
+	to := m.Agent.Coordinator()
 	m.Agent = rollout.NewAgent(agentConfig(i), disk, running, m.Lives, w.Now)
-	m.Agent.Ask(to)
+	m.Agent.SetCoordinator(to)
 }
 
 // act does what an agent decided.
@@ -466,7 +466,7 @@
 			w.send(i, *a.Send, a.To)
 		}
 	}
-	if mem := m.Agent.Memory(); m.Granted != 0 && mem.Grant == nil && mem.Seen >= m.Granted && m.Agent.Does() != rollout.Leaves {
+	if mem := m.Agent.PersistentState(); m.Granted != 0 && mem.Grant == nil && mem.SeenFence >= m.Granted && m.Agent.MemberState() != rollout.Draining {
 		m.Granted = 0
 	}
 }
@@ -478,7 +478,7 @@
 	if m.Lose {
 		m.Lose = false
 		agent.Unanswered(w.Now, r.Seq, -1)
-		agent.Ask(to)
+		agent.SetCoordinator(to)
 		return
 	}
 	n := w.Nodes[to]
@@ -492,7 +492,7 @@
 		return
 	}
 	w.add(n, add)
-	if o := reply.Order; o != nil && r.Holds == nil {
+	if o := reply.Order; o != nil && r.HeldGrant == nil {
 		if w.Halt >= 0 && w.Now-w.Halt > 4*second && m.Granted != o.Fence && o.Kind == rollout.Release {
 			w.fail("member %d is given order %d %v after a halt", i, o.Fence, w.Now-w.Halt)
 		}
--- a/internal/fleetsim/trouble.go
+++ b/internal/fleetsim/trouble.go
@@ -7,7 +7,7 @@
 	"wickarch/rollout/replica"
 )
 
-func founding(peers map[uint64]string) (replica.Stored, error) { return replica.Founding(peers) }
+func founding(peers map[uint64]string) (replica.Stored, error) { return replica.Bootstrap(peers) }
 
 // Troubles are the kinds of fault, by name.
 var Troubles = []string{"coordinator dies", "coordinators die", "coordinator pauses", "leader pauses", "leader dies", "disk full", "disk older", "disk damaged",
@@ -107,7 +107,7 @@
 		}
 	case "agent forgets":
 		m.killAgent()
-		m.mem.Grant, m.mem.Seen, m.mem.Index, m.mem.Version, m.mem.Failed, m.mem.Prior = nil, 0, 0, "", "", ""
+		m.mem.Grant, m.mem.SeenFence, m.mem.Index, m.mem.Version, m.mem.Failed, m.mem.Prior = nil, 0, 0, "", "", ""
 		w.At(until, m.startAgent)
 	case "agent pauses":
 		m.until = w.between(w.Now(), w.Now()+30*time.Second)
@@ -127,7 +127,7 @@
 		}
 	case "program hangs":
 		// For longer than between two looks of the agent: shorter ones nobody can see.
-		until = max(until, w.Now()+time.Duration(1.1*float64(w.Timing.Report)))
+		until = max(until, w.Now()+time.Duration(1.1*float64(w.Timing.ReportInterval)))
 		boot := m.prog.boot
 		m.lapse(func() { m.prog.unready = true })
 		w.At(until, func() {
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -118,7 +118,7 @@
 		c.dead = true
 		return
 	}
-	r, err := replica.New(replica.Config{ID: c.id, Rollout: c.w.Config, Tick: c.w.RaftTick, Election: 6, Compact: 200, Decide: c.w.Decide},
+	r, err := replica.New(replica.Config{ID: c.id, Rollout: c.w.Config, TickInterval: c.w.RaftTick, ElectionTicks: 6, CompactAfter: 200, DecideInterval: c.w.Decide},
 		stored, &c.disk, c.w.Seed*31+c.id+uint64(c.Life())<<40, c.clock.of(c.w.Now()))
 	if err != nil {
 		c.w.Note("coordinator %d does not start: %v", c.id, err)
@@ -157,16 +157,16 @@
 	if c.r == nil || c.Hold(f) {
 		return
 	}
-	led := c.r.Leading()
+	led := c.r.IsLeader()
 	f()
 	if c.r == nil {
 		return
 	}
-	if !led && c.r.Leading() {
+	if !led && c.r.IsLeader() {
 		c.w.Report.Leaders++
 		c.w.Note("coordinator %d leads in term %d", c.id, c.r.Term())
 	}
-	for _, m := range c.r.Take() {
+	for _, m := range c.r.TakeMessages() {
 		to := c.w.coordinator(m.To)
 		if to == nil {
 			continue
@@ -207,7 +207,7 @@
 // leader is the coordinator that leads in the highest term; nil for none.
 func (w *World) leader() (lead *coordinator) {
 	for _, c := range w.coordinators {
-		if c.r != nil && c.r.Leading() && !c.Paused() && (lead == nil || c.r.Term() > lead.r.Term()) {
+		if c.r != nil && c.r.IsLeader() && !c.Paused() && (lead == nil || c.r.Term() > lead.r.Term()) {
 			lead = c
 		}
 	}
@@ -350,7 +350,7 @@
 
 // slack is how old what a leader goes by may be: what it heard, and what the agent had seen.
 func (w *World) slack() time.Duration {
-	return time.Duration(1.03*float64(w.Timing.Fresh+w.Timing.Report)) + 10*time.Millisecond
+	return time.Duration(1.03*float64(w.Timing.MaxStaleness+w.Timing.ReportInterval)) + 10*time.Millisecond
 }
 
 // checkGrant holds the invariant at the instant in which a member is given its order,
@@ -364,11 +364,11 @@
 	for _, o := range w.members {
 		all = append(all, o.cfg.Member)
 	}
-	for _, over := range rollout.NewLedger(w.Budgets, all, func(name string) bool { return out[name] }).Passed() {
+	for _, over := range rollout.NewLedger(w.Budgets, all, func(name string) bool { return out[name] }).Exceeded() {
 		covers := false
 		for _, b := range w.Budgets {
 			if b.Name == over.Budget && (b.Role == "" || b.Role == m.cfg.Member.Role) &&
-				(b.Each != "zone" || over.Group == m.cfg.Member.Zone) && (b.Each != "cell" || over.Group == m.cfg.Member.Cell) {
+				(b.GroupBy != "zone" || over.Group == m.cfg.Member.Zone) && (b.GroupBy != "cell" || over.Group == m.cfg.Member.Cell) {
 				covers = true
 			}
 		}
@@ -432,7 +432,7 @@
 	}
 	if w.Way != Agreed {
 		for _, m := range w.members {
-			if m.goAt > 0 && (m.mem.Seen == 0 || m.mem.Grant != nil) {
+			if m.goAt > 0 && (m.mem.SeenFence == 0 || m.mem.Grant != nil) {
 				return
 			}
 		}
@@ -452,12 +452,12 @@
 	if r.Halt != nil && w.Report.Halted < 0 && w.badAt > 0 {
 		w.Report.Halted = w.Now() - w.badAt
 	}
-	if r.Halt != nil && w.GoBack && r.Phase == rollout.Going && !w.lifted[r.ID] {
+	if r.Halt != nil && w.GoBack && r.Phase == rollout.InProgress && !w.lifted[r.ID] {
 		w.goBack(r.ID)
 	}
 	if r.Phase.Ended() && w.Report.Took < 0 {
 		w.Report.Took = w.Now() - w.startAt
-		if r.Phase == rollout.Undone && w.badAt > 0 {
+		if r.Phase == rollout.RolledBack && w.badAt > 0 {
 			w.Report.Undone = w.Now() - w.badAt
 		}
 	}
@@ -512,8 +512,8 @@
 func line(s rollout.Status, id string) string {
 	for _, r := range s.Rollouts {
 		if r.ID == id {
-			return fmt.Sprintf("%s wave %d/%d done %d/%d gate %q idle %v waits %v unsure %q", r.Phase, r.Wave, r.Waves, r.Done, r.Of, r.Gate, r.Idle,
-				r.Waits[:min(3, len(r.Waits))], s.Unsure)
+			return fmt.Sprintf("%s wave %d/%d done %d/%d gate %q idle %v waits %v unsure %q", r.Phase, r.Wave, r.Waves, r.Done, r.Total, r.Gate, r.Idle,
+				r.WaitingFor[:min(3, len(r.WaitingFor))], s.GrantsBlocked)
 		}
 	}
 	return ""
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -45,7 +45,7 @@
 // New reads what is kept, has the ingress, which does not run yet, decide by it, and returns
 // before any coordinator was asked. What is wrong with the folder is told in the log, and to the coordinators.
 func New(cfg Config, ingress Ingress, log *slog.Logger) *Follower {
-	return NewWith(cfg, ingress, log, rolloutlink.NewHTTP(cfg.Patience()))
+	return NewWith(cfg, ingress, log, rolloutlink.NewHTTPClient(cfg.Patience()))
 }
 
 // NewWith is New with a client of the caller's own.
@@ -130,7 +130,7 @@
 	call, cancel := context.WithTimeout(ctx, f.cfg.Patience())
 	defer cancel()
 	var reply distribution.Reply
-	leader, err := rolloutlink.Call(call, f.http, http.MethodPost, f.cfg.Coordinators[ask.Coordinator], rolloutlink.PathConfigPoll, ask.Poll, &reply, rolloutlink.MostConfig)
+	leader, err := rolloutlink.Call(call, f.http, http.MethodPost, f.cfg.Coordinators[ask.Coordinator], rolloutlink.PathConfigPoll, ask.Poll, &reply, rolloutlink.MaxConfigBytes)
 	take := func() { f.replied(ask, reply) }
 	if err != nil {
 		take = func() { f.failed(ask, leader, err) }
--- a/internal/rolloutlink/link.go
+++ b/internal/rolloutlink/link.go
@@ -34,15 +34,15 @@
 
 // Bounds on what one call may hold, in bytes.
 const (
-	MostReport = 64 << 10
-	MostOrder  = 64 << 10
-	MostRaft   = 16 << 20
-	MostStatus = 64 << 20
-	MostConfig = 8 << 20
+	MaxReportBytes = 64 << 10
+	MaxOrderBytes  = 64 << 10
+	MaxRaftBytes   = 16 << 20
+	MaxStatusBytes = 64 << 20
+	MaxConfigBytes = 8 << 20
 )
 
-// Raft holds messages from one coordinator to another.
-type Raft struct {
+// RaftMessages holds messages from one coordinator to another.
+type RaftMessages struct {
 	Messages [][]byte `json:"messages"`
 }
 
@@ -66,13 +66,13 @@
 	Oldest uint64 `json:"oldest"` // the oldest version that can be gone back to
 }
 
-// Ordered tells the version that an order of configuration made.
-type Ordered struct {
+// ConfigOrderReply tells the version that an order of configuration made.
+type ConfigOrderReply struct {
 	Version uint64 `json:"version"`
 }
 
-// Failure is the body of an answer that is none.
-type Failure struct {
+// ErrorReply is the body of an answer that is none.
+type ErrorReply struct {
 	Error  *rollout.RemoteError `json:"error"`
 	Leader string               `json:"leader,omitempty"` // its address, where another coordinator leads
 }
@@ -90,8 +90,8 @@
 // Faults lists one of each error of this package.
 func Faults() []rollout.Fault { return []rollout.Fault{&Unreachable{}} }
 
-// NewHTTP makes a client whose calls end within a time and which keeps few connections.
-func NewHTTP(patience time.Duration) *http.Client {
+// NewHTTPClient makes a client whose calls end within a time and which keeps few connections.
+func NewHTTPClient(patience time.Duration) *http.Client {
 	return &http.Client{Timeout: patience, Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: patience}).DialContext,
 		MaxIdleConnsPerHost: 2, MaxConnsPerHost: 8, IdleConnTimeout: 30 * time.Second,
@@ -134,15 +134,15 @@
 		}
 		return "", nil
 	}
-	var f Failure
+	var f ErrorReply
 	if err := json.Unmarshal(data, &f); err != nil || f.Error == nil {
 		return "", &Unreachable{fmt.Sprintf("%s answers %s", address, resp.Status)}
 	}
 	return f.Leader, f.Error
 }
 
-// Ask makes a call to whichever coordinator leads, for so long as ctx lasts.
-func Ask(ctx context.Context, c *http.Client, coordinators []string, method, path string, in, out any, most int64) error {
+// CallLeader makes a call to whichever coordinator leads, for so long as ctx lasts.
+func CallLeader(ctx context.Context, c *http.Client, coordinators []string, method, path string, in, out any, most int64) error {
 	if len(coordinators) == 0 {
 		return &Unreachable{"none is named"}
 	}
--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -8,43 +8,43 @@
 
 // AgentConfig is what one agent goes by.
 type AgentConfig struct {
-	Member       Member
-	Coordinators int           // how many there are to ask
-	Version      string        // to run where nothing is remembered
-	Report       time.Duration // see Timing
-	Begin        time.Duration // see Timing
-	Drain        time.Duration // from standby to SIGTERM
-	Stop         time.Duration // from SIGTERM to SIGKILL
-	Start        time.Duration // from the start to being ready
-	Prove        time.Duration // ready for so long without a break is proven
-	Tries        int           // starts of a version before the one before is taken again
-	Backoff      time.Duration // before the second start, doubled for each further one
+	Member         Member
+	Coordinators   int           // how many there are to ask
+	Version        string        // to run where nothing is remembered
+	ReportInterval time.Duration // see Timing
+	BeginTimeout   time.Duration // see Timing
+	DrainTimeout   time.Duration // from standby to SIGTERM
+	StopTimeout    time.Duration // from SIGTERM to SIGKILL
+	StartTimeout   time.Duration // from the start to being ready
+	ProvePeriod    time.Duration // ready for so long without a break is proven
+	MaxStarts      int           // starts of a version before the one before is taken again
+	Backoff        time.Duration // before the second start, doubled for each further one
 }
 
-// Memory is what an agent keeps on its disk.
-type Memory struct {
-	Seen    uint64 `json:"seen"`  // see Report
-	Index   uint64 `json:"index"` // see Report
-	Term    uint64 `json:"term"`
-	Grant   *Grant `json:"grant,omitempty"`
-	Version string `json:"version"`         // to run
-	Prior   string `json:"prior,omitempty"` // that ran before it
-	Trial   bool   `json:"trial,omitempty"` // it has not been proven yet; where it does not start, the one before is taken
-	Run     string `json:"run,omitempty"`   // to be started when the program ends by itself; "" for the same again
-	Failed  string `json:"failed,omitempty"`
+// AgentState is what an agent keeps on its disk.
+type AgentState struct {
+	SeenFence      uint64 `json:"seen"`  // see Report
+	Index          uint64 `json:"index"` // see Report
+	Term           uint64 `json:"term"`
+	Grant          *Grant `json:"grant,omitempty"`
+	Version        string `json:"version"`         // to run
+	Prior          string `json:"prior,omitempty"` // that ran before it
+	Trial          bool   `json:"trial,omitempty"` // it has not been proven yet; where it does not start, the one before is taken
+	RestartVersion string `json:"run,omitempty"`   // to be started when the program ends by itself; "" for the same again
+	Failed         string `json:"failed,omitempty"`
 }
 
 // Action is something that the shell of an agent has to do. One field is set.
 type Action struct {
-	Send      *Report // to the coordinator of the number To; Replied or Unanswered tells what came of it
-	To        int
-	Save      *Memory // Must: where it fails, the actions behind it are dropped and SaveFailed is called
-	Must      bool
-	Launch    string // start the program of a version; Started or Exited tells what came of it
-	Standby   bool   // let clients go, take no new ones
-	Terminate bool
-	Kill      bool
-	Note      string // for the log
+	Send         *Report // to the coordinator of the number To; Replied or Unanswered tells what came of it
+	To           int
+	Save         *AgentState // Must: where it fails, the actions behind it are dropped and SaveFailed is called
+	SaveRequired bool
+	Launch       string // start the program of a version; Started or Exited tells what came of it
+	Standby      bool   // let clients go, take no new ones
+	Terminate    bool
+	Kill         bool
+	Log          string // for the log
 }
 
 // doing is what an agent's program does.
@@ -65,7 +65,7 @@
 // drained stays out, and nothing begins to go out.
 type Agent struct {
 	cfg    AgentConfig
-	mem    Memory
+	mem    AgentState
 	now    time.Duration
 	does   doing
 	since  time.Duration // of what it does
@@ -80,9 +80,9 @@
 	sent        time.Duration // when the report that is open was sent; -1 while none is
 	nextReport  time.Duration
 	coordinator int
-	figures     Figures
+	figures     Stats
 	deaths      uint64
-	undo        *Memory // what was remembered before the save that is on
+	undo        *AgentState // what was remembered before the save that is on
 }
 
 // Running is a program that ran when its agent started.
@@ -90,7 +90,7 @@
 
 // NewAgent begins with what its disk remembers (a zero Memory for nothing) and the
 // program that runs, if one does. The incarnation is new with each start.
-func NewAgent(cfg AgentConfig, mem Memory, running *Running, incarnation uint64, now time.Duration) *Agent {
+func NewAgent(cfg AgentConfig, mem AgentState, running *Running, incarnation uint64, now time.Duration) *Agent {
 	a := &Agent{cfg: cfg, mem: mem, now: now, since: now, sent: -1, next: now, incarnation: incarnation, nextReport: now}
 	a.mem.Version = cmp.Or(a.mem.Version, cfg.Version)
 	a.coordinator = int(incarnation % uint64(max(1, cfg.Coordinators)))
@@ -112,45 +112,45 @@
 	return a
 }
 
-// Does is what the member does, as reports tell it.
-func (a *Agent) Does() Serving {
+// MemberState is what the member does, as reports tell it.
+func (a *Agent) MemberState() ServiceState {
 	switch a.does {
 	case serving:
 		if a.ready {
-			return Serves
+			return InService
 		}
 	case leaving, stopping:
-		return Leaves
+		return Draining
 	case away:
 		return Detached
 	case proving:
 		if a.ready {
-			return Proves
+			return Unproven
 		}
 	}
 	return Down
 }
 
-// Memory is what the agent remembers.
-func (a *Agent) Memory() Memory { return a.mem }
+// PersistentState is what the agent remembers.
+func (a *Agent) PersistentState() AgentState { return a.mem }
 
 // Next is when Tick has something to do.
 func (a *Agent) Next() time.Duration {
-	at := a.now + a.cfg.Report
+	at := a.now + a.cfg.ReportInterval
 	if a.sent < 0 {
 		at = min(at, a.nextReport)
 	}
 	switch a.does {
 	case leaving:
-		at = min(at, a.since+a.cfg.Drain)
+		at = min(at, a.since+a.cfg.DrainTimeout)
 	case stopping:
-		at = min(at, a.since+a.cfg.Stop)
+		at = min(at, a.since+a.cfg.StopTimeout)
 	case launching:
 		at = min(at, a.next)
 	case starting:
-		at = min(at, a.since+a.cfg.Start)
+		at = min(at, a.since+a.cfg.StartTimeout)
 	case proving:
-		at = min(at, a.since+a.cfg.Prove)
+		at = min(at, a.since+a.cfg.ProvePeriod)
 	}
 	return max(at, a.now)
 }
@@ -165,10 +165,10 @@
 		g := *a.mem.Grant
 		m.Grant = &g
 	}
-	return Action{Save: &m, Must: must}
+	return Action{Save: &m, SaveRequired: must}
 }
 
-func note(format string, args ...any) Action { return Action{Note: fmt.Sprintf(format, args...)} }
+func note(format string, args ...any) Action { return Action{Log: fmt.Sprintf(format, args...)} }
 
 // Tick does what is due.
 func (a *Agent) Tick(now time.Duration) (do []Action) {
@@ -183,12 +183,12 @@
 	if a.sent < 0 && a.now >= a.nextReport {
 		a.seq++
 		a.sent = a.now
-		r := Report{Member: a.cfg.Member, Incarnation: a.incarnation, Seq: a.seq, Stamp: a.stamp, Index: a.mem.Index, IndexTerm: a.mem.Term, Does: a.Does(),
-			Version: a.mem.Version, Seen: a.mem.Seen, Failed: a.mem.Failed, Figures: a.figures}
-		r.Figures.Deaths = a.deaths
+		r := Report{Member: a.cfg.Member, Incarnation: a.incarnation, Seq: a.seq, Stamp: a.stamp, Index: a.mem.Index, IndexTerm: a.mem.Term, State: a.MemberState(),
+			Version: a.mem.Version, SeenFence: a.mem.SeenFence, Failed: a.mem.Failed, Stats: a.figures}
+		r.Stats.Deaths = a.deaths
 		if g := a.mem.Grant; g != nil {
 			held := *g
-			r.Holds = &held
+			r.HeldGrant = &held
 		}
 		do = append(do, Action{Send: &r, To: a.coordinator})
 	}
@@ -198,14 +198,14 @@
 func (a *Agent) step(do []Action) []Action {
 	switch spent := a.now - a.since; a.does {
 	case leaving:
-		if spent >= a.cfg.Drain {
+		if spent >= a.cfg.DrainTimeout {
 			a.set(stopping)
 			do = append(do, Action{Terminate: true})
 		}
 	case stopping:
-		if spent >= a.cfg.Stop {
+		if spent >= a.cfg.StopTimeout {
 			a.set(stopping) // and again, if that does not end it
-			do = append(do, note("the program did not end in %v", a.cfg.Stop), Action{Kill: true})
+			do = append(do, note("the program did not end in %v", a.cfg.StopTimeout), Action{Kill: true})
 		}
 	case away:
 		if a.back {
@@ -218,14 +218,14 @@
 	case starting:
 		if a.ready {
 			a.set(proving)
-		} else if spent >= a.cfg.Start {
+		} else if spent >= a.cfg.StartTimeout {
 			a.set(starting)
-			do = append(do, note("version %s is not ready after %v", a.mem.Version, a.cfg.Start), Action{Kill: true})
+			do = append(do, note("version %s is not ready after %v", a.mem.Version, a.cfg.StartTimeout), Action{Kill: true})
 		}
 	case proving:
 		if !a.ready {
 			a.since = a.now
-		} else if spent >= a.cfg.Prove {
+		} else if spent >= a.cfg.ProvePeriod {
 			a.set(serving)
 			a.starts = 0
 			if a.mem.Grant != nil || a.mem.Trial {
@@ -248,9 +248,9 @@
 		g.Stage = Proving
 		do = append(do, a.save(false))
 	}
-	if a.mem.Run != "" && a.mem.Grant == nil && a.mem.Run != a.mem.Version && a.starts == 0 {
+	if a.mem.RestartVersion != "" && a.mem.Grant == nil && a.mem.RestartVersion != a.mem.Version && a.starts == 0 {
 		// It is down by itself: to come back with another version takes no more room.
-		a.mem.Version, a.mem.Prior, a.mem.Trial, a.mem.Failed = a.mem.Run, a.mem.Version, true, ""
+		a.mem.Version, a.mem.Prior, a.mem.Trial, a.mem.Failed = a.mem.RestartVersion, a.mem.Version, true, ""
 		do = append(do, note("version %s is started in the place of %s", a.mem.Version, a.mem.Prior), a.save(false))
 	}
 	a.ready = false
@@ -259,13 +259,13 @@
 }
 
 // Ready tells whether the program says that it is ready, and what it has done.
-func (a *Agent) Ready(now time.Duration, ready bool, f Figures) []Action {
+func (a *Agent) Ready(now time.Duration, ready bool, f Stats) []Action {
 	a.now = max(a.now, now)
 	if ready = ready && a.does != launching && a.does != away; ready && !a.ready && a.does == proving {
 		a.since = a.now // and not since it was last seen unready
 	}
 	a.ready = ready
-	if f.Boot != 0 {
+	if f.BootID != 0 {
 		a.figures = f
 	}
 	return a.Tick(now)
@@ -292,7 +292,7 @@
 		a.deaths++
 		a.starts++
 		do = append(do, note("version %s ended before it was proven (%d in a row): %s", a.mem.Version, a.starts, why))
-		if a.starts >= a.cfg.Tries && a.mem.Trial {
+		if a.starts >= a.cfg.MaxStarts && a.mem.Trial {
 			a.mem.Failed = clip(fmt.Sprintf("version %s ended %d times before it was proven: %s", a.mem.Version, a.starts, why))
 			// What it had serves better than nothing; and if that does not start either, both are tried in turn.
 			if a.mem.Prior != "" && a.mem.Prior != a.mem.Version {
@@ -314,7 +314,7 @@
 		return
 	}
 	a.sent = -1
-	a.nextReport = a.now + a.cfg.Report/4
+	a.nextReport = a.now + a.cfg.ReportInterval/4
 	if hint >= 0 && hint < a.cfg.Coordinators && hint != a.coordinator {
 		a.coordinator = hint
 		return
@@ -330,20 +330,20 @@
 	}
 	asked := a.sent
 	a.sent = -1
-	a.nextReport = max(a.now, asked+a.cfg.Report)
+	a.nextReport = max(a.now, asked+a.cfg.ReportInterval)
 	a.stamp = r.Stamp
 	if r.Reset || r.Term > a.mem.Term || r.Term == a.mem.Term && r.Index > a.mem.Index {
 		a.mem.Index, a.mem.Term = r.Index, r.Term // kept on disk with the next change
 	}
-	if r.Void > a.mem.Seen && (a.mem.Grant == nil || a.mem.Grant.Fence != r.Void) {
+	if r.VoidFence > a.mem.SeenFence && (a.mem.Grant == nil || a.mem.Grant.Fence != r.VoidFence) {
 		a.undo = a.before()
-		a.mem.Seen = r.Void
+		a.mem.SeenFence = r.VoidFence
 		return append(do, a.save(true))
 	}
 	o := r.Order
 	if o == nil {
 		if a.mem.Grant == nil {
-			a.mem.Run = r.Run
+			a.mem.RestartVersion = r.RestartVersion
 		}
 		return do
 	}
@@ -354,13 +354,13 @@
 		return do
 	}
 	switch {
-	case o.Fence <= a.mem.Seen || a.does != serving || !a.ready:
+	case o.Fence <= a.mem.SeenFence || a.does != serving || !a.ready:
 		return do
-	case a.now-asked > a.cfg.Begin:
+	case a.now-asked > a.cfg.BeginTimeout:
 		return append(do, note("grant %d came too late to begin", o.Fence)) // the coordinators void it, or hand it out again
 	}
 	a.undo = a.before()
-	a.mem.Seen, a.mem.Prior, a.mem.Failed, a.mem.Trial, a.mem.Run = o.Fence, a.mem.Version, "", true, ""
+	a.mem.SeenFence, a.mem.Prior, a.mem.Failed, a.mem.Trial, a.mem.RestartVersion = o.Fence, a.mem.Version, "", true, ""
 	a.mem.Grant = &Grant{Fence: o.Fence, Kind: o.Kind, Stage: Out, Version: cmp.Or(o.Version, a.mem.Version)}
 	a.mem.Version = a.mem.Grant.Version
 	a.back, a.starts = o.Return, 0
@@ -395,7 +395,7 @@
 	return do
 }
 
-func (a *Agent) before() *Memory {
+func (a *Agent) before() *AgentState {
 	m := a.mem
 	return &m
 }
@@ -417,8 +417,8 @@
 // Version is what the program should run.
 func (a *Agent) Version() string { return a.mem.Version }
 
-// Asks is the number of the coordinator that the next report goes to.
-func (a *Agent) Asks() int { return a.coordinator }
+// Coordinator is the number of the coordinator that the next report goes to.
+func (a *Agent) Coordinator() int { return a.coordinator }
 
-// Ask has the next report go to a coordinator.
-func (a *Agent) Ask(coordinator int) { a.coordinator = coordinator }
+// SetCoordinator has the next report go to a coordinator.
+func (a *Agent) SetCoordinator(coordinator int) { a.coordinator = coordinator }
--- a/rollout/errors.go
+++ b/rollout/errors.go
@@ -62,7 +62,7 @@
 // OverBudget tells that a budget has no room.
 type OverBudget struct {
 	Budget, Group, Member string
-	Out, Most             int
+	Out, MaxOut           int
 	Weight, Allowed       float64 // in the members' unit; Allowed is 0 without a bound in share
 }
 
@@ -72,8 +72,8 @@
 		s += " of " + e.Group
 	}
 	s += fmt.Sprintf(": %d out", e.Out)
-	if e.Most > 0 {
-		s += fmt.Sprintf(", %d allowed", e.Most)
+	if e.MaxOut > 0 {
+		s += fmt.Sprintf(", %d allowed", e.MaxOut)
 	}
 	if e.Allowed > 0 {
 		s += fmt.Sprintf(", weight %.4g out, %.4g allowed", e.Weight, e.Allowed)
@@ -88,14 +88,14 @@
 
 // NoMajority tells that a coordinator has no majority behind it.
 type NoMajority struct {
-	Heard time.Duration // how long ago one was confirmed; negative for never
+	SinceConfirmed time.Duration // how long ago one was confirmed; negative for never
 }
 
 func (e *NoMajority) Error() string {
-	if e.Heard < 0 {
+	if e.SinceConfirmed < 0 {
 		return "no majority of coordinators has been heard"
 	}
-	return fmt.Sprintf("no majority of coordinators for %v", e.Heard.Round(100*time.Millisecond))
+	return fmt.Sprintf("no majority of coordinators for %v", e.SinceConfirmed.Round(100*time.Millisecond))
 }
 
 // Remedy says what an operator can do.
@@ -120,13 +120,13 @@
 
 // GateFailed tells that the changed part does worse than the unchanged part.
 type GateFailed struct {
-	Rollout, Figure, Class string
+	Rollout, Metric, Class string
 	Changed, Unchanged     float64
 	P, Bound               float64 // chance of such a difference with a good release, and the bound that it is under
 }
 
 func (e *GateFailed) Error() string {
-	s := "gate: " + e.Figure
+	s := "gate: " + e.Metric
 	if e.Class != "" {
 		s += " of " + e.Class
 	}
@@ -156,13 +156,13 @@
 
 // Stalled tells that a wave made no progress in its time.
 type Stalled struct {
-	Rollout string
-	Waited  time.Duration
-	For     []string // members, each with what is waited for
+	Rollout    string
+	Waited     time.Duration
+	WaitingFor []string // members, each with what is waited for
 }
 
 func (e *Stalled) Error() string {
-	return fmt.Sprintf("no progress for %v; waiting for %s", e.Waited.Round(time.Second), strings.Join(e.For, ", "))
+	return fmt.Sprintf("no progress for %v; waiting for %s", e.Waited.Round(time.Second), strings.Join(e.WaitingFor, ", "))
 }
 
 // Remedy says what an operator can do.
@@ -184,13 +184,13 @@
 
 // Lost tells that losses passed a budget for longer than a rollout bears.
 type Lost struct {
-	Over   string // the budget, as OverBudget words it
-	Lost   []string
-	Waited time.Duration
+	OverBudget  string // the budget, as OverBudget words it
+	LostMembers []string
+	Waited      time.Duration
 }
 
 func (e *Lost) Error() string {
-	return fmt.Sprintf("%s for %v, with %s lost", e.Over, e.Waited.Round(time.Second), strings.Join(e.Lost, ", "))
+	return fmt.Sprintf("%s for %v, with %s lost", e.OverBudget, e.Waited.Round(time.Second), strings.Join(e.LostMembers, ", "))
 }
 
 // Remedy says what an operator can do.
@@ -224,12 +224,12 @@
 
 // LogWentBack tells that the coordinators have forgotten what a member was told.
 type LogWentBack struct {
-	Member     string
-	Told, Have uint64 // log positions
+	Member                  string
+	NotifiedIndex, LogIndex uint64 // log positions
 }
 
 func (e *LogWentBack) Error() string {
-	return fmt.Sprintf("the log is at %d, and %s was told of %d: a coordinator runs on an older disk", e.Have, e.Member, e.Told)
+	return fmt.Sprintf("the log is at %d, and %s was told of %d: a coordinator runs on an older disk", e.LogIndex, e.Member, e.NotifiedIndex)
 }
 
 // Remedy says what an operator can do.
@@ -248,9 +248,9 @@
 }
 
 // Unknown tells that nothing goes by a name.
-type Unknown struct{ What, Name string }
+type Unknown struct{ Kind, Name string }
 
-func (e *Unknown) Error() string { return fmt.Sprintf("there is no %s %q", e.What, e.Name) }
+func (e *Unknown) Error() string { return fmt.Sprintf("there is no %s %q", e.Kind, e.Name) }
 
 // Remedy says what an operator can do.
 func (e *Unknown) Remedy() string { return "look at status for the names" }
@@ -277,15 +277,15 @@
 
 // NotFresh tells that a member has not been heard lately, or that the leader knows too little yet.
 type NotFresh struct {
-	Member string
-	Heard  time.Duration // ago; negative for never by this leader
+	Member      string
+	SinceReport time.Duration // ago; negative for never by this leader
 }
 
 func (e *NotFresh) Error() string {
-	if e.Heard < 0 {
+	if e.SinceReport < 0 {
 		return fmt.Sprintf("%s has not been heard by the coordinator that leads", e.Member)
 	}
-	return fmt.Sprintf("%s was last heard %v ago", e.Member, e.Heard.Round(100*time.Millisecond))
+	return fmt.Sprintf("%s was last heard %v ago", e.Member, e.SinceReport.Round(100*time.Millisecond))
 }
 
 // Remedy says what an operator can do.
@@ -296,11 +296,11 @@
 // Full tells that a bound on what is kept was reached.
 type Full struct {
 	What string
-	Most int
+	Max  int
 }
 
 func (e *Full) Error() string {
-	return fmt.Sprintf("there are %d %s, and no more are kept", e.Most, e.What)
+	return fmt.Sprintf("there are %d %s, and no more are kept", e.Max, e.What)
 }
 
 // Remedy says what an operator can do.
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -12,24 +12,24 @@
 
 // Gate is what a release is judged by.
 type Gate struct {
-	Soak     time.Duration `json:"soak"`     // that each wave serves, whole and proven, at least
-	Requests uint64        `json:"requests"` // wanted where changed, to judge by
-	Patience time.Duration `json:"patience"` // without progress, then it halts
-	Alpha    float64       `json:"alpha"`    // chance that a good release is halted by its figures, over all its waves
-	Margin   float64       `json:"margin"`   // of the share refused or failed: a smaller difference does not matter
-	Slower   float64       `json:"slower"`   // factor of the mean latency: a smaller one does not matter
+	Soak             time.Duration `json:"soak"`     // that each wave serves, whole and proven, at least
+	MinRequests      uint64        `json:"requests"` // wanted where changed, to judge by
+	StallTimeout     time.Duration `json:"patience"` // without progress, then it halts
+	Alpha            float64       `json:"alpha"`    // chance that a good release is halted by its figures, over all its waves
+	Margin           float64       `json:"margin"`   // of the share refused or failed: a smaller difference does not matter
+	MaxLatencyFactor float64       `json:"slower"`   // factor of the mean latency: a smaller one does not matter
 }
 
 // DefaultGate is the gate that an order starts from.
 func DefaultGate() Gate {
-	return Gate{Soak: time.Minute, Requests: 500, Patience: 15 * time.Minute, Alpha: 0.01, Margin: 0.02, Slower: 1.5}
+	return Gate{Soak: time.Minute, MinRequests: 500, StallTimeout: 15 * time.Minute, Alpha: 0.01, Margin: 0.02, MaxLatencyFactor: 1.5}
 }
 
 func (g Gate) check() error {
 	switch {
-	case g.Soak <= 0 || g.Patience <= g.Soak:
+	case g.Soak <= 0 || g.StallTimeout <= g.Soak:
 		return &BadRequest{"a gate's soak is above 0, and its patience above the soak"}
-	case !(g.Alpha > 0 && g.Alpha < 0.5) || !(g.Margin > 0 && g.Margin < 1) || !(g.Slower > 1):
+	case !(g.Alpha > 0 && g.Alpha < 0.5) || !(g.Margin > 0 && g.Margin < 1) || !(g.MaxLatencyFactor > 1):
 		return &BadRequest{"a gate's alpha is above 0 and below 0.5, margin between 0 and 1, slower above 1"}
 	}
 	return nil
@@ -42,12 +42,12 @@
 	Failed  uint64 `json:"f"`
 }
 
-// Figures are what a member's program has done since it started.
-type Figures struct {
-	Boot    uint64           `json:"boot"` // another one after each start
-	Classes map[string]Count `json:"classes,omitempty"`
-	Open    float64          `json:"open"`   // requests open, added up over time, in request seconds
-	Deaths  uint64           `json:"deaths"` // of the program, unasked, since the agent started
+// Stats are what a member's program has done since it started.
+type Stats struct {
+	BootID          uint64           `json:"boot"` // another one after each start
+	Classes         map[string]Count `json:"classes,omitempty"`
+	InFlightSeconds float64          `json:"open"`   // requests open, added up over time, in request seconds
+	Deaths          uint64           `json:"deaths"` // of the program, unasked, since the agent started
 }
 
 const (
@@ -60,7 +60,7 @@
 // sample is a member's figures at a time.
 type sample struct {
 	at time.Duration
-	f  Figures
+	f  Stats
 }
 
 // track is what the leader keeps of one member's figures: two samples to count
@@ -74,11 +74,11 @@
 }
 
 // record takes in figures. A start of the program begins the count anew.
-func (t *track) record(now time.Duration, f Figures, changed, serves bool) {
+func (t *track) record(now time.Duration, f Stats, changed, serves bool) {
 	if len(f.Classes) > mostClasses {
 		f.Classes = nil
 	}
-	if t.last.f.Boot != f.Boot || t.changed != changed || !t.mayCompare || t.last.at == 0 {
+	if t.last.f.BootID != f.BootID || t.changed != changed || !t.mayCompare || t.last.at == 0 {
 		from := f
 		if t.last.at > 0 && t.changed == changed {
 			from.Deaths = min(f.Deaths, t.older.f.Deaths) // a death stays in the window in which it came
@@ -111,7 +111,7 @@
 		o := t.older.f.Classes[name]
 		d.classes[name] = Count{less(c.Served, o.Served), less(c.Refused, o.Refused), less(c.Failed, o.Failed)}
 	}
-	d.open = t.last.f.Open - t.older.f.Open
+	d.open = t.last.f.InFlightSeconds - t.older.f.InFlightSeconds
 	d.deaths = less(t.last.f.Deaths, t.older.f.Deaths)
 	return d
 }
@@ -137,11 +137,11 @@
 
 // Verdict is what a gate says.
 type Verdict struct {
-	Bad   Fault   // what it fails by; nil
-	Few   Fault   // what it has too little of to tell; nil
-	Seen  uint64  // requests where changed
-	Alone bool    // too few unchanged members are left to compare figures with
-	Sees  float64 // the smallest difference of shares that it would halt by now, in the class with most requests
+	Failure              Fault   // what it fails by; nil
+	Insufficient         Fault   // what it has too little of to tell; nil
+	Requests             uint64  // requests where changed
+	NoBaseline           bool    // too few unchanged members are left to compare figures with
+	DetectableDifference float64 // the smallest difference of shares that it would halt by now, in the class with most requests
 }
 
 // look judges once. Each look spends a part of the gate's alpha, so that all
@@ -149,25 +149,25 @@
 // (a union bound, the k-th look having 6/(pi k)^2 of it).
 func (j *judge) look(changed, unchanged []delta) (v Verdict) {
 	for _, d := range changed {
-		v.Seen += d.requests()
+		v.Requests += d.requests()
 	}
 	// What is not at the same time is no comparison: a day's changes would be put down to
 	// the release. With hardly any unchanged member left only deaths and starts are judged.
-	v.Alone = len(unchanged) < leastUnchanged
-	if v.Seen < j.gate.Requests {
-		v.Few = &TooFew{Rollout: j.rollout, Got: v.Seen, Want: j.gate.Requests}
+	v.NoBaseline = len(unchanged) < leastUnchanged
+	if v.Requests < j.gate.MinRequests {
+		v.Insufficient = &TooFew{Rollout: j.rollout, Got: v.Requests, Want: j.gate.MinRequests}
 	}
 	died := uint64(0)
 	for _, d := range changed {
 		died += d.deaths
 	}
 	// Looks that come as the requests grow by a quarter are few, so that each may spend much.
-	if grown := 4*v.Seen >= 5*j.nextAt || v.Seen < j.nextAt/2; v.Seen < j.gate.Requests/4 && died == 0 || !grown && died <= j.died {
-		v.Bad, v.Sees = j.last.Bad, j.last.Sees
+	if grown := 4*v.Requests >= 5*j.nextAt || v.Requests < j.nextAt/2; v.Requests < j.gate.MinRequests/4 && died == 0 || !grown && died <= j.died {
+		v.Failure, v.DetectableDifference = j.last.Failure, j.last.DetectableDifference
 		return v
 	}
 	defer func() { j.last = v }()
-	j.nextAt, j.died = v.Seen, died
+	j.nextAt, j.died = v.Requests, died
 	j.looks++
 	zones := map[string]bool{}
 	classes := map[string]bool{}
@@ -185,8 +185,8 @@
 	tests := float64(len(strata) * (2*len(classes) + 2))
 	bound := j.gate.Alpha / float64(max(1, j.waves)) * 6 / math.Pow(math.Pi*float64(j.looks), 2) / tests
 	try := func(figure, class string, c, u, p float64) {
-		if p < bound && v.Bad == nil {
-			v.Bad = &GateFailed{Rollout: j.rollout, Figure: figure, Class: class, Changed: c, Unchanged: u, P: p, Bound: bound}
+		if p < bound && v.Failure == nil {
+			v.Failure = &GateFailed{Rollout: j.rollout, Metric: figure, Class: class, Changed: c, Unchanged: u, P: p, Bound: bound}
 		}
 	}
 	for _, zone := range strata {
@@ -202,7 +202,7 @@
 			at = " in " + zone
 		}
 		for _, class := range slices.Sorted(maps.Keys(classes)) {
-			if v.Alone {
+			if v.NoBaseline {
 				break
 			}
 			for _, f := range []struct {
@@ -212,13 +212,13 @@
 				pc, pu, p, se, df := shares(c, u, class, f.of, j.gate.Margin)
 				if n := asked(c, class); zone == "" && n > most && se > 0 {
 					most = n
-					v.Sees = j.gate.Margin + se*distuv.StudentsT{Sigma: 1, Nu: max(1, df)}.Quantile(1-bound)
+					v.DetectableDifference = j.gate.Margin + se*distuv.StudentsT{Sigma: 1, Nu: max(1, df)}.Quantile(1-bound)
 				}
 				try(f.name+at, class, pc, pu, p)
 			}
 		}
-		if !v.Alone {
-			lc, lu, p := latencies(c, u, j.gate.Slower)
+		if !v.NoBaseline {
+			lc, lu, p := latencies(c, u, j.gate.MaxLatencyFactor)
 			try("mean latency in seconds"+at, "", lc, lu, p)
 		}
 		dc, du, p := deaths(c, u)
@@ -343,16 +343,16 @@
 // String words a verdict.
 func (v Verdict) String() string {
 	switch {
-	case v.Bad != nil:
-		return v.Bad.Error()
-	case v.Few != nil:
-		return v.Few.Error()
+	case v.Failure != nil:
+		return v.Failure.Error()
+	case v.Insufficient != nil:
+		return v.Insufficient.Error()
 	}
-	if v.Alone {
-		return fmt.Sprintf("%d requests; too few unchanged members are left to compare with: deaths and starts are judged", v.Seen)
+	if v.NoBaseline {
+		return fmt.Sprintf("%d requests; too few unchanged members are left to compare with: deaths and starts are judged", v.Requests)
 	}
-	if v.Sees > 0 {
-		return fmt.Sprintf("good so far by %d requests; %.0f%% more refused or failed would be seen", v.Seen, 100*v.Sees)
+	if v.DetectableDifference > 0 {
+		return fmt.Sprintf("good so far by %d requests; %.0f%% more refused or failed would be seen", v.Requests, 100*v.DetectableDifference)
 	}
-	return fmt.Sprintf("good so far by %d requests", v.Seen)
+	return fmt.Sprintf("good so far by %d requests", v.Requests)
 }
--- a/rollout/gate_test.go
+++ b/rollout/gate_test.go
@@ -38,7 +38,7 @@
 		for range plays {
 			j := judge{gate: gate, waves: 3}
 			for range 6 {
-				if j.look(part(rng, changed, refuses, slower), part(rng, unchanged, 0, 1)).Bad != nil {
+				if j.look(part(rng, changed, refuses, slower), part(rng, unchanged, 0, 1)).Failure != nil {
 					n++
 					break
 				}
@@ -65,9 +65,9 @@
 func TestGateSaysThatItHasTooFew(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	gate := DefaultGate()
-	gate.Requests = 1000
+	gate.MinRequests = 1000
 	v := (&judge{gate: gate, waves: 1}).look(part(rng, 1, 0, 1), part(rng, 9, 0, 1))
-	if few, ok := v.Few.(*TooFew); !ok || few.Got != v.Seen || few.Want != 1000 {
+	if few, ok := v.Insufficient.(*TooFew); !ok || few.Got != v.Requests || few.Want != 1000 {
 		t.Fatalf("%+v", v)
 	}
 }
@@ -76,11 +76,11 @@
 func TestGateCountsDeaths(t *testing.T) {
 	member := func(deaths uint64, changed bool) delta {
 		k := &track{}
-		k.record(time.Second, Figures{Boot: 1}, changed, true)
+		k.record(time.Second, Stats{BootID: 1}, changed, true)
 		for i := range deaths {
-			k.record(time.Duration(2+i)*time.Second, Figures{Boot: 2 + i, Deaths: 1 + i}, changed, true)
+			k.record(time.Duration(2+i)*time.Second, Stats{BootID: 2 + i, Deaths: 1 + i}, changed, true)
 		}
-		k.record(time.Minute, Figures{Boot: 1 + deaths, Deaths: deaths}, changed, true)
+		k.record(time.Minute, Stats{BootID: 1 + deaths, Deaths: deaths}, changed, true)
 		return k.delta()
 	}
 	many := func(n int, deaths uint64, changed bool) (list []delta) {
@@ -90,10 +90,10 @@
 		return list
 	}
 	gate := DefaultGate()
-	if v := (&judge{gate: gate, waves: 1}).look(many(3, 2, true), many(30, 0, false)); v.Bad == nil {
+	if v := (&judge{gate: gate, waves: 1}).look(many(3, 2, true), many(30, 0, false)); v.Failure == nil {
 		t.Error("six deaths among three, none among thirty: no halt")
 	}
-	if v := (&judge{gate: gate, waves: 1}).look(many(3, 1, true), many(30, 1, false)); v.Bad != nil {
-		t.Error("a death each, changed or not: ", v.Bad)
+	if v := (&judge{gate: gate, waves: 1}).look(many(3, 1, true), many(30, 1, false)); v.Failure != nil {
+		t.Error("a death each, changed or not: ", v.Failure)
 	}
 }
--- a/rollout/leader.go
+++ b/rollout/leader.go
@@ -17,45 +17,45 @@
 
 // Timing holds the times of coordinators and agents.
 type Timing struct {
-	Report time.Duration // agents report so often
-	Fresh  time.Duration // what was heard longer ago counts for nothing, and its member as out
-	Learn  time.Duration // a new leader grants nothing before: who is there has told it by then
-	Begin  time.Duration // an agent begins to go out so long after it asked at most
-	Bear   time.Duration // losses may pass a budget for so long before rollouts halt
-	Watch  time.Duration // a leader writes so often how long it has watched a rollout
+	ReportInterval    time.Duration // agents report so often
+	MaxStaleness      time.Duration // what was heard longer ago counts for nothing, and its member as out
+	LearnPeriod       time.Duration // a new leader grants nothing before: who is there has told it by then
+	BeginTimeout      time.Duration // an agent begins to go out so long after it asked at most
+	OverBudgetTimeout time.Duration // losses may pass a budget for so long before rollouts halt
+	WatchInterval     time.Duration // a leader writes so often how long it has watched a rollout
 }
 
 // DefaultTiming suits a fleet on one site.
 func DefaultTiming() Timing {
-	return Timing{Report: time.Second, Fresh: 4 * time.Second, Learn: 5 * time.Second, Begin: 4 * time.Second,
-		Bear: 15 * time.Second, Watch: 10 * time.Second}
+	return Timing{ReportInterval: time.Second, MaxStaleness: 4 * time.Second, LearnPeriod: 5 * time.Second, BeginTimeout: 4 * time.Second,
+		OverBudgetTimeout: 15 * time.Second, WatchInterval: 10 * time.Second}
 }
 
 // Check finds times that do not go together.
 func (t Timing) Check() error {
 	switch {
-	case t.Report <= 0 || t.Watch <= 0 || t.Bear <= 0:
+	case t.ReportInterval <= 0 || t.WatchInterval <= 0 || t.OverBudgetTimeout <= 0:
 		return &BadRequest{"report, watch and bear are above 0"}
-	case t.Fresh < 3*t.Report:
+	case t.MaxStaleness < 3*t.ReportInterval:
 		return &BadRequest{"fresh is three times report at least: one lost report must not make a member count as out"}
-	case t.Learn < 2*t.Report:
+	case t.LearnPeriod < 2*t.ReportInterval:
 		return &BadRequest{"learn is twice report at least, so that every agent has been heard by then"}
-	case t.Begin < 2*t.Report || t.Begin > t.Fresh:
+	case t.BeginTimeout < 2*t.ReportInterval || t.BeginTimeout > t.MaxStaleness:
 		return &BadRequest{"begin lies between twice report and fresh"}
 	}
 	return nil
 }
 
-// Serving is what an agent tells of its member.
-type Serving string
+// ServiceState is what an agent tells of its member.
+type ServiceState string
 
 // What a member does.
 const (
-	Serves   Serving = "serves"   // in service, and proven
-	Leaves   Serving = "leaves"   // draining
-	Down     Serving = "down"     // its program does not run, or is not ready
-	Proves   Serving = "proves"   // ready, not proven yet
-	Detached Serving = "detached" // out by a drain, as ordered
+	InService ServiceState = "serves"   // in service, and proven
+	Draining  ServiceState = "leaves"   // draining
+	Down      ServiceState = "down"     // its program does not run, or is not ready
+	Unproven  ServiceState = "proves"   // ready, not proven yet
+	Detached  ServiceState = "detached" // out by a drain, as ordered
 )
 
 // Stamp is a leader's time, which agents send back: what comes with it was sent
@@ -67,31 +67,31 @@
 
 // Report is what an agent tells.
 type Report struct {
-	Member      Member  `json:"member"`
-	Incarnation uint64  `json:"incarnation"` // of the agent, another one after each of its starts
-	Seq         uint64  `json:"seq"`         // counts its reports
-	Stamp       Stamp   `json:"stamp"`       // of the last reply
-	Index       uint64  `json:"index"`       // the highest log position it was told
-	IndexTerm   uint64  `json:"index_term"`  // and the term of the entry there
-	Does        Serving `json:"does"`
-	Version     string  `json:"version"` // of the program that runs, or would
-	Holds       *Grant  `json:"holds,omitempty"`
-	Seen        uint64  `json:"seen"` // it begins no grant with a fence up to this
-	Failed      string  `json:"failed,omitempty"`
-	Figures     Figures `json:"figures"`
+	Member      Member       `json:"member"`
+	Incarnation uint64       `json:"incarnation"` // of the agent, another one after each of its starts
+	Seq         uint64       `json:"seq"`         // counts its reports
+	Stamp       Stamp        `json:"stamp"`       // of the last reply
+	Index       uint64       `json:"index"`       // the highest log position it was told
+	IndexTerm   uint64       `json:"index_term"`  // and the term of the entry there
+	State       ServiceState `json:"does"`
+	Version     string       `json:"version"` // of the program that runs, or would
+	HeldGrant   *Grant       `json:"holds,omitempty"`
+	SeenFence   uint64       `json:"seen"` // it begins no grant with a fence up to this
+	Failed      string       `json:"failed,omitempty"`
+	Stats       Stats        `json:"figures"`
 }
 
 // Reply is what the leader answers.
 type Reply struct {
-	Stamp  Stamp  `json:"stamp"`
-	Index  uint64 `json:"index"`
-	Term   uint64 `json:"term"`            // of the entry at Index
-	Reset  bool   `json:"reset,omitempty"` // the log is another one than the member was told of; this one counts
-	Order  *Order `json:"order,omitempty"`
-	Void   uint64 `json:"void,omitempty"` // a fence not to begin
-	Run    string `json:"run,omitempty"`  // the version to start should the program end by itself; "" for the same
-	Denied string `json:"denied,omitempty"`
-	Halted string `json:"halted,omitempty"`
+	Stamp          Stamp  `json:"stamp"`
+	Index          uint64 `json:"index"`
+	Term           uint64 `json:"term"`            // of the entry at Index
+	Reset          bool   `json:"reset,omitempty"` // the log is another one than the member was told of; this one counts
+	Order          *Order `json:"order,omitempty"`
+	VoidFence      uint64 `json:"void,omitempty"` // a fence not to begin
+	RestartVersion string `json:"run,omitempty"`  // the version to start should the program end by itself; "" for the same
+	Denied         string `json:"denied,omitempty"`
+	Halted         string `json:"halted,omitempty"`
 }
 
 // Order is a grant as its member gets it.
@@ -166,10 +166,10 @@
 		return "adopt " + e.Adopt.Member
 	case e.Advance != nil:
 		return "advance " + e.Advance.Rollout
-	case e.HaltOf != nil:
-		return "halt " + e.HaltOf.Rollout
-	case e.Undone != "":
-		return "undone " + e.Undone
+	case e.Halt != nil:
+		return "halt " + e.Halt.Rollout
+	case e.RolledBack != "":
+		return "undone " + e.RolledBack
 	case e.Watch != nil:
 		return "watch " + e.Watch.Rollout
 	}
@@ -190,15 +190,15 @@
 
 // sure tells whether this leader may act on what it believes: nil, or why not.
 func (l *Leader) sure(now time.Duration) error {
-	if l.confirmed < 0 || now-l.confirmed > l.cfg.Fresh {
+	if l.confirmed < 0 || now-l.confirmed > l.cfg.MaxStaleness {
 		heard := time.Duration(-1)
 		if l.confirmed >= 0 {
 			heard = now - l.confirmed
 		}
 		return &NoMajority{heard}
 	}
-	if now-l.since < l.cfg.Learn {
-		return &NotFresh{Member: "the fleet", Heard: -1}
+	if now-l.since < l.cfg.LearnPeriod {
+		return &NotFresh{Member: "the fleet", SinceReport: -1}
 	}
 	return nil
 }
@@ -213,18 +213,18 @@
 		return "a grant is on its way"
 	case h == nil || h.stamp < 0:
 		return (&NotFresh{name, -1}).Error()
-	case l.now-h.stamp > l.cfg.Fresh:
+	case l.now-h.stamp > l.cfg.MaxStaleness:
 		return (&NotFresh{name, l.now - h.stamp}).Error()
 	case h.conflict > l.now:
 		return (&TwoAgents{name}).Error()
-	case h.report.Does != Serves:
-		return "without a grant, " + string(h.report.Does)
+	case h.report.State != InService:
+		return "without a grant, " + string(h.report.State)
 	}
 	return ""
 }
 
 func (l *Leader) ledger() *Ledger {
-	return NewLedger(l.cfg.Budgets, l.state.List(), func(name string) bool { return l.gone(name) != "" })
+	return NewLedger(l.cfg.Budgets, l.state.MemberList(), func(name string) bool { return l.gone(name) != "" })
 }
 
 // Report takes what an agent tells, and answers it. The entries are to be proposed.
@@ -239,12 +239,12 @@
 	}
 	name := r.Member.Name
 	seat := l.state.Members[name]
-	if seat == nil || seat.Member != r.Member || seat.Grant == nil && r.Does == Serves && seat.Version != r.Version {
-		joined := Seat{Member: r.Member, Version: r.Version}
+	if seat == nil || seat.Member != r.Member || seat.Grant == nil && r.State == InService && seat.Version != r.Version {
+		joined := MemberRecord{Member: r.Member, Version: r.Version}
 		if seat != nil {
 			joined.Failed = seat.Failed
-		} else if len(l.state.Members) >= MostMembers {
-			return reply, nil, &Full{"members", MostMembers}
+		} else if len(l.state.Members) >= MaxMembers {
+			return reply, nil, &Full{"members", MaxMembers}
 		}
 		add = l.add(add, Entry{Join: &joined})
 	}
@@ -254,42 +254,42 @@
 	}
 	// The log was further, or another one, or had granted more, than it has now.
 	was := l.state.termAt(r.Index)
-	if r.Index > l.state.Index || was != 0 && r.IndexTerm != 0 && was != r.IndexTerm || r.Seen > l.state.Fence || r.Holds != nil && r.Holds.Fence > l.state.Fence {
-		a := Adopt{Member: name, Told: r.Index, Term: r.IndexTerm}
-		if r.Holds != nil {
-			a.Grant = *r.Holds
+	if r.Index > l.state.Index || was != 0 && r.IndexTerm != 0 && was != r.IndexTerm || r.SeenFence > l.state.Fence || r.HeldGrant != nil && r.HeldGrant.Fence > l.state.Fence {
+		a := AdoptEntry{Member: name, NotifiedIndex: r.Index, Term: r.IndexTerm}
+		if r.HeldGrant != nil {
+			a.Grant = *r.HeldGrant
 		}
-		a.Grant.Fence = max(a.Grant.Fence, r.Seen)
-		if r.Holds == nil {
+		a.Grant.Fence = max(a.Grant.Fence, r.SeenFence)
+		if r.HeldGrant == nil {
 			a.Grant.Stage, a.Grant.Kind = Proving, Release
 		}
-		known := seat.Grant != nil && seat.Grant.Fence >= a.Grant.Fence || r.Holds == nil && a.Grant.Fence <= l.state.Fence
-		if !known || !l.state.LostTo.covers(r.IndexTerm, r.Index) {
+		known := seat.Grant != nil && seat.Grant.Fence >= a.Grant.Fence || r.HeldGrant == nil && a.Grant.Fence <= l.state.Fence
+		if !known || !l.state.LostPosition.covers(r.IndexTerm, r.Index) {
 			return reply, l.add(add, Entry{Adopt: &a}), nil
 		}
 		reply.Reset = true // all that it knows stands in this log, and operators were told
 	}
 	l.figures(r)
 	g := seat.Grant
-	fresh := h.stamp >= 0 && now-h.stamp <= l.cfg.Fresh
+	fresh := h.stamp >= 0 && now-h.stamp <= l.cfg.MaxStaleness
 	switch {
 	case g == nil:
 		for _, ro := range l.state.Rollouts {
-			if v := ro.Prior[name]; ro.Phase == Back && l.state.Moving(ro) && v != "" && v != r.Version && l.sure(now) == nil {
-				reply.Run = v
+			if v := ro.Prior[name]; ro.Phase == RollingBack && l.state.Active(ro) && v != "" && v != r.Version && l.sure(now) == nil {
+				reply.RestartVersion = v
 			}
 		}
 		return reply, add, nil
-	case r.Holds != nil && r.Holds.Fence == g.Fence:
-		if stage := stageOf(r.Does); stage != g.Stage || clip(r.Failed) != seat.Failed {
-			add = l.add(add, Entry{Stage: &StageOf{name, g.Fence, stage, clip(r.Failed)}})
+	case r.HeldGrant != nil && r.HeldGrant.Fence == g.Fence:
+		if stage := stageOf(r.State); stage != g.Stage || clip(r.Failed) != seat.Failed {
+			add = l.add(add, Entry{Stage: &StageEntry{name, g.Fence, stage, clip(r.Failed)}})
 		}
 		// Who is out gets its order again: it may come back with another version, or at all.
 		reply.Order = &Order{g.Fence, g.Kind, g.Version, g.Kind == Drain && seat.Drain == ""}
-	case r.Seen >= g.Fence && r.Does == Serves && fresh:
-		add = l.add(add, Entry{Release: &ReleaseOf{name, g.Fence, r.Version, clip(r.Failed)}})
-	case r.Seen < g.Fence && r.Holds == nil:
-		reply.Void, reply.Order, reply.Denied = l.hand(now, seat, h, fresh)
+	case r.SeenFence >= g.Fence && r.State == InService && fresh:
+		add = l.add(add, Entry{Release: &ReleaseEntry{name, g.Fence, r.Version, clip(r.Failed)}})
+	case r.SeenFence < g.Fence && r.HeldGrant == nil:
+		reply.VoidFence, reply.Order, reply.Denied = l.hand(now, seat, h, fresh)
 	}
 	return reply, add, nil
 }
@@ -297,7 +297,7 @@
 // hand decides whether a member may begin the grant that the log has for it. Here,
 // and not when the grant came into the log, it is granted: what has been lost since
 // counts, and so does that others may lead by now.
-func (l *Leader) hand(now time.Duration, seat *Seat, h *hearing, fresh bool) (void uint64, o *Order, denied string) {
+func (l *Leader) hand(now time.Duration, seat *MemberRecord, h *hearing, fresh bool) (void uint64, o *Order, denied string) {
 	g := seat.Grant
 	if err := l.sure(now); err != nil {
 		return 0, nil, err.Error()
@@ -308,10 +308,10 @@
 	if h.conflict > now {
 		return 0, nil, (&TwoAgents{seat.Name}).Error()
 	}
-	if h.report.Does != Serves {
+	if h.report.State != InService {
 		return 0, nil, "the member does not serve"
 	}
-	if g.Kind == Drain && seat.Drain == "" || g.Kind == Release && !l.state.Moving(l.state.Rollout(g.Rollout)) || l.state.Stop != nil {
+	if g.Kind == Drain && seat.Drain == "" || g.Kind == Release && !l.state.Active(l.state.Rollout(g.Rollout)) || l.state.Stop != nil {
 		return g.Fence, nil, "halted, or no longer wanted"
 	}
 	if g.Kind == Release && g.Version == h.report.Version {
@@ -325,8 +325,8 @@
 
 func clip(s string) string { return s[:min(len(s), 300)] }
 
-func stageOf(d Serving) Stage {
-	if d == Proves || d == Serves {
+func stageOf(d ServiceState) Stage {
+	if d == Unproven || d == InService {
 		return Proving
 	}
 	return Out
@@ -336,7 +336,7 @@
 func (l *Leader) hear(r Report) *hearing {
 	h := l.heard[r.Member.Name]
 	if h == nil {
-		if len(l.heard) > 2*MostMembers {
+		if len(l.heard) > 2*MaxMembers {
 			return &hearing{stamp: -1}
 		}
 		h = &hearing{stamp: -1, report: r}
@@ -345,7 +345,7 @@
 	switch {
 	case h.report.Incarnation != r.Incarnation:
 		if slices.Contains(h.earlier, r.Incarnation) {
-			h.conflict = l.now + 4*l.cfg.Fresh // one that was thought to be over
+			h.conflict = l.now + 4*l.cfg.MaxStaleness // one that was thought to be over
 		}
 		if h.earlier = append(h.earlier, h.report.Incarnation); len(h.earlier) > 4 {
 			h.earlier = h.earlier[1:]
@@ -369,11 +369,11 @@
 	}
 	changed := false
 	for _, ro := range l.state.Rollouts {
-		if ro.Phase == Going && ro.covers(r.Member) {
+		if ro.Phase == InProgress && ro.covers(r.Member) {
 			changed = ro.Version == r.Version
 		}
 	}
-	t.record(l.now, r.Figures, changed, r.Does == Serves || r.Does == Proves)
+	t.record(l.now, r.Stats, changed, r.State == InService || r.State == Unproven)
 }
 
 // Tick decides what time alone brings: grants, waves, halts.
@@ -386,7 +386,7 @@
 	ledger := l.ledger()
 	lost := l.losses(ledger)
 	for _, r := range l.state.Rollouts {
-		if l.state.Moving(r) {
+		if l.state.Active(r) {
 			add = l.watch(add, r, lost)
 		}
 	}
@@ -394,7 +394,7 @@
 	if l.state.Stop != nil {
 		return add
 	}
-	give := func(seat *Seat, g GrantTo) {
+	give := func(seat *MemberRecord, g GrantEntry) {
 		if l.gone(seat.Name) != "" {
 			return
 		}
@@ -406,19 +406,19 @@
 		add = l.add(add, Entry{Grant: &g})
 	}
 	// Drains by hand first, then those that go back, then those that go on.
-	for _, name := range l.state.Names() {
+	for _, name := range l.state.MemberNames() {
 		if seat := l.state.Members[name]; seat.Drain != "" && seat.Grant == nil {
-			give(seat, GrantTo{Member: name, Kind: Drain})
+			give(seat, GrantEntry{Member: name, Kind: Drain})
 		}
 	}
-	for _, phase := range []Phase{Back, Going} {
+	for _, phase := range []Phase{RollingBack, InProgress} {
 		for _, r := range l.state.Rollouts {
-			if r.Phase != phase || !l.state.Moving(r) || l.pending["halt "+r.ID] {
+			if r.Phase != phase || !l.state.Active(r) || l.pending["halt "+r.ID] {
 				continue
 			}
 			for _, name := range l.todo(r) {
 				if seat := l.state.Members[name]; seat.Grant == nil && seat.Drain == "" {
-					give(seat, GrantTo{Member: name, Kind: Release, Version: r.target(name), Rollout: r.ID})
+					give(seat, GrantEntry{Member: name, Kind: Release, Version: r.target(name), Rollout: r.ID})
 				}
 			}
 		}
@@ -429,7 +429,7 @@
 // losses tells by which budget those that are lost are too many, for how long
 // they have been so, and who they are.
 func (l *Leader) losses(ledger *Ledger) *Lost {
-	over := ledger.Passed()
+	over := ledger.Exceeded()
 	if len(over) == 0 {
 		l.passed = -1
 		return nil
@@ -437,13 +437,13 @@
 	if l.passed < 0 {
 		l.passed = l.now
 	}
-	if l.now-l.passed < l.cfg.Bear {
+	if l.now-l.passed < l.cfg.OverBudgetTimeout {
 		return nil
 	}
-	lost := &Lost{Over: over[0].Error(), Waited: l.now - l.passed}
-	for _, name := range l.state.Names() {
-		if l.state.Members[name].Grant == nil && l.gone(name) != "" && len(lost.Lost) < 20 {
-			lost.Lost = append(lost.Lost, name)
+	lost := &Lost{OverBudget: over[0].Error(), Waited: l.now - l.passed}
+	for _, name := range l.state.MemberNames() {
+		if l.state.Members[name].Grant == nil && l.gone(name) != "" && len(lost.LostMembers) < 20 {
+			lost.LostMembers = append(lost.LostMembers, name)
 		}
 	}
 	return lost
@@ -490,7 +490,7 @@
 // todo lists the members that the rollout, as far as its waves are, has still to change.
 func (l *Leader) todo(r *Rollout) (names []string) {
 	all := l.order(r)
-	if r.Phase == Going {
+	if r.Phase == InProgress {
 		all = all[:size(r.Waves[min(r.Wave, len(r.Waves)-1)], len(all))]
 	}
 	for _, name := range all {
@@ -507,7 +507,7 @@
 func (l *Leader) watch(add []Entry, r *Rollout, lost *Lost) []Entry {
 	w := l.watches[r.ID]
 	if w == nil || w.wave != r.Wave || w.turned != r.Phase {
-		w = &watch{judge: judge{gate: r.Gate, rollout: r.ID, waves: len(r.Waves)}, wave: r.Wave, turned: r.Phase, whole: -1, nextTold: l.now + l.cfg.Watch}
+		w = &watch{judge: judge{gate: r.Gate, rollout: r.ID, waves: len(r.Waves)}, wave: r.Wave, turned: r.Phase, whole: -1, nextTold: l.now + l.cfg.WatchInterval}
 		l.watches[r.ID] = w
 		for _, name := range l.order(r) { // figures count from here on
 			if t := l.tracks[name]; t != nil {
@@ -524,7 +524,7 @@
 	var changed, unchanged []delta
 	of := l.order(r)
 	w.of, w.done = len(of), 0
-	if r.Phase == Back {
+	if r.Phase == RollingBack {
 		w.of = len(r.Prior)
 	}
 	inWave := size(r.Waves[min(r.Wave, len(r.Waves)-1)], len(of))
@@ -556,30 +556,30 @@
 			if len(w.waits) < 20 {
 				w.waits = append(w.waits, strings.TrimSuffix(name+": "+why, ": "))
 			}
-		case r.Phase == Going && i < inWave && why != "":
+		case r.Phase == InProgress && i < inWave && why != "":
 			if len(w.waits) < 20 {
 				w.waits = append(w.waits, name+": "+why) // changed, but not proven to serve
 			}
 		}
-		if seat.Failed != "" && r.Phase == Going && (mine || todo[name]) {
-			add = l.add(add, Entry{HaltOf: HaltFor(r.ID, &CannotStart{name, r.Version, seat.Failed})})
+		if seat.Failed != "" && r.Phase == InProgress && (mine || todo[name]) {
+			add = l.add(add, Entry{Halt: NewHaltEntry(r.ID, &CannotStart{name, r.Version, seat.Failed})})
 		}
 	}
 	if l.now >= w.nextTold {
-		w.nextTold = l.now + l.cfg.Watch
-		add = l.add(add, Entry{Watch: &Watch{r.ID, l.cfg.Watch}})
+		w.nextTold = l.now + l.cfg.WatchInterval
+		add = l.add(add, Entry{Watch: &WatchEntry{r.ID, l.cfg.WatchInterval}})
 	}
-	if r.Phase == Back {
+	if r.Phase == RollingBack {
 		if len(todo) == 0 && !busy {
-			return l.add(add, Entry{Undone: r.ID})
+			return l.add(add, Entry{RolledBack: r.ID})
 		}
-		if r.Idle > r.Gate.Patience {
-			add = l.add(add, Entry{HaltOf: HaltFor(r.ID, &Stalled{r.ID, r.Idle, w.waits})})
+		if r.Idle > r.Gate.StallTimeout {
+			add = l.add(add, Entry{Halt: NewHaltEntry(r.ID, &Stalled{r.ID, r.Idle, w.waits})})
 		}
 		return add
 	}
 	if lost != nil {
-		return l.add(add, Entry{HaltOf: HaltFor(r.ID, lost)})
+		return l.add(add, Entry{Halt: NewHaltEntry(r.ID, lost)})
 	}
 	if len(w.waits) > 0 {
 		w.whole = -1
@@ -587,24 +587,24 @@
 		w.whole = l.now
 	}
 	if len(changed) > 0 && l.now >= w.nextLook {
-		w.nextLook = l.now + max(r.Gate.Soak/8, l.cfg.Report)
+		w.nextLook = l.now + max(r.Gate.Soak/8, l.cfg.ReportInterval)
 		w.verdict = w.look(changed, unchanged)
-		if w.verdict.Few == nil {
+		if w.verdict.Insufficient == nil {
 			l.slide(r)
 		}
 	}
 	switch {
-	case w.verdict.Bad != nil:
-		add = l.add(add, Entry{HaltOf: HaltFor(r.ID, w.verdict.Bad)})
-	case w.whole >= 0 && l.now-w.whole >= r.Gate.Soak && w.verdict.Few == nil && w.nextLook > w.whole:
-		add = l.add(add, Entry{Advance: &WaveOf{r.ID, r.Wave}})
-	case r.Idle > r.Gate.Patience:
+	case w.verdict.Failure != nil:
+		add = l.add(add, Entry{Halt: NewHaltEntry(r.ID, w.verdict.Failure)})
+	case w.whole >= 0 && l.now-w.whole >= r.Gate.Soak && w.verdict.Insufficient == nil && w.nextLook > w.whole:
+		add = l.add(add, Entry{Advance: &AdvanceEntry{r.ID, r.Wave}})
+	case r.Idle > r.Gate.StallTimeout:
 		var f Fault = &Stalled{r.ID, r.Idle, w.waits}
-		if few, ok := w.verdict.Few.(*TooFew); ok && len(w.waits) == 0 {
+		if few, ok := w.verdict.Insufficient.(*TooFew); ok && len(w.waits) == 0 {
 			few.Waited = r.Idle
 			f = few
 		}
-		add = l.add(add, Entry{HaltOf: HaltFor(r.ID, f)})
+		add = l.add(add, Entry{Halt: NewHaltEntry(r.ID, f)})
 	}
 	return add
 }
@@ -622,69 +622,69 @@
 // MemberStatus is how a member stands.
 type MemberStatus struct {
 	Member
-	Version string  `json:"version"`
-	Does    Serving `json:"does,omitempty"`
-	Out     string  `json:"out,omitempty"` // why it counts as out
-	Denied  string  `json:"denied,omitempty"`
-	Failed  string  `json:"failed,omitempty"`
-	Drain   string  `json:"drain,omitempty"`
-	Grant   *Grant  `json:"grant,omitempty"`
+	Version string       `json:"version"`
+	State   ServiceState `json:"does,omitempty"`
+	Out     string       `json:"out,omitempty"` // why it counts as out
+	Denied  string       `json:"denied,omitempty"`
+	Failed  string       `json:"failed,omitempty"`
+	Drain   string       `json:"drain,omitempty"`
+	Grant   *Grant       `json:"grant,omitempty"`
 }
 
 // Progress tells how far a rollout has come.
 type Progress struct {
-	ID      string        `json:"id"`
-	Version string        `json:"version"`
-	Phase   Phase         `json:"phase"`
-	Halt    *Halt         `json:"halt,omitempty"`
-	Wave    int           `json:"wave"` // from 1
-	Waves   int           `json:"waves"`
-	Done    int           `json:"done"` // members that have what they should have
-	Of      int           `json:"of"`
-	Gate    string        `json:"gate,omitempty"`
-	Waits   []string      `json:"waits,omitempty"`
-	Idle    time.Duration `json:"idle"`
-	Watched time.Duration `json:"watched"`
-	Left    time.Duration `json:"left"` // a guess by the pace so far; 0 for none
+	ID         string        `json:"id"`
+	Version    string        `json:"version"`
+	Phase      Phase         `json:"phase"`
+	Halt       *Halt         `json:"halt,omitempty"`
+	Wave       int           `json:"wave"` // from 1
+	Waves      int           `json:"waves"`
+	Done       int           `json:"done"` // members that have what they should have
+	Total      int           `json:"of"`
+	Gate       string        `json:"gate,omitempty"`
+	WaitingFor []string      `json:"waits,omitempty"`
+	Idle       time.Duration `json:"idle"`
+	Watched    time.Duration `json:"watched"`
+	TimeLeft   time.Duration `json:"left"` // a guess by the pace so far; 0 for none
 }
 
 // Status is how all stands, as the leader knows it.
 type Status struct {
-	Index    uint64         `json:"index"`
-	Term     uint64         `json:"term"`
-	Unsure   string         `json:"unsure,omitempty"` // why nothing is granted
-	Stop     *Halt          `json:"stop,omitempty"`
-	Budgets  []BudgetUse    `json:"budgets"`
-	Rollouts []Progress     `json:"rollouts"`
-	Members  []MemberStatus `json:"members"`
+	Index         uint64         `json:"index"`
+	Term          uint64         `json:"term"`
+	GrantsBlocked string         `json:"unsure,omitempty"` // why nothing is granted
+	Stop          *Halt          `json:"stop,omitempty"`
+	Budgets       []BudgetUsage  `json:"budgets"`
+	Rollouts      []Progress     `json:"rollouts"`
+	Members       []MemberStatus `json:"members"`
 }
 
 // Status tells how all stands.
 func (l *Leader) Status(now time.Duration) Status {
 	l.now = max(l.now, now)
-	s := Status{Index: l.state.Index, Term: l.term, Stop: l.state.Stop, Budgets: l.ledger().Use()}
+	s := Status{Index: l.state.Index, Term: l.term, Stop: l.state.Stop, Budgets: l.ledger().Usage()}
 	if err := l.sure(now); err != nil {
-		s.Unsure = err.Error()
+		s.GrantsBlocked = err.Error()
 	}
 	for _, r := range l.state.Rollouts {
 		rs := Progress{ID: r.ID, Version: r.Version, Phase: r.Phase, Halt: r.Halt, Wave: min(r.Wave+1, len(r.Waves)), Waves: len(r.Waves),
 			Idle: r.Idle, Watched: r.Watched}
 		if w := l.watches[r.ID]; w != nil && !r.Phase.Ended() {
-			rs.Done, rs.Of, rs.Waits = w.done, w.of, w.waits
-			if r.Phase == Going {
+			rs.Done, rs.Total, rs.WaitingFor = w.done, w.of, w.waits
+			if r.Phase == InProgress {
 				rs.Gate = w.verdict.String()
 			}
 			if w.done > 0 && r.Watched > 0 {
-				rs.Left = time.Duration(float64(r.Watched) * float64(w.of-w.done) / float64(w.done))
+				rs.TimeLeft = time.Duration(float64(r.Watched) * float64(w.of-w.done) / float64(w.done))
 			}
 		}
 		s.Rollouts = append(s.Rollouts, rs)
 	}
-	for _, name := range l.state.Names() {
+	for _, name := range l.state.MemberNames() {
 		seat := l.state.Members[name]
 		m := MemberStatus{Member: seat.Member, Version: seat.Version, Out: l.gone(name), Failed: seat.Failed, Drain: seat.Drain, Grant: seat.Grant}
 		if h := l.heard[name]; h != nil {
-			m.Does = h.report.Does
+			m.State = h.report.State
 		}
 		if err := l.denied[name]; err != nil {
 			m.Denied = err.Error()
--- a/rollout/member.go
+++ b/rollout/member.go
@@ -30,17 +30,17 @@
 
 // Budget bounds how many members may be out at once.
 type Budget struct {
-	Name  string  `json:"name" toml:"name"`
-	Role  string  `json:"role,omitempty" toml:"role"` // "" for every role
-	Zone  string  `json:"zone,omitempty" toml:"zone"` // "" for every zone
-	Cell  string  `json:"cell,omitempty" toml:"cell"`
-	Each  string  `json:"each,omitempty" toml:"each"`   // "zone" or "cell": a budget of its own for each one
-	Most  int     `json:"most,omitempty" toml:"most"`   // members; 0 for no bound in number
-	Share float64 `json:"share,omitempty" toml:"share"` // of the weights' sum; 0 for no bound in share
-	// Of is how many members there are, in each group. Who has never been heard stands in
+	Name    string  `json:"name" toml:"name"`
+	Role    string  `json:"role,omitempty" toml:"role"` // "" for every role
+	Zone    string  `json:"zone,omitempty" toml:"zone"` // "" for every zone
+	Cell    string  `json:"cell,omitempty" toml:"cell"`
+	GroupBy string  `json:"each,omitempty" toml:"each"`   // "zone" or "cell": a budget of its own for each one
+	MaxOut  int     `json:"most,omitempty" toml:"most"`   // members; 0 for no bound in number
+	Share   float64 `json:"share,omitempty" toml:"share"` // of the weights' sum; 0 for no bound in share
+	// ExpectedMembers is how many members there are, in each group. Who has never been heard stands in
 	// no log and would count for nothing: as many as are missing count as out. 0 for
 	// however many there are.
-	Of int `json:"of,omitempty" toml:"of"`
+	ExpectedMembers int `json:"of,omitempty" toml:"of"`
 }
 
 // group tells whether the budget covers a member, and in which group of it.
@@ -48,7 +48,7 @@
 	if b.Role != "" && b.Role != m.Role || b.Zone != "" && b.Zone != m.Zone || b.Cell != "" && b.Cell != m.Cell {
 		return "", false
 	}
-	switch b.Each {
+	switch b.GroupBy {
 	case "zone":
 		return m.Zone, true
 	case "cell":
@@ -103,7 +103,7 @@
 	}
 	for i, b := range budgets {
 		for _, t := range l.groups[i] {
-			if missing := b.Of - t.members; missing > 0 {
+			if missing := b.ExpectedMembers - t.members; missing > 0 {
 				t.out += missing
 				t.weight += float64(missing) * t.weighty // on the careful side both
 				t.all += float64(missing) * t.lightest
@@ -115,7 +115,7 @@
 
 // over tells by how much a group would pass its budget with more out.
 func (b Budget) over(t *tally, more int, weight float64) bool {
-	return b.Most > 0 && t.out+more > b.Most || b.Share > 0 && t.weight+weight > b.Share*t.all+1e-9
+	return b.MaxOut > 0 && t.out+more > b.MaxOut || b.Share > 0 && t.weight+weight > b.Share*t.all+1e-9
 }
 
 // Fits tells whether one more member may be out; nil if so, else *OverBudget. A
@@ -135,7 +135,7 @@
 			t = &tally{all: m.Weight}
 		}
 		if b.over(t, more, weight) {
-			return &OverBudget{Budget: b.Name, Group: g, Member: m.Name, Out: t.out, Most: b.Most, Weight: t.weight, Allowed: b.Share * t.all}
+			return &OverBudget{Budget: b.Name, Group: g, Member: m.Name, Out: t.out, MaxOut: b.MaxOut, Weight: t.weight, Allowed: b.Share * t.all}
 		}
 	}
 	return nil
@@ -153,12 +153,12 @@
 	}
 }
 
-// Passed lists the groups that hold more than their budget allows.
-func (l *Ledger) Passed() (over []*OverBudget) {
+// Exceeded lists the groups that hold more than their budget allows.
+func (l *Ledger) Exceeded() (over []*OverBudget) {
 	for i, b := range l.budgets {
 		for g, t := range l.groups[i] {
 			if b.over(t, 0, 0) {
-				over = append(over, &OverBudget{Budget: b.Name, Group: g, Out: t.out, Most: b.Most, Weight: t.weight, Allowed: b.Share * t.all})
+				over = append(over, &OverBudget{Budget: b.Name, Group: g, Out: t.out, MaxOut: b.MaxOut, Weight: t.weight, Allowed: b.Share * t.all})
 			}
 		}
 	}
@@ -168,29 +168,29 @@
 	return over
 }
 
-// BudgetUse is what one group of a budget holds, for people to read.
-type BudgetUse struct {
-	Budget string  `json:"budget"`
-	Group  string  `json:"group,omitempty"`
-	Out    int     `json:"out"`
-	Most   int     `json:"most,omitempty"`
-	Weight float64 `json:"weight"`
-	Share  float64 `json:"share,omitempty"`
-	Of     int     `json:"of"`
+// BudgetUsage is what one group of a budget holds, for people to read.
+type BudgetUsage struct {
+	Budget  string  `json:"budget"`
+	Group   string  `json:"group,omitempty"`
+	Out     int     `json:"out"`
+	MaxOut  int     `json:"most,omitempty"`
+	Weight  float64 `json:"weight"`
+	Share   float64 `json:"share,omitempty"`
+	Members int     `json:"of"`
 }
 
-// Use lists all groups.
-func (l *Ledger) Use() (use []BudgetUse) {
+// Usage lists all groups.
+func (l *Ledger) Usage() (use []BudgetUsage) {
 	for i, b := range l.budgets {
 		for g, t := range l.groups[i] {
 			w := 0.0
 			if t.all > 0 {
 				w = t.weight / t.all
 			}
-			use = append(use, BudgetUse{b.Name, g, t.out, b.Most, w, b.Share, t.members})
+			use = append(use, BudgetUsage{b.Name, g, t.out, b.MaxOut, w, b.Share, t.members})
 		}
 	}
-	slices.SortFunc(use, func(a, b BudgetUse) int {
+	slices.SortFunc(use, func(a, b BudgetUsage) int {
 		return cmp.Or(strings.Compare(a.Budget, b.Budget), strings.Compare(a.Group, b.Group))
 	})
 	return use
@@ -214,10 +214,10 @@
 	switch {
 	case b.Name == "":
 		return &BadRequest{"a budget has a name"}
-	case b.Of < 0 || b.Most < 0 || b.Share < 0 || b.Share > 1 || b.Most == 0 && b.Share == 0:
+	case b.ExpectedMembers < 0 || b.MaxOut < 0 || b.Share < 0 || b.Share > 1 || b.MaxOut == 0 && b.Share == 0:
 		return &BadRequest{fmt.Sprintf("budget %s: most and of are numbers of members, share above 0 and up to 1, and one of most and share is there", b.Name)}
-	case b.Each != "" && b.Each != "zone" && b.Each != "cell":
-		return &BadRequest{fmt.Sprintf("budget %s: each is zone or cell, not %q", b.Name, b.Each)}
+	case b.GroupBy != "" && b.GroupBy != "zone" && b.GroupBy != "cell":
+		return &BadRequest{fmt.Sprintf("budget %s: each is zone or cell, not %q", b.Name, b.GroupBy)}
 	}
 	return nil
 }
--- a/rollout/replica/replica.go
+++ b/rollout/replica/replica.go
@@ -47,13 +47,13 @@
 
 // Config is what one coordinator goes by.
 type Config struct {
-	ID       uint64 // new with each new disk: an empty disk under an old number could vote twice
-	Rollout  rollout.Config
-	Publish  distribution.Timing // the zero value for the default
-	Tick     time.Duration       // between calls of Tick
-	Election int                 // ticks without a leader before an election, at least; at most twice that
-	Compact  uint64              // entries applied before a snapshot takes their place
-	Decide   time.Duration       // between decisions of the leader
+	ID             uint64 // new with each new disk: an empty disk under an old number could vote twice
+	Rollout        rollout.Config
+	PublishTiming  distribution.Timing // the zero value for the default
+	TickInterval   time.Duration       // between calls of Tick
+	ElectionTicks  int                 // ticks without a leader before an election, at least; at most twice that
+	CompactAfter   uint64              // entries applied before a snapshot takes their place
+	DecideInterval time.Duration       // between decisions of the leader
 }
 
 // publishEvery is the time between two looks at whose question is due.
@@ -61,16 +61,16 @@
 
 // publish is the timing that the publisher goes by.
 func (c *Config) publish() distribution.Timing {
-	if c.Publish == (distribution.Timing{}) {
+	if c.PublishTiming == (distribution.Timing{}) {
 		return distribution.DefaultTiming()
 	}
-	return c.Publish
+	return c.PublishTiming
 }
 
 const keepEntries = 100 // behind a snapshot, for those that are a little late
 
-// Founding is the disk of a new set of coordinators, by their numbers and addresses.
-func Founding(peers map[uint64]string) (Stored, error) {
+// Bootstrap is the disk of a new set of coordinators, by their numbers and addresses.
+func Bootstrap(peers map[uint64]string) (Stored, error) {
 	data, err := json.Marshal(snapshot{Peers: peers, State: rollout.NewState(), Catalog: distribution.NewCatalog()})
 	if err != nil {
 		return Stored{}, err
@@ -171,7 +171,7 @@
 	}
 	err := r.guard(func() error {
 		var err error
-		r.node, err = raft.NewRawNode(&raft.Config{ID: cfg.ID, ElectionTick: cfg.Election, HeartbeatTick: 1, Storage: r.log, Applied: r.applied,
+		r.node, err = raft.NewRawNode(&raft.Config{ID: cfg.ID, ElectionTick: cfg.ElectionTicks, HeartbeatTick: 1, Storage: r.log, Applied: r.applied,
 			MaxSizePerMsg: 256 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 4 << 20, CheckQuorum: true, PreVote: true,
 			DisableProposalForwarding: true, Logger: raftlog.Silent{}}) // what its lines would tell stands in Status
 		return err
@@ -185,7 +185,7 @@
 
 // restless draws anew how long this coordinator bears having no leader.
 func (r *Replica) restless() {
-	r.silent, r.patience = 0, r.cfg.Election+r.rng.IntN(r.cfg.Election)
+	r.silent, r.patience = 0, r.cfg.ElectionTicks+r.rng.IntN(r.cfg.ElectionTicks)
 }
 
 func (r *Replica) restore(s *pb.Snapshot) error {
@@ -202,7 +202,7 @@
 	r.catalog = data.Catalog
 	r.state, r.peers, r.conf = data.State, data.Peers, s.GetMetadata().GetConfState()
 	if r.state.Members == nil {
-		r.state.Members = map[string]*rollout.Seat{}
+		r.state.Members = map[string]*rollout.MemberRecord{}
 	}
 	r.applied = s.GetMetadata().GetIndex()
 	r.snapped = r.applied
@@ -228,8 +228,8 @@
 // Err is why this coordinator has stopped; nil while it has not.
 func (r *Replica) Err() error { return r.err }
 
-// Take hands out the messages to send.
-func (r *Replica) Take() []Message {
+// TakeMessages hands out the messages to send.
+func (r *Replica) TakeMessages() []Message {
 	out := r.out
 	r.out = nil
 	return out
@@ -247,11 +247,11 @@
 // State is what the log says, for reading.
 func (r *Replica) State() *rollout.State { return r.state }
 
-// Leads tells who leads, as far as this coordinator knows; 0 for nobody.
-func (r *Replica) Leads() uint64 { return r.node.BasicStatus().Lead }
+// LeaderID tells who leads, as far as this coordinator knows; 0 for nobody.
+func (r *Replica) LeaderID() uint64 { return r.node.BasicStatus().Lead }
 
-// Leading tells whether this coordinator decides.
-func (r *Replica) Leading() bool { return r.leader != nil && r.err == nil }
+// IsLeader tells whether this coordinator decides.
+func (r *Replica) IsLeader() bool { return r.leader != nil && r.err == nil }
 
 // Term is the library's term.
 func (r *Replica) Term() uint64 { return r.node.BasicStatus().GetTerm() }
@@ -262,7 +262,7 @@
 	return r.guard(func() error {
 		if r.leads {
 			r.node.Tick()
-			if r.leader != nil && r.now-r.asked >= r.cfg.Decide {
+			if r.leader != nil && r.now-r.asked >= r.cfg.DecideInterval {
 				r.asked = r.now
 				r.node.ReadIndex(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, r.term), uint64(r.now)))
 			}
@@ -278,7 +278,7 @@
 			}
 		}
 		if r.leader != nil && r.now >= r.nextDecide {
-			r.nextDecide = r.now + r.cfg.Decide
+			r.nextDecide = r.now + r.cfg.DecideInterval
 			r.propose(r.leader.Tick(r.now))
 		}
 		if err := r.work(); err != nil {
@@ -347,7 +347,7 @@
 	r.now = max(r.now, now)
 	err = r.guard(func() error {
 		if r.leader == nil {
-			return &rollout.NotLeader{Leader: r.Leads()}
+			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
 		answer, add, refused := r.leader.Report(r.now, report)
 		reply = answer
@@ -366,7 +366,7 @@
 	r.now = max(r.now, now)
 	err := r.guard(func() error {
 		if r.leader == nil {
-			return &rollout.NotLeader{Leader: r.Leads()}
+			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
 		n := r.n + 1
 		r.waiting[n] = done
@@ -387,7 +387,7 @@
 	r.now = max(r.now, now)
 	err := r.guard(func() error {
 		if r.publisher == nil {
-			return &rollout.NotLeader{Leader: r.Leads()}
+			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
 		reply, held, err := r.publisher.Poll(r.now, q)
 		if err != nil {
@@ -443,7 +443,7 @@
 	r.now = max(r.now, now)
 	err := r.guard(func() error {
 		if r.publisher == nil {
-			return &rollout.NotLeader{Leader: r.Leads()}
+			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
 		if e.Forget != "" {
 			if ago, ever := r.publisher.Heard(r.now, e.Forget); ever && ago < r.cfg.publish().Lease {
@@ -472,7 +472,7 @@
 		return nil, r.err
 	}
 	if r.publisher == nil {
-		return nil, &rollout.NotLeader{Leader: r.Leads()}
+		return nil, &rollout.NotLeader{Leader: r.LeaderID()}
 	}
 	return r.catalog, nil
 }
@@ -490,7 +490,7 @@
 	r.now = max(r.now, now)
 	return r.guard(func() error {
 		if r.leader == nil {
-			return &rollout.NotLeader{Leader: r.Leads()}
+			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
 		if _, there := r.peers[new]; there || r.peers[old] == "" || new == 0 {
 			return &rollout.BadRequest{What: fmt.Sprintf("%d is a coordinator that is there and %d one that is not", old, new)}
@@ -514,7 +514,7 @@
 		return rollout.Status{}, r.err
 	}
 	if r.leader == nil {
-		return rollout.Status{}, &rollout.NotLeader{Leader: r.Leads()}
+		return rollout.Status{}, &rollout.NotLeader{Leader: r.LeaderID()}
 	}
 	return r.leader.Status(r.now), nil
 }
@@ -597,7 +597,7 @@
 		}
 		r.node.Advance(ready)
 	}
-	if r.applied-r.snapped >= r.cfg.Compact {
+	if r.applied-r.snapped >= r.cfg.CompactAfter {
 		return r.compact()
 	}
 	return nil
@@ -621,13 +621,13 @@
 
 func (r *Replica) apply(e *pb.Entry) error {
 	r.applied = e.GetIndex()
-	r.state.Began(e.GetTerm(), r.applied)
+	r.state.RecordTerm(e.GetTerm(), r.applied)
 	if r.leads && r.leader == nil && e.GetTerm() == r.Term() {
 		// All of earlier terms has been applied: from here on this one decides.
 		r.term = e.GetTerm()
 		r.leader = rollout.NewLeader(r.cfg.Rollout, r.state, r.term, r.now)
 		r.publisher = distribution.NewPublisher(r.cfg.publish(), r.catalog, r.now)
-		r.nextDecide, r.asked = r.now, r.now-r.cfg.Decide
+		r.nextDecide, r.asked = r.now, r.now-r.cfg.DecideInterval
 	}
 	switch e.GetType() {
 	case pb.EntryConfChange, pb.EntryConfChangeV2:
@@ -687,7 +687,7 @@
 	r.leader, r.publisher, r.leads = nil, nil, false
 	for follower, q := range r.held {
 		delete(r.held, follower)
-		q.answer(distribution.Reply{}, &rollout.NotLeader{Leader: r.Leads()})
+		q.answer(distribution.Reply{}, &rollout.NotLeader{Leader: r.LeaderID()})
 	}
 	for n, done := range r.waiting {
 		delete(r.waiting, n)
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -12,7 +12,7 @@
 
 // Bounds on what the log keeps.
 const (
-	MostMembers  = 20_000
+	MaxMembers   = 20_000
 	mostOpen     = 16  // rollouts that have not ended
 	mostEnded    = 16  // rollouts that have, kept to be looked at
 	mostRequests = 256 // operators' requests remembered, so that one sent again counts once
@@ -48,8 +48,8 @@
 	Rollout string `json:"rollout,omitempty"`
 }
 
-// Seat is what the log has of a member.
-type Seat struct {
+// MemberRecord is what the log has of a member.
+type MemberRecord struct {
 	Member
 	Version string `json:"version"`          // what it served last, as it told
 	Grant   *Grant `json:"grant,omitempty"`  // nil while it holds none
@@ -62,15 +62,15 @@
 
 // The phases of a rollout. Beside them it may be halted.
 const (
-	Waiting Phase = "waiting" // for the one it comes after
-	Going   Phase = "going"
-	Back    Phase = "back" // on its way back
-	Done    Phase = "done"
-	Undone  Phase = "undone" // all that could has gone back
+	Waiting     Phase = "waiting" // for the one it comes after
+	InProgress  Phase = "going"
+	RollingBack Phase = "back" // on its way back
+	Done        Phase = "done"
+	RolledBack  Phase = "undone" // all that could has gone back
 )
 
 // Ended tells whether nothing more comes of it.
-func (p Phase) Ended() bool { return p == Done || p == Undone }
+func (p Phase) Ended() bool { return p == Done || p == RolledBack }
 
 // Spec is a rollout as an operator orders it.
 type Spec struct {
@@ -105,38 +105,38 @@
 
 // State is what the log says.
 type State struct {
-	Index    uint64           `json:"index"` // of the last entry applied
-	Fence    uint64           `json:"fence"`
-	Members  map[string]*Seat `json:"members"`
-	Rollouts []*Rollout       `json:"rollouts"` // in the order in which they were started
-	Stop     *Halt            `json:"stop,omitempty"`
-	Requests []Request        `json:"requests"` // the last ones, oldest first
-	LostTo   TermFrom         `json:"lost_to"`  // the last place that a member was told of in a log that is gone
-	Terms    []TermFrom       `json:"terms"`    // in which term each entry was written, as runs, oldest first
+	Index        uint64                   `json:"index"` // of the last entry applied
+	Fence        uint64                   `json:"fence"`
+	Members      map[string]*MemberRecord `json:"members"`
+	Rollouts     []*Rollout               `json:"rollouts"` // in the order in which they were started
+	Stop         *Halt                    `json:"stop,omitempty"`
+	Requests     []Request                `json:"requests"` // the last ones, oldest first
+	LostPosition LogPosition              `json:"lost_to"`  // the last place that a member was told of in a log that is gone
+	Terms        []LogPosition            `json:"terms"`    // in which term each entry was written, as runs, oldest first
 
 	names []string // of the members, in order; nil after one has come or gone
 	crew  uint64   // counts those changes
 }
 
-// TermFrom tells from which entry on a term's entries stand in the log.
-type TermFrom struct {
+// LogPosition tells from which entry on a term's entries stand in the log.
+type LogPosition struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
 }
 
 // covers tells whether a place comes no later.
-func (t TermFrom) covers(term, index uint64) bool {
+func (t LogPosition) covers(term, index uint64) bool {
 	return term < t.Term || term == t.Term && index <= t.Index
 }
 
 const mostTerms = 128
 
-// Began tells the term of an entry that is applied, empty ones among them. A place
+// RecordTerm tells the term of an entry that is applied, empty ones among them. A place
 // in the log and its term name one entry for good: by them a log is known that has
 // lost what it had, and has grown again since.
-func (s *State) Began(term, index uint64) {
+func (s *State) RecordTerm(term, index uint64) {
 	if n := len(s.Terms); n == 0 || s.Terms[n-1].Term < term {
-		s.Terms = append(s.Terms, TermFrom{term, index})
+		s.Terms = append(s.Terms, LogPosition{term, index})
 		if n >= mostTerms {
 			s.Terms = slices.Delete(s.Terms, 0, n+1-mostTerms)
 		}
@@ -161,88 +161,88 @@
 }
 
 // NewState is the state of an empty log.
-func NewState() *State { return &State{Members: map[string]*Seat{}} }
+func NewState() *State { return &State{Members: map[string]*MemberRecord{}} }
 
 // Entry is one entry of the log. One of its fields but Request is set.
 type Entry struct {
 	Request string `json:"request,omitempty"` // an operator's, so that it counts once
 	By      string `json:"by,omitempty"`
 
-	Join    *Seat      `json:"join,omitempty"`    // a member is there, or has changed
-	Grant   *GrantTo   `json:"grant,omitempty"`   // a member may go out
-	Stage   *StageOf   `json:"stage,omitempty"`   // how far it is
-	Release *ReleaseOf `json:"release,omitempty"` // it is back and proven, or did not go
-	Adopt   *Adopt     `json:"adopt,omitempty"`   // it holds a grant that the log has forgotten
-	Forget  string     `json:"forget,omitempty"`  // it will not come back
-	Start   *Spec      `json:"start,omitempty"`
-	Advance *WaveOf    `json:"advance,omitempty"` // a wave was judged well
-	HaltOf  *HaltOf    `json:"halt,omitempty"`
-	Resume  *ResumeOf  `json:"resume,omitempty"`
-	Back    string     `json:"back,omitempty"` // a rollout that goes back
-	Undone  string     `json:"undone,omitempty"`
-	Watch   *Watch     `json:"watch,omitempty"`
-	Drain   string     `json:"drain,omitempty"` // a member that an operator wants out
-	Undrain string     `json:"undrain,omitempty"`
+	Join       *MemberRecord `json:"join,omitempty"`    // a member is there, or has changed
+	Grant      *GrantEntry   `json:"grant,omitempty"`   // a member may go out
+	Stage      *StageEntry   `json:"stage,omitempty"`   // how far it is
+	Release    *ReleaseEntry `json:"release,omitempty"` // it is back and proven, or did not go
+	Adopt      *AdoptEntry   `json:"adopt,omitempty"`   // it holds a grant that the log has forgotten
+	Forget     string        `json:"forget,omitempty"`  // it will not come back
+	Start      *Spec         `json:"start,omitempty"`
+	Advance    *AdvanceEntry `json:"advance,omitempty"` // a wave was judged well
+	Halt       *HaltEntry    `json:"halt,omitempty"`
+	Resume     *ResumeEntry  `json:"resume,omitempty"`
+	Rollback   string        `json:"back,omitempty"` // a rollout that goes back
+	RolledBack string        `json:"undone,omitempty"`
+	Watch      *WatchEntry   `json:"watch,omitempty"`
+	Drain      string        `json:"drain,omitempty"` // a member that an operator wants out
+	Undrain    string        `json:"undrain,omitempty"`
 }
 
 // The parts of entries.
 type (
-	// GrantTo gives a member a grant.
-	GrantTo struct {
+	// GrantEntry gives a member a grant.
+	GrantEntry struct {
 		Member  string `json:"member"`
 		Kind    Kind   `json:"kind"`
 		Version string `json:"version,omitempty"`
 		Rollout string `json:"rollout,omitempty"`
 	}
-	// StageOf tells how far a grant's member is.
-	StageOf struct {
+	// StageEntry tells how far a grant's member is.
+	StageEntry struct {
 		Member string `json:"member"`
 		Fence  uint64 `json:"fence"`
 		Stage  Stage  `json:"stage"`
 		Failed string `json:"failed,omitempty"`
 	}
-	// ReleaseOf gives a grant back.
-	ReleaseOf struct {
+	// ReleaseEntry gives a grant back.
+	ReleaseEntry struct {
 		Member  string `json:"member"`
 		Fence   uint64 `json:"fence"`
 		Version string `json:"version"`
 		Failed  string `json:"failed,omitempty"`
 	}
-	// Adopt takes a grant into the log that its member holds.
-	Adopt struct {
-		Member string `json:"member"`
-		Grant  Grant  `json:"grant"`
-		Told   uint64 `json:"told"` // place and term of the last entry that it was told of
-		Term   uint64 `json:"term"`
+	// AdoptEntry takes a grant into the log that its member holds.
+	AdoptEntry struct {
+		Member        string `json:"member"`
+		Grant         Grant  `json:"grant"`
+		NotifiedIndex uint64 `json:"told"` // place and term of the last entry that it was told of
+		Term          uint64 `json:"term"`
 	}
-	// WaveOf is a wave of a rollout.
-	WaveOf struct {
+	// AdvanceEntry is a wave of a rollout.
+	AdvanceEntry struct {
 		Rollout string `json:"rollout"`
 		Wave    int    `json:"wave"`
 	}
-	// HaltOf halts a rollout, or with no name all that is granted.
-	HaltOf struct {
+	// HaltEntry halts a rollout, or with no name all that is granted.
+	HaltEntry struct {
 		Rollout string `json:"rollout"`
 		Kind    string `json:"kind"`
 		Text    string `json:"text"`
 		Remedy  string `json:"remedy"`
 	}
-	// ResumeOf lifts one halt.
-	ResumeOf struct {
+	// ResumeEntry lifts one halt.
+	ResumeEntry struct {
 		Rollout string `json:"rollout"`
 		Number  uint64 `json:"number"` // 0 for whichever it is
 	}
-	// Watch tells that a rollout was watched for so long.
-	Watch struct {
+	// WatchEntry tells that a rollout was watched for so long.
+	WatchEntry struct {
 		Rollout string        `json:"rollout"`
-		For     time.Duration `json:"for"`
+		Elapsed time.Duration `json:"for"`
 	}
 )
 
-// HaltFor makes the entry that halts a rollout for a fault.
-func HaltFor(rollout string, f Fault) *HaltOf {
+// NewHaltEntry makes the entry that halts a rollout for a fault.
+func NewHaltEntry(rollout string, f Fault) *HaltEntry {
 	t := ToRemoteError(f)
-	return &HaltOf{rollout, t.Kind, t.Text, t.Advice}
+	return &HaltEntry{rollout, t.Kind, t.Text, t.Advice}
 }
 
 // Rollout finds a rollout by name; nil if there is none.
@@ -255,8 +255,8 @@
 	return nil
 }
 
-// Names lists the members in order of their names.
-func (s *State) Names() []string {
+// MemberNames lists the members in order of their names.
+func (s *State) MemberNames() []string {
 	if s.names == nil {
 		s.names = slices.Sorted(maps.Keys(s.Members))
 	}
@@ -269,10 +269,10 @@
 	s.crew++
 }
 
-// List lists the members in order of their names.
-func (s *State) List() []Member {
+// MemberList lists the members in order of their names.
+func (s *State) MemberList() []Member {
 	list := make([]Member, 0, len(s.Members))
-	for _, name := range s.Names() {
+	for _, name := range s.MemberNames() {
 		list = append(list, s.Members[name].Member)
 	}
 	return list
@@ -285,15 +285,15 @@
 
 // target is the version that a rollout wants a member to have; "" for none.
 func (r *Rollout) target(name string) string {
-	if r.Phase == Back || r.Phase == Undone {
+	if r.Phase == RollingBack || r.Phase == RolledBack {
 		return r.Prior[name]
 	}
 	return r.Version
 }
 
-// Moving tells whether the rollout may send members out now.
-func (s *State) Moving(r *Rollout) bool {
-	return s.Stop == nil && r != nil && r.Halt == nil && (r.Phase == Going || r.Phase == Back)
+// Active tells whether the rollout may send members out now.
+func (s *State) Active(r *Rollout) bool {
+	return s.Stop == nil && r != nil && r.Halt == nil && (r.Phase == InProgress || r.Phase == RollingBack)
 }
 
 // Apply applies one entry with its place in the log. The error is why it changed
@@ -348,23 +348,23 @@
 		return s.start(*e.Start)
 	case e.Advance != nil:
 		return s.advance(*e.Advance)
-	case e.HaltOf != nil:
-		return s.halt(index, *e.HaltOf)
+	case e.Halt != nil:
+		return s.halt(index, *e.Halt)
 	case e.Resume != nil:
 		return s.resume(*e.Resume)
-	case e.Back != "":
-		return s.back(e.Back)
-	case e.Undone != "":
-		r := s.Rollout(e.Undone)
-		if !s.Moving(r) || r.Phase != Back {
+	case e.Rollback != "":
+		return s.back(e.Rollback)
+	case e.RolledBack != "":
+		r := s.Rollout(e.RolledBack)
+		if !s.Active(r) || r.Phase != RollingBack {
 			return &StaleOrder{"the rollout is not going back"}
 		}
-		r.Phase = Undone
+		r.Phase = RolledBack
 		s.trim()
 	case e.Watch != nil:
-		if r := s.Rollout(e.Watch.Rollout); s.Moving(r) {
-			r.Idle += e.Watch.For
-			r.Watched += e.Watch.For
+		if r := s.Rollout(e.Watch.Rollout); s.Active(r) {
+			r.Idle += e.Watch.Elapsed
+			r.Watched += e.Watch.Elapsed
 		}
 	case e.Drain != "":
 		if s.Members[e.Drain] == nil {
@@ -380,16 +380,16 @@
 	return nil
 }
 
-func (s *State) join(j Seat) error {
+func (s *State) join(j MemberRecord) error {
 	if err := j.Member.check(); err != nil {
 		return err
 	}
 	seat := s.Members[j.Name]
 	if seat == nil {
-		if len(s.Members) >= MostMembers {
-			return &Full{"members", MostMembers}
+		if len(s.Members) >= MaxMembers {
+			return &Full{"members", MaxMembers}
 		}
-		seat = &Seat{}
+		seat = &MemberRecord{}
 		s.Members[j.Name] = seat
 	}
 	if seat.Member != j.Member {
@@ -399,7 +399,7 @@
 	return nil
 }
 
-func (s *State) grant(g GrantTo) error {
+func (s *State) grant(g GrantEntry) error {
 	seat := s.Members[g.Member]
 	switch {
 	case seat == nil:
@@ -414,10 +414,10 @@
 	if g.Kind == Release {
 		// A halt, or a turn back, that came into the log before the grant goes before it.
 		r := s.Rollout(g.Rollout)
-		if !s.Moving(r) || r.target(g.Member) != g.Version {
+		if !s.Active(r) || r.target(g.Member) != g.Version {
 			return &StaleOrder{"the rollout has been halted, has ended or has turned"}
 		}
-		if r.Phase == Going {
+		if r.Phase == InProgress {
 			if _, touched := r.Prior[g.Member]; !touched {
 				r.Prior[g.Member] = seat.Version
 			}
@@ -429,7 +429,7 @@
 	return nil
 }
 
-func (s *State) release(e ReleaseOf) error {
+func (s *State) release(e ReleaseEntry) error {
 	seat := s.Members[e.Member]
 	if seat == nil || seat.Grant == nil || seat.Grant.Fence != e.Fence {
 		return &StaleOrder{"the grant is another one by now"}
@@ -443,21 +443,21 @@
 
 // adopt takes in what a member holds and the log has forgotten: what is out stays
 // counted, and nothing is granted until an operator has looked.
-func (s *State) adopt(index uint64, a Adopt) error {
+func (s *State) adopt(index uint64, a AdoptEntry) error {
 	seat := s.Members[a.Member]
 	if seat == nil {
 		return &Unknown{"member", a.Member}
 	}
 	s.Fence = max(s.Fence, a.Grant.Fence)
-	if !s.LostTo.covers(a.Term, a.Told) {
-		s.LostTo = TermFrom{a.Term, a.Told}
+	if !s.LostPosition.covers(a.Term, a.NotifiedIndex) {
+		s.LostPosition = LogPosition{a.Term, a.NotifiedIndex}
 	}
 	if a.Grant.Fence > 0 && (seat.Grant == nil || seat.Grant.Fence < a.Grant.Fence) {
 		g := a.Grant
 		seat.Grant = &g
 	}
 	if s.Stop == nil {
-		h := HaltFor("", &LogWentBack{Member: a.Member, Told: a.Told, Have: index})
+		h := NewHaltEntry("", &LogWentBack{Member: a.Member, NotifiedIndex: a.NotifiedIndex, LogIndex: index})
 		s.Stop = &Halt{index, h.Kind, h.Text, h.Remedy}
 	}
 	return nil
@@ -470,7 +470,7 @@
 	if s.Rollout(spec.ID) != nil {
 		return &BadRequest{fmt.Sprintf("there is a rollout %s already", spec.ID)}
 	}
-	r := &Rollout{Spec: spec, Phase: Going, Prior: map[string]string{}}
+	r := &Rollout{Spec: spec, Phase: InProgress, Prior: map[string]string{}}
 	open := 0
 	for _, other := range s.Rollouts {
 		if other.Phase.Ended() {
@@ -489,7 +489,7 @@
 		switch {
 		case before == nil:
 			return &Unknown{"rollout", r.After}
-		case before.Phase == Undone:
+		case before.Phase == RolledBack:
 			return &EndedAlready{before.ID, string(before.Phase)}
 		case before.Phase != Done:
 			r.Phase = Waiting
@@ -518,9 +518,9 @@
 	return len(a) == 0 || len(b) == 0 || slices.ContainsFunc(a, func(z string) bool { return slices.Contains(b, z) })
 }
 
-func (s *State) advance(w WaveOf) error {
+func (s *State) advance(w AdvanceEntry) error {
 	r := s.Rollout(w.Rollout)
-	if !s.Moving(r) || r.Phase != Going || r.Wave != w.Wave {
+	if !s.Active(r) || r.Phase != InProgress || r.Wave != w.Wave {
 		return &StaleOrder{"the wave is another one by now"}
 	}
 	r.Idle = 0
@@ -530,7 +530,7 @@
 	r.Phase = Done
 	for _, next := range s.Rollouts {
 		if next.Phase == Waiting && next.After == r.ID {
-			next.Phase = Going
+			next.Phase = InProgress
 		}
 	}
 	s.trim()
@@ -554,7 +554,7 @@
 	})
 }
 
-func (s *State) halt(index uint64, h HaltOf) error {
+func (s *State) halt(index uint64, h HaltEntry) error {
 	halt := &Halt{index, h.Kind, h.Text, h.Remedy}
 	if h.Rollout == "" {
 		s.Stop = halt
@@ -571,7 +571,7 @@
 	return nil
 }
 
-func (s *State) resume(e ResumeOf) error {
+func (s *State) resume(e ResumeEntry) error {
 	at := &s.Stop
 	if e.Rollout != "" {
 		r := s.Rollout(e.Rollout)
@@ -602,9 +602,9 @@
 		return &Unknown{"rollout", id}
 	}
 	switch {
-	case r.Phase == Undone:
+	case r.Phase == RolledBack:
 		return &EndedAlready{r.ID, string(r.Phase)}
-	case r.Phase == Back:
+	case r.Phase == RollingBack:
 		return nil
 	}
 	for _, other := range s.Rollouts {
@@ -613,7 +613,7 @@
 		}
 	}
 	// Those that are out come back with what they had: the same grant, another version.
-	r.Phase, r.Halt, r.Idle = Back, nil, 0
+	r.Phase, r.Halt, r.Idle = RollingBack, nil, 0
 	for name, seat := range s.Members {
 		if g := seat.Grant; g != nil && g.Rollout == id && g.Kind == Release {
 			g.Version = r.Prior[name]
@@ -648,24 +648,24 @@
 		return bad("a rollout has 1 to 50 waves")
 	case len(s.Zones) > 100:
 		return bad("a rollout names up to 100 zones")
-	case s.Waves[len(s.Waves)-1] != All:
+	case s.Waves[len(s.Waves)-1] != AllMembers:
 		return bad("the last wave is %q", "100%")
 	}
 	for _, w := range s.Waves[:len(s.Waves)-1] {
-		if !(w > 0) || w > MostMembers {
+		if !(w > 0) || w > MaxMembers {
 			return bad("a wave is a number of members or a share of them above 0")
 		}
 	}
 	return s.Gate.check()
 }
 
-// All is the wave that holds every member. A wave of 1 means one member.
-const All = -1.0
+// AllMembers is the wave that holds every member. A wave of 1 means one member.
+const AllMembers = -1.0
 
 // size is how many of n members a wave holds.
 func size(wave float64, n int) int {
 	switch {
-	case wave == All:
+	case wave == AllMembers:
 		return n
 	case wave < 1:
 		return min(n, max(1, int(wave*float64(n)+0.5)))
@@ -679,13 +679,13 @@
 	switch {
 	case e.Request == "" || len(e.Request) > mostName || e.By == "" || len(e.By) > mostName:
 		return &BadRequest{fmt.Sprintf("an order has a request and a by of 1 to %d characters", mostName)}
-	case e.Join != nil || e.Grant != nil || e.Stage != nil || e.Release != nil || e.Adopt != nil || e.Advance != nil || e.Undone != "" || e.Watch != nil:
+	case e.Join != nil || e.Grant != nil || e.Stage != nil || e.Release != nil || e.Adopt != nil || e.Advance != nil || e.RolledBack != "" || e.Watch != nil:
 		return &BadRequest{"only coordinators write such entries"}
-	case e.HaltOf != nil && (len(e.HaltOf.Text) > 1000 || len(e.HaltOf.Remedy) > 1000 || len(e.HaltOf.Kind) > mostName):
+	case e.Halt != nil && (len(e.Halt.Text) > 1000 || len(e.Halt.Remedy) > 1000 || len(e.Halt.Kind) > mostName):
 		return &BadRequest{"a halt's words have up to 1000 characters"}
 	}
 	n := 0
-	for _, is := range []bool{e.Forget != "", e.Start != nil, e.HaltOf != nil, e.Resume != nil, e.Back != "", e.Drain != "", e.Undrain != ""} {
+	for _, is := range []bool{e.Forget != "", e.Start != nil, e.Halt != nil, e.Resume != nil, e.Rollback != "", e.Drain != "", e.Undrain != ""} {
 		if is {
 			n++
 		}
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -20,25 +20,25 @@
 	}
 	switch rapid.IntRange(0, 12).Draw(t, "kind") {
 	case 0, 1:
-		e.Join = &Seat{Member: Member{Name: member, Role: "ingress", Zone: "z", Weight: 1}, Version: rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "v")}
+		e.Join = &MemberRecord{Member: Member{Name: member, Role: "ingress", Zone: "z", Weight: 1}, Version: rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "v")}
 	case 2, 3:
-		e.Grant = &GrantTo{member, rapid.SampledFrom([]Kind{Release, Drain}).Draw(t, "k"), rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "v"), id}
+		e.Grant = &GrantEntry{member, rapid.SampledFrom([]Kind{Release, Drain}).Draw(t, "k"), rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "v"), id}
 	case 4:
-		e.Stage = &StageOf{member, fence, Out, ""}
+		e.Stage = &StageEntry{member, fence, Out, ""}
 	case 5:
-		e.Release = &ReleaseOf{member, fence, "v2", ""}
+		e.Release = &ReleaseEntry{member, fence, "v2", ""}
 	case 6:
-		e.Adopt = &Adopt{member, Grant{Fence: fence, Kind: Release, Stage: Out}, 9, 1}
+		e.Adopt = &AdoptEntry{member, Grant{Fence: fence, Kind: Release, Stage: Out}, 9, 1}
 	case 7:
 		e.Forget = member
 	case 8:
-		e.Start = &Spec{ID: id, Role: "ingress", Version: "v2", Waves: []float64{1, All}, Gate: DefaultGate()}
+		e.Start = &Spec{ID: id, Role: "ingress", Version: "v2", Waves: []float64{1, AllMembers}, Gate: DefaultGate()}
 	case 9:
-		e.HaltOf = HaltFor(rapid.SampledFrom([]string{"", id}).Draw(t, "which"), &HaltedByOperator{"op", "why"})
+		e.Halt = NewHaltEntry(rapid.SampledFrom([]string{"", id}).Draw(t, "which"), &HaltedByOperator{"op", "why"})
 	case 10:
-		e.Resume = &ResumeOf{rapid.SampledFrom([]string{"", id}).Draw(t, "which"), uint64(rapid.IntRange(0, 30).Draw(t, "number"))}
+		e.Resume = &ResumeEntry{rapid.SampledFrom([]string{"", id}).Draw(t, "which"), uint64(rapid.IntRange(0, 30).Draw(t, "number"))}
 	case 11:
-		e.Back = id
+		e.Rollback = id
 	case 12:
 		e.Drain = member
 	}
@@ -97,7 +97,7 @@
 	s := NewState()
 	index := uint64(0)
 	apply := func(e Entry) error { index++; return s.Apply(index, e) }
-	spec := Spec{ID: "r1", Role: "ingress", Version: "v2", Waves: []float64{All}, Gate: DefaultGate()}
+	spec := Spec{ID: "r1", Role: "ingress", Version: "v2", Waves: []float64{AllMembers}, Gate: DefaultGate()}
 	for range 2 {
 		if err := apply(Entry{Request: "a", Start: &spec}); err != nil {
 			t.Fatal(err)
@@ -110,17 +110,17 @@
 		t.Fatalf("%d rollouts", len(s.Rollouts))
 	}
 	halt := func() uint64 {
-		if err := apply(Entry{HaltOf: HaltFor("r1", &HaltedByOperator{"op", "look"})}); err != nil {
+		if err := apply(Entry{Halt: NewHaltEntry("r1", &HaltedByOperator{"op", "look"})}); err != nil {
 			t.Fatal(err)
 		}
 		return s.Rollout("r1").Halt.Number
 	}
 	seen := halt()
 	later := halt()
-	if err := apply(Entry{Resume: &ResumeOf{"r1", seen}}); err == nil || s.Rollout("r1").Halt == nil {
+	if err := apply(Entry{Resume: &ResumeEntry{"r1", seen}}); err == nil || s.Rollout("r1").Halt == nil {
 		t.Fatal("a halt is lifted by one who has seen an earlier one")
 	}
-	if err := apply(Entry{Resume: &ResumeOf{"r1", later}}); err != nil || s.Rollout("r1").Halt != nil {
+	if err := apply(Entry{Resume: &ResumeEntry{"r1", later}}); err != nil || s.Rollout("r1").Halt != nil {
 		t.Fatal("a halt is not lifted:", err)
 	}
 }
@@ -129,10 +129,10 @@
 func TestWayBackTurnsThoseThatAreOut(t *testing.T) {
 	s := NewState()
 	for i, e := range []Entry{
-		{Join: &Seat{Member: Member{Name: "a", Role: "ingress", Weight: 1}, Version: "v1"}},
-		{Start: &Spec{ID: "r1", Role: "ingress", Version: "v2", Waves: []float64{All}, Gate: DefaultGate()}},
-		{Grant: &GrantTo{"a", Release, "v2", "r1"}},
-		{Back: "r1"},
+		{Join: &MemberRecord{Member: Member{Name: "a", Role: "ingress", Weight: 1}, Version: "v1"}},
+		{Start: &Spec{ID: "r1", Role: "ingress", Version: "v2", Waves: []float64{AllMembers}, Gate: DefaultGate()}},
+		{Grant: &GrantEntry{"a", Release, "v2", "r1"}},
+		{Rollback: "r1"},
 	} {
 		if err := s.Apply(uint64(i+1), e); err != nil {
 			t.Fatal(err)
@@ -142,10 +142,10 @@
 		t.Fatalf("the grant is %+v", g)
 	}
 	// A grant that was on its way when the rollout turned is void.
-	if err := s.Apply(5, Entry{Release: &ReleaseOf{"a", 1, "v1", ""}}); err != nil {
+	if err := s.Apply(5, Entry{Release: &ReleaseEntry{"a", 1, "v1", ""}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Apply(6, Entry{Grant: &GrantTo{"a", Release, "v2", "r1"}}); err == nil {
+	if err := s.Apply(6, Entry{Grant: &GrantEntry{"a", Release, "v2", "r1"}}); err == nil {
 		t.Fatal("a grant to go on is given to a rollout that goes back")
 	}
 }
@@ -162,12 +162,12 @@
 		m    Member
 		fits bool
 	}{
-		{Budget{Name: "x", Most: 3}, members[1], true},
-		{Budget{Name: "x", Most: 2}, members[1], false},
-		{Budget{Name: "x", Most: 2, Each: "zone"}, members[1], true},
-		{Budget{Name: "x", Most: 2, Each: "zone"}, members[4], false},
-		{Budget{Name: "x", Most: 2, Zone: "z1"}, members[4], true},
-		{Budget{Name: "x", Most: 1, Role: "backend"}, members[4], true},
+		{Budget{Name: "x", MaxOut: 3}, members[1], true},
+		{Budget{Name: "x", MaxOut: 2}, members[1], false},
+		{Budget{Name: "x", MaxOut: 2, GroupBy: "zone"}, members[1], true},
+		{Budget{Name: "x", MaxOut: 2, GroupBy: "zone"}, members[4], false},
+		{Budget{Name: "x", MaxOut: 2, Zone: "z1"}, members[4], true},
+		{Budget{Name: "x", MaxOut: 1, Role: "backend"}, members[4], true},
 		{Budget{Name: "x", Share: 0.11}, members[1], true},  // 1+3+2 of 55
 		{Budget{Name: "x", Share: 0.10}, members[1], false}, // 5.5 allowed
 	} {
@@ -184,8 +184,8 @@
 		t.Fatal(err)
 	}
 	for _, spoil := range []func(*Timing){
-		func(t *Timing) { t.Fresh = 2 * t.Report }, func(t *Timing) { t.Learn = t.Report }, func(t *Timing) { t.Begin = t.Fresh + 1 },
-		func(t *Timing) { t.Report = 0 }, func(t *Timing) { t.Begin = time.Millisecond },
+		func(t *Timing) { t.MaxStaleness = 2 * t.ReportInterval }, func(t *Timing) { t.LearnPeriod = t.ReportInterval }, func(t *Timing) { t.BeginTimeout = t.MaxStaleness + 1 },
+		func(t *Timing) { t.ReportInterval = 0 }, func(t *Timing) { t.BeginTimeout = time.Millisecond },
 	} {
 		bad := good
 		spoil(&bad)
