--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -13,20 +13,20 @@
 
 // slot is the place of one answer in the order of its connection.
 type slot struct {
-	client  *client
-	request *request // nil for what needs no backend
-	data    []byte   // the answer as it is written, or the value alone
-	next    *slot
-	body    body   // in place of data: a value passed on as it comes, until that has ended
-	held    []byte // what has come of the body, where all of it is waited for
-	filled  bool
-	begun   bool // the head of the body has been written
-	value   bool // data is a value, to be written as a bulk string
+	client      *client
+	request     *request // nil for what needs no backend
+	data        []byte   // the answer as it is written, or the value alone
+	next        *slot
+	stream      valueStream // in place of data: a value passed on as it comes, until that has ended
+	buffered    []byte      // what has come of the body, where all of it is waited for
+	filled      bool
+	headWritten bool // the head of the body has been written
+	bulk        bool // data is a value, to be written as a bulk string
 }
 
 // size is how many bytes the answer has as it is written.
 func (s *slot) size() int {
-	if !s.value {
+	if !s.bulk {
 		return len(s.data)
 	}
 	n := len("$0\r\n\r\n") + len(s.data)
@@ -38,15 +38,15 @@
 
 // appendTo appends the answer as it is written.
 func (s *slot) appendTo(b []byte) []byte {
-	if s.value {
+	if s.bulk {
 		return redcon.AppendBulk(b, s.data)
 	}
 	return append(b, s.data...)
 }
 
 var (
-	failedLine = []byte("-ERR failed\r\n")
-	knownLine  = []byte("-ERR the request id is in use\r\n")
+	failedReply    = []byte("-ERR failed\r\n")
+	duplicateReply = []byte("-ERR the request id is in use\r\n")
 )
 
 // Disconnected tells whether the client has left.
@@ -55,54 +55,54 @@
 // Answer gives the slot its one answer.
 func (s *slot) Answer(o outcome) {
 	c := s.client
-	if c.net == nil || c.endBy > 0 {
-		if s.body = o.body; s.body != nil {
-			s.abandon()
+	if c.net == nil || c.lingerUntil > 0 {
+		if s.stream = o.stream; s.stream != nil {
+			s.closeStream()
 		}
 		return
 	}
-	if o.body != nil {
-		s.body, s.filled = o.body, true
-		s.body.Notify(c.soil)
+	if o.stream != nil {
+		s.stream, s.filled = o.stream, true
+		s.stream.Notify(c.markDirty)
 		if c.first == s {
-			c.soil()
+			c.markDirty()
 		}
 		return
 	}
 	switch o.kind {
 	case served:
-		s.data, s.value = o.value, true
+		s.data, s.bulk = o.value, true
 	case refused:
 		s.data = append(make([]byte, 0, len("-BUSY 1000\r\n")), "-BUSY"...)
-		if ms := o.after.Milliseconds(); ms > 0 {
+		if ms := o.retryAfter.Milliseconds(); ms > 0 {
 			s.data = strconv.AppendInt(append(s.data, ' '), ms, 10)
 		}
 		s.data = append(s.data, "\r\n"...)
 	case failed:
-		s.data = failedLine
+		s.data = failedReply
 	case duplicate:
-		s.data = knownLine
-		c.wrong++
+		s.data = duplicateReply
+		c.invalidCommands++
 	}
 	s.filled = true
 	n := s.size()
-	c.front.loop.memory.force(n) // until it is written
-	c.owe(n)
+	c.front.loop.memory.reserve(n) // until it is written
+	c.addReplyBytes(n)
 	if c.first == s && c.net != nil {
-		c.soil()
+		c.markDirty()
 	}
 }
 
-// soil notes that there may be something to write.
-func (c *client) soil() {
-	if !c.soiled {
-		c.soiled = true
+// markDirty notes that there may be something to write.
+func (c *client) markDirty() {
+	if !c.flushQueued {
+		c.flushQueued = true
 		c.front.dirty = append(c.front.dirty, c)
 	}
 }
 
-// push appends a slot.
-func (c *client) push(s *slot) {
+// pushSlot appends a slot.
+func (c *client) pushSlot(s *slot) {
 	if c.last != nil {
 		c.last.next = s
 	} else {
@@ -112,9 +112,9 @@
 	c.pending++
 }
 
-// settle writes the answers that are due, in order, and ends the connection if
+// writeReplies writes the answers that are due, in order, and ends the connection if
 // it is to end and nothing is left.
-func (c *client) settle() {
+func (c *client) writeReplies() {
 	if c.net == nil {
 		return
 	}
@@ -123,46 +123,46 @@
 		if !c.write(c.unwritten) {
 			return
 		}
-		c.writeBy = 0
-		f.held -= c.replyBytes
+		c.writeDeadline = 0
+		f.stalledBytes -= c.replyBytes
 		f.unstall(c)
-		c.arm()
+		c.resetTimer()
 	}
 	for c.first != nil && c.first.filled {
-		if c.first.body != nil {
-			if !c.pour() {
+		if c.first.stream != nil {
+			if !c.forwardStream() {
 				return
 			}
 			continue
 		}
-		out := f.out[:0]
-		for s := c.first; s != nil && s.filled && s.body == nil && (len(out) == 0 || len(out)+s.size() <= sharedBuffer); s = c.first {
+		out := f.writeBuffer[:0]
+		for s := c.first; s != nil && s.filled && s.stream == nil && (len(out) == 0 || len(out)+s.size() <= sharedBufferSize); s = c.first {
 			out = s.appendTo(out)
-			c.drop()
+			c.popSlot()
 		}
-		if f.out = out; cap(out) > 2*sharedBuffer {
-			f.out = nil
+		if f.writeBuffer = out; cap(out) > 2*sharedBufferSize {
+			f.writeBuffer = nil
 		}
 		if !c.write(out) {
 			return
 		}
 	}
 	// What has come already is not lost to the end that follows.
-	if c.first == nil && !c.closing && (c.behind || c.readable || f.draining && c.speaks()) {
-		c.pump()
+	if c.first == nil && !c.closing && (c.hasBacklog || c.readable || f.draining && c.hasInput()) {
+		c.processInput()
 		if c.first != nil || c.net == nil {
 			return
 		}
 	}
-	if c.first == nil && (c.closing || f.draining) && c.endBy == 0 && (c.asked || c.closing || c.place.Leaving()) {
+	if c.first == nil && (c.closing || f.draining) && c.lingerUntil == 0 && (c.hasRequested || c.closing || c.place.Leaving()) {
 		if !c.closing {
-			c.why = closedDraining
+			c.reason = closedDraining
 		}
-		c.shut()
+		c.lingeringClose()
 		return
 	}
 	if c.readable || len(c.partial) > 0 {
-		c.pump() // what was not taken while so much was due
+		c.processInput() // what was not taken while so much was due
 		return
 	}
 	c.reportActivity()
@@ -174,26 +174,26 @@
 	f := c.front
 	n, err := c.net.Write(b)
 	c.replyBytes -= n
-	f.loop.memory.give(n)
-	if c.stall != nil {
-		f.held -= n
+	f.loop.memory.release(n)
+	if c.stallEntry != nil {
+		f.stalledBytes -= n
 	}
 	switch {
 	case err == nil:
-	case errors.Is(err, reactor.ErrWait) && c.stall != nil:
+	case errors.Is(err, reactor.ErrWait) && c.stallEntry != nil:
 		c.unwritten = b[n:]
 		if n > 0 { // it does read, if slowly
-			c.writeBy = f.loop.Now() + writeTimeout
-			c.arm()
+			c.writeDeadline = f.loop.Now() + writeTimeout
+			c.resetTimer()
 		}
 		return false
 	case errors.Is(err, reactor.ErrWait):
 		c.unwritten = append([]byte(nil), b[n:]...)
-		c.writeBy = f.loop.Now() + writeTimeout
-		c.stall = f.stalled.PushBack(c)
-		f.held += c.replyBytes
-		c.arm()
-		c.bound()
+		c.writeDeadline = f.loop.Now() + writeTimeout
+		c.stallEntry = f.stalled.PushBack(c)
+		f.stalledBytes += c.replyBytes
+		c.resetTimer()
+		c.enforceReplyLimits()
 		return false
 	default:
 		c.close(closedWriteFailed, err)
@@ -203,24 +203,24 @@
 	return true
 }
 
-// owe takes note of an answer that is due.
-func (c *client) owe(n int) {
+// addReplyBytes takes note of an answer that is due.
+func (c *client) addReplyBytes(n int) {
 	c.replyBytes += n
-	if c.stall != nil {
-		c.front.held += n
-		c.bound()
+	if c.stallEntry != nil {
+		c.front.stalledBytes += n
+		c.enforceReplyLimits()
 	}
 }
 
-// bound closes connections whose clients do not read, where they hold too much:
-// this one by its own bound, and the one that stalls for longest by that of all.
+// enforceReplyLimits closes connections whose clients do not read, where they hold too much:
+// this one by its own enforceReplyLimits, and the one that stalls for longest by that of all.
 // Their answers have failed, and are not kept for ever.
-func (c *client) bound() {
+func (c *client) enforceReplyLimits() {
 	f := c.front
-	if c.replyBytes > mostHeld {
+	if c.replyBytes > maxStalledReplyBytes {
 		c.close(closedUnread, nil)
 	}
-	for int64(f.held) > f.loop.memory.most/heldPart && f.stalled.Len() > 0 {
+	for int64(f.stalledBytes) > f.loop.memory.limit/stalledMemoryDivisor && f.stalled.Len() > 0 {
 		f.stalled.Front().Value.(*client).close(closedUnread, nil)
 	}
 }
--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -8,9 +8,9 @@
 	"wickarch/internal/reactor"
 )
 
-// body is a value too large to be held: it is passed on as it comes. See
+// valueStream is a value too large to be held: it is passed on as it comes. See
 // upstream.Stream for what its methods promise.
-type body interface {
+type valueStream interface {
 	Size() int
 	Read(b []byte) (int, error)
 	Notify(func())
@@ -18,33 +18,33 @@
 }
 
 const (
-	pourChunk = 16 << 10 // bytes of a body read at a time, and so held for a client that reads slowly
-	pourTurn  = 8        // such chunks before the others have their turn
+	streamChunk   = 16 << 10 // bytes of a body read at a time, and so held for a client that reads slowly
+	chunksPerTurn = 8        // such chunks before the others have their turn
 )
 
-// pour passes on what is here of the value whose turn it is. It tells whether
+// forwardStream passes on what is here of the value whose turn it is. It tells whether
 // that is done with, the connection open, and the next answer may follow.
-func (c *client) pour() bool {
+func (c *client) forwardStream() bool {
 	f, s := c.front, c.first
-	if !s.begun && c.holds(s) {
-		return c.gather(s)
+	if !s.headWritten && c.shouldBuffer(s) {
+		return c.bufferStream(s)
 	}
-	for range pourTurn {
-		if cap(f.out) < pourChunk+64 {
-			f.out = make([]byte, 0, pourChunk+64)
+	for range chunksPerTurn {
+		if cap(f.writeBuffer) < streamChunk+64 {
+			f.writeBuffer = make([]byte, 0, streamChunk+64)
 		}
-		b := f.out[:0]
-		if !s.begun {
-			s.begun = true
-			b = append(strconv.AppendInt(append(b, '$'), int64(s.body.Size()), 10), "\r\n"...)
+		b := f.writeBuffer[:0]
+		if !s.headWritten {
+			s.headWritten = true
+			b = append(strconv.AppendInt(append(b, '$'), int64(s.stream.Size()), 10), "\r\n"...)
 		}
-		n, err := s.body.Read(b[len(b) : len(b)+pourChunk])
+		n, err := s.stream.Read(b[len(b) : len(b)+streamChunk])
 		b = b[:len(b)+n]
 		switch {
 		case errors.Is(err, io.EOF):
 			b = append(b, "\r\n"...) // what makes it whole for the client comes with the proof that it is
-			s.ended(true)
-			c.drop()
+			s.endStream(true)
+			c.popSlot()
 		case errors.Is(err, reactor.ErrWait):
 			if len(b) == 0 {
 				return false
@@ -52,46 +52,46 @@
 		case err != nil:
 			// The client can tell by the end of its connection that the value is
 			// not whole. There is no other way to say so within a bulk string.
-			s.ended(false)
-			c.breakOff()
+			s.endStream(false)
+			c.closeAfterBrokenStream()
 			return false
 		}
 		c.replyBytes += len(b)
-		f.loop.memory.force(len(b))
+		f.loop.memory.reserve(len(b))
 		if !c.write(b) {
 			return false
 		}
-		if s.body == nil {
+		if s.stream == nil {
 			return true
 		}
 		if err != nil {
 			return false
 		}
 	}
-	f.later(c)
+	f.queueRead(c)
 	return false
 }
 
-// holds tells whether a value is to be waited for as a whole, in memory taken for it: one that breaks off
+// shouldBuffer tells whether a value is to be waited for as a whole, in memory taken for it: one that breaks off
 // ends its connection, and others wait for their answers behind it there.
-func (c *client) holds(s *slot) bool {
-	if _, whole := s.body.(*heldValue); whole {
+func (c *client) shouldBuffer(s *slot) bool {
+	if _, whole := s.stream.(*bufferedValue); whole {
 		return false
 	}
-	if s.held != nil {
+	if s.buffered != nil {
 		return true
 	}
-	if !s.owesBehind() || !c.front.loop.memory.take(s.body.Size()) {
+	if !s.hasRequestBehind() || !c.front.loop.memory.tryReserve(s.stream.Size()) {
 		return false
 	}
-	s.held = make([]byte, 0, s.body.Size())
-	c.gatherBy = s.request.deadline
-	c.arm()
+	s.buffered = make([]byte, 0, s.stream.Size())
+	c.bufferDeadline = s.request.deadline
+	c.resetTimer()
 	return true
 }
 
-// owesBehind tells whether a request waits for its answer behind this one.
-func (s *slot) owesBehind() bool {
+// hasRequestBehind tells whether a request waits for its answer behind this one.
+func (s *slot) hasRequestBehind() bool {
 	for next := s.next; next != nil; next = next.next {
 		if next.request != nil {
 			return true
@@ -100,47 +100,47 @@
 	return false
 }
 
-// gather reads what is here of a value that is held. It tells whether there is an answer to go on with: the
+// bufferStream reads what is here of a value that is held. It tells whether there is an answer to go on with: the
 // whole value, or that it failed.
-func (c *client) gather(s *slot) bool {
-	for range pourTurn {
-		room := s.held[len(s.held):min(cap(s.held), len(s.held)+pourChunk)]
-		n, err := s.body.Read(room)
-		s.held = s.held[:len(s.held)+n]
+func (c *client) bufferStream(s *slot) bool {
+	for range chunksPerTurn {
+		room := s.buffered[len(s.buffered):min(cap(s.buffered), len(s.buffered)+streamChunk)]
+		n, err := s.stream.Read(room)
+		s.buffered = s.buffered[:len(s.buffered)+n]
 		switch {
 		case errors.Is(err, io.EOF):
-			c.gatherBy = 0
-			s.body = &heldValue{rest: s.held}
+			c.bufferDeadline = 0
+			s.stream = &bufferedValue{rest: s.buffered}
 			return true
 		case errors.Is(err, reactor.ErrWait):
 			return false
 		case err != nil:
-			c.giveUpBody(s)
+			c.failStream(s)
 			return true
 		}
 	}
-	c.front.later(c)
+	c.front.queueRead(c)
 	return false
 }
 
-// giveUpBody answers in place of a value of which nothing has gone to the client that its request has failed.
-func (c *client) giveUpBody(s *slot) {
-	c.gatherBy = 0
-	s.abandon()
-	s.data = failedLine
-	c.front.loop.memory.force(len(s.data)) // until it is written
-	c.owe(len(s.data))
-	c.soil()
+// failStream answers in place of a value of which nothing has gone to the client that its request has failed.
+func (c *client) failStream(s *slot) {
+	c.bufferDeadline = 0
+	s.closeStream()
+	s.data = failedReply
+	c.front.loop.memory.reserve(len(s.data)) // until it is written
+	c.addReplyBytes(len(s.data))
+	c.markDirty()
 }
 
-// heldValue is a body that is here as a whole.
-type heldValue struct{ rest []byte }
+// bufferedValue is a body that is here as a whole.
+type bufferedValue struct{ rest []byte }
 
 // Size is the length of what is left.
-func (h *heldValue) Size() int { return len(h.rest) }
+func (h *bufferedValue) Size() int { return len(h.rest) }
 
 // Read reads the next part.
-func (h *heldValue) Read(b []byte) (int, error) {
+func (h *bufferedValue) Read(b []byte) (int, error) {
 	n := copy(b, h.rest)
 	if h.rest = h.rest[n:]; len(h.rest) == 0 {
 		return n, io.EOF
@@ -149,13 +149,13 @@
 }
 
 // Notify has nothing to tell of.
-func (*heldValue) Notify(func()) {}
+func (*bufferedValue) Notify(func()) {}
 
 // Close gives it up.
-func (*heldValue) Close() {}
+func (*bufferedValue) Close() {}
 
-// drop takes the first answer off the connection's order.
-func (c *client) drop() {
+// popSlot takes the first answer off the connection's order.
+func (c *client) popSlot() {
 	c.first = c.first.next
 	if c.first == nil {
 		c.last = nil
@@ -163,15 +163,15 @@
 	c.pending--
 }
 
-// abandon gives the body up.
-func (s *slot) abandon() {
-	s.body.Close()
-	s.ended(false)
+// closeStream gives the body up.
+func (s *slot) closeStream() {
+	s.stream.Close()
+	s.endStream(false)
 }
 
-// ended notes how the answer's body ended.
-func (s *slot) ended(whole bool) {
-	s.client.front.loop.memory.give(cap(s.held))
-	s.body, s.held = nil, nil
+// endStream notes how the answer's body endStream.
+func (s *slot) endStream(whole bool) {
+	s.client.front.loop.memory.release(cap(s.buffered))
+	s.stream, s.buffered = nil, nil
 	s.client.front.loop.streamEnded(s.request, whole)
 }
--- a/internal/ingress/body_test.go
+++ b/internal/ingress/body_test.go
@@ -11,8 +11,8 @@
 // largeValue is told apart by its number.
 func largeValue(n int) string { return strings.Repeat(fmt.Sprintf("%07d ", n), 1<<18) } // 2 MiB
 
-// body reads a large value, head and end as well.
-func (c *fakeClient) body(want string) {
+// wantLargeValue reads a large value, head and end as well.
+func (c *fakeClient) wantLargeValue(want string) {
 	c.t.Helper()
 	head, err := c.in.ReadString('\n')
 	if err != nil || head != fmt.Sprintf("$%d\r\n", len(want)) {
@@ -52,7 +52,7 @@
 	}
 	r.eventually("all clients are behind", func(l *loop) bool { return r.server.front.stalled.Len() == many })
 	r.ask(func(l *loop) {
-		if most := int64(many * (pourChunk + 64)); l.memory.used > most {
+		if most := int64(many * (streamChunk + 64)); l.memory.used > most {
 			t.Errorf("%d bytes are held for %d values, want %d at most", l.memory.used, many, most)
 		}
 	})
@@ -60,7 +60,7 @@
 		t.Errorf("inflight=%d success=%d on the way, want %d and 0", f["inflight"], f["success.lookup"], many)
 	}
 	for n, c := range clients {
-		c.body(largeValue(n))
+		c.wantLargeValue(largeValue(n))
 	}
 	// Each connection goes on behind it.
 	clients[0].send("PING")
@@ -86,7 +86,7 @@
 	got[0].Answer("first")
 	c.want("$5\r\nfirst")
 	r.ask(func(*loop) { r.server.Drain() })
-	c.body(largeValue(1))
+	c.wantLargeValue(largeValue(1))
 	c.want("$4\r\nlast")
 	c.wantEnd()
 }
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	c.send("Q.DO", anyone, newID(), payment, "BODY")
-	c.body(largeValue(8))
+	c.wantLargeValue(largeValue(8))
 	wait(t, "the last", b.Got).Answer("last")
 	c.want("$4\r\nlast")
 }
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -108,10 +108,10 @@
 	c.write(strings.Repeat(encode("GET", "x"), 1000))
 	for n := 1; ; n++ {
 		got := c.line()
-		if !strings.HasPrefix(got, "-ERR ") || n > mostWrong {
+		if !strings.HasPrefix(got, "-ERR ") || n > maxInvalidCommands {
 			t.Fatalf("answer %d is %q", n, got)
 		}
-		if n == mostWrong {
+		if n == maxInvalidCommands {
 			break
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 func TestIDsAreForgottenAfterTheirTime(t *testing.T) {
-	r := recentIDs{span: 10}
+	r := recentIDs{retention: 10}
 	for _, step := range []struct {
 		at   time.Duration
 		id   uint64
@@ -152,7 +152,7 @@
 			t.Errorf("id %d at %d: new is %v, want %v", step.id, step.at, got, step.want)
 		}
 	}
-	if n := len(r.young) + len(r.older); n > 3 {
+	if n := len(r.current) + len(r.previous); n > 3 {
 		t.Errorf("%d ids are kept", n)
 	}
 	r.remove(3)
@@ -287,7 +287,7 @@
 func TestRequestsPastTheMemoryAreRefused(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
-	r.ask(func(l *loop) { l.memory.most = 3000 })
+	r.ask(func(l *loop) { l.memory.limit = 3000 })
 	c := r.dial()
 	body := strings.Repeat("x", 2000)
 	c.send("Q.DO", anyone, newID(), payment, body)
@@ -328,7 +328,7 @@
 	})
 	got.Answer("last")
 	for ended := false; !ended; {
-		r.clients(func(c *client) { ended = ended || c.endBy > 0 })
+		r.clients(func(c *client) { ended = ended || c.lingerUntil > 0 })
 	}
 	c.send("PING")
 	c.want("$4\r\nlast")
@@ -375,7 +375,7 @@
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
-	const sent = mostPending + 72
+	const sent = maxPending + 72
 	var all strings.Builder
 	for range sent {
 		all.WriteString(encode("Q.ASK", anyone, newID(), lookup))
@@ -383,7 +383,7 @@
 	c.write(all.String())
 	r.eventually("the bound to be reached", func(*loop) (yes bool) {
 		for _, c := range r.server.front.clients {
-			yes = c.pending == mostPending && c.behind
+			yes = c.pending == maxPending && c.hasBacklog
 		}
 		return yes
 	})
@@ -506,7 +506,7 @@
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	for r.clients(nil) > 0 { // that of the rig is gone
 	}
-	const all = 2*partBatch + 10
+	const all = 2*closeBatch + 10
 	for range all {
 		r.dial()
 	}
@@ -518,13 +518,13 @@
 			c.Ready(reactor.Ended) // told twice, it goes once
 		}
 		now := f.loop.Now() + time.Hour
-		for _, want := range []int{all, all - partBatch, all - partBatch} {
+		for _, want := range []int{all, all - closeBatch, all - closeBatch} {
 			if len(f.clients) != want {
 				t.Errorf("%d are open, want %d", len(f.clients), want)
 			}
-			f.closeParting(now)
+			f.closeQueuedClients(now)
 		}
-		f.partAt = 0
+		f.closeBatchAt = 0
 	})
 	r.eventually("the rest to be closed", func(*loop) bool { return len(r.server.front.clients) == 0 })
 }
--- a/internal/ingress/closing.go
+++ b/internal/ingress/closing.go
@@ -8,34 +8,34 @@
 	"wickarch/internal/lifecycle"
 )
 
-// end lets the answers still due be written, and then ends the connection: one
+// closeAfterReplies lets the answers still due be written, and then ends the connection: one
 // that closes under them loses requests. What the client sends meanwhile is not
 // read: at full speed it would cost the others their CPU.
-func (c *client) end(why closeReason) {
-	c.closing, c.why = true, why
-	c.readBy, c.resume = 0, 0
-	c.keep(nil)
-	c.soil()
-	c.arm()
+func (c *client) closeAfterReplies(reason closeReason) {
+	c.closing, c.reason = true, reason
+	c.readDeadline, c.resumeAt = 0, 0
+	c.keepPartial(nil)
+	c.markDirty()
+	c.resetTimer()
 }
 
-// shut ends the connection for the client, and keeps its end for a moment: closed
+// lingeringClose ends the connection for the client, and keeps its end for a moment: closed
 // at once, what comes meanwhile would turn it into a reset that eats answers. None
 // of that is read. A request that crosses the end of its connection unread is sent
 // anew by its client; one that was read would be taken, and lost.
-func (c *client) shut() {
+func (c *client) lingeringClose() {
 	if c.first != nil {
 		c.front.loop.recordViolation(lifecycle.Close(c.pending, false), c.first.request)
 	}
-	c.front.loop.events.closed(c, c.why, nil)
+	c.front.loop.events.closed(c, c.reason, nil)
 	c.net.CloseWrite()
 	c.closing = true
-	c.keep(nil)
-	c.readBy, c.resume = 0, 0
+	c.keepPartial(nil)
+	c.readDeadline, c.resumeAt = 0, 0
 	c.endedAt = c.front.loop.Now()
-	c.endBy = c.endedAt + lingerTime
+	c.lingerUntil = c.endedAt + lingerTimeout
 	c.reportActivity()
-	c.arm()
+	c.resetTimer()
 }
 
 // finish reads what has come, and then no more: the connection ends behind the
@@ -44,35 +44,35 @@
 	if c.net == nil || c.closing {
 		return
 	}
-	c.speaks()
-	c.pump()
-	if c.inputClosed = true; c.net != nil && !c.closing && !c.behind {
-		c.end(closedFinished)
+	c.hasInput()
+	c.processInput()
+	if c.inputClosed = true; c.net != nil && !c.closing && !c.hasBacklog {
+		c.closeAfterReplies(closedFinished)
 	}
 }
 
-// dismiss closes the connection for the admission controller, unless something has come on it
+// closeForAdmission closes the connection for the admission controller, unless something has come on it
 // that was not read yet: the poller tells so many events a round, and a round may
 // be late, so the clock alone would put our delay down to the client. A command
 // that crosses the close counts as not read, and the client sends it elsewhere.
-func (c *client) dismiss() (stays bool) {
-	if c.speaks() {
-		c.front.later(c)
+func (c *client) closeForAdmission() (stays bool) {
+	if c.hasInput() {
+		c.front.queueRead(c)
 		return true
 	}
 	if c.front.draining {
-		c.why = closedDraining
-		c.shut()
+		c.reason = closedDraining
+		c.lingeringClose()
 	} else {
 		c.close(closedIdle, nil)
 	}
 	return false
 }
 
-// arm sets the timer to the first of the connection's deadlines.
-func (c *client) arm() {
+// resetTimer sets the timer to the first of the connection's deadlines.
+func (c *client) resetTimer() {
 	at := time.Duration(0)
-	for _, by := range [...]time.Duration{c.readBy, c.writeBy, c.resume, c.endBy, c.gatherBy} {
+	for _, by := range [...]time.Duration{c.readDeadline, c.writeDeadline, c.resumeAt, c.lingerUntil, c.bufferDeadline} {
 		if by > 0 && (at == 0 || by < at) {
 			at = by
 		}
@@ -95,90 +95,90 @@
 		return true
 	}
 	switch {
-	case over(&c.endBy):
+	case over(&c.lingerUntil):
 		// One that reads slowly has not got its answers yet. What crossed the end lies
 		// unread, and to close on it drops what is still to be sent.
 		if c.net.Unsent() && now-c.endedAt < writeTimeout {
-			c.endBy = now + lingerTime
+			c.lingerUntil = now + lingerTimeout
 			break
 		}
 		c.close(closedEnded, nil)
 		return
-	case over(&c.writeBy):
+	case over(&c.writeDeadline):
 		c.close(closedSlowReader, nil)
 		return
-	case over(&c.gatherBy):
-		if s := c.first; s != nil && s.held != nil {
-			c.giveUpBody(s)
+	case over(&c.bufferDeadline):
+		if s := c.first; s != nil && s.buffered != nil {
+			c.failStream(s)
 		}
-	case over(&c.resume):
-		c.pump()
-	case over(&c.readBy):
+	case over(&c.resumeAt):
+		c.processInput()
+	case over(&c.readDeadline):
 		// What has come by now counts, though a late round has not read it yet.
-		if c.speaks() {
-			c.pump()
+		if c.hasInput() {
+			c.processInput()
 		}
-		if c.net == nil || c.readBy > 0 || !c.timed {
+		if c.net == nil || c.readDeadline > 0 || !c.readTimed {
 			break // it was whole, or has moved the bound
 		}
 		if len(c.partial) > 0 {
-			c.fail(closedHalf, errHalf)
+			c.endWithError(closedHalf, errPartialCommand)
 		} else {
-			c.fail(closedSilent, errSilent)
+			c.endWithError(closedSilent, errNoCommand)
 		}
 		c.reportActivity()
 	}
-	c.arm()
+	c.resetTimer()
 }
 
 // close closes the connection and ends its open requests. err is what the system said,
 // nil where it said nothing.
-func (c *client) close(why closeReason, err error) {
+func (c *client) close(reason closeReason, err error) {
 	f := c.front
 	if c.net == nil {
 		return
 	}
-	if c.endBy == 0 && why != closedEnded { // its end has been told already
-		f.loop.events.closed(c, why, err)
+	if c.lingerUntil == 0 && reason != closedEnded { // its end has been told already
+		f.loop.events.closed(c, reason, err)
 	}
 	c.net.Close()
 	c.net = nil
-	f.leave(c)
+	f.removeClient(c)
 	f.loop.Unset(&c.timer)
 	f.admission.Release(&c.place)
-	open := c.forsake()
+	open := c.dropReplies()
 	if len(open) > 0 {
-		f.loop.recordViolation(lifecycle.Close(len(open), why.frees()), open[0])
+		f.loop.recordViolation(lifecycle.Close(len(open), reason.frees()), open[0])
 	}
-	f.loop.gone(open)
+	f.loop.abandonRequests(open)
 }
 
-// breakOff ends the connection behind what has been written, and its open
+// closeAfterBrokenStream ends the connection behind what has been written, and its open
 // requests. To close it over commands that are not read would be a reset, which
 // takes the answers before with it.
-func (c *client) breakOff() {
-	open := c.forsake()
-	c.why = closedValueBroken
-	c.shut()
-	c.front.loop.gone(open)
+func (c *client) closeAfterBrokenStream() {
+	open := c.dropReplies()
+	c.reason = closedValueBroken
+	c.lingeringClose()
+	c.front.loop.abandonRequests(open)
 }
 
-// forsake drops all answers that are due and returns the requests that are open.
-func (c *client) forsake() (open []*request) {
+// dropReplies drops all answers that are due and returns the requests that are open.
+func (c *client) dropReplies() (open []*request) {
 	f := c.front
-	if c.stall != nil {
+	if c.stallEntry != nil {
 		f.unstall(c)
-		f.held -= c.replyBytes
+		f.stalledBytes -= c.replyBytes
 	}
-	f.loop.memory.give(c.replyBytes)
+	f.loop.memory.release(c.replyBytes)
 	c.replyBytes, c.unwritten = 0, nil
-	c.keep(nil)
+	c.keepPartial(nil)
 	for s := c.first; s != nil; s = s.next {
 		if !s.filled && s.request != nil {
 			open = append(open, s.request)
 		}
-		if s.body != nil {
-			s.abandon()
+		if s.stream != nil {
+			s.closeStream()
 		}
 	}
 	c.first, c.last, c.pending = nil, nil, 0
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -14,7 +14,7 @@
 	"wickarch/internal/resp"
 )
 
-const maxParts = 16 // of a command
+const maxArgs = 16 // of a command
 
 // nextCommand takes the first whole command off buf; n is 0 while it is not
 // whole. The parts lie in buf. What is too long is refused by its length line,
@@ -30,7 +30,7 @@
 	if err != nil || at == 0 {
 		return nil, 0, err
 	}
-	if count < 0 || count > maxParts {
+	if count < 0 || count > maxArgs {
 		return nil, 0, resp.ErrMalformed
 	}
 	args = make([][]byte, 0, count)
@@ -49,15 +49,15 @@
 // backend turns away what it can't use, and a customer's record must not
 // change by what is no request of his.
 type command struct {
-	args             [][]byte // as the client sent them
-	limitAt, limitTo int      // where the value of d stands in the options
-	class, plan      int
-	customer         uint64
-	requestID        uint64 // the client's id, new with every try
-	limit            time.Duration
-	units            float64
-	spread, first    int
-	repeat           bool
+	args                 [][]byte // as the client sent them
+	limitStart, limitEnd int      // where the value of d stands in the options
+	class, plan          int
+	customer             uint64
+	requestID            uint64 // the client's id, new with every try
+	timeLimit            time.Duration
+	units                float64
+	spread, first        int
+	repeat               bool
 }
 
 const (
@@ -107,12 +107,12 @@
 			return nil, err
 		}
 		if is == optLimit {
-			c.limitAt, c.limitTo = at+len("d="), end
+			c.limitStart, c.limitEnd = at+len("d="), end
 		}
 		at = end + 1
 	}
 	switch {
-	case seen&optNeeded != optNeeded:
+	case seen&requiredOptions != requiredOptions:
 		return nil, errors.New("class, plan, time limit, units or set is missing")
 	case ask != (cfg.Choice.Classes[c.class].Effect == choice.Free):
 		return nil, errors.New("the command does not serve this class")
@@ -139,7 +139,7 @@
 		if err == nil && ms < 1 {
 			err = resp.ErrMalformed
 		}
-		c.limit = time.Duration(min(ms, math.MaxInt32) * float64(time.Millisecond))
+		c.timeLimit = time.Duration(min(ms, math.MaxInt32) * float64(time.Millisecond))
 	case optUnits:
 		c.units, err = resp.Decimal(value)
 		if most := cfg.Choice.MaxUnits; err == nil && (c.units <= 0 || most > 0 && c.units > most) {
@@ -172,7 +172,7 @@
 	optFirst
 	optRepeat
 
-	optNeeded = optRepeat - 1
+	requiredOptions = optRepeat - 1
 )
 
 var optionNames = map[string]option{"c": optClass, "t": optPlan, "d": optLimit, "units": optUnits,
@@ -207,11 +207,11 @@
 			var digits [20]byte
 			limit := strconv.AppendInt(digits[:0], max(1, wait.Milliseconds()), 10)
 			b = append(b, '$')
-			b = strconv.AppendInt(b, int64(len(a)-(c.limitTo-c.limitAt)+len(limit)), 10)
+			b = strconv.AppendInt(b, int64(len(a)-(c.limitEnd-c.limitStart)+len(limit)), 10)
 			b = append(b, "\r\n"...)
-			b = append(b, a[:c.limitAt]...)
+			b = append(b, a[:c.limitStart]...)
 			b = append(b, limit...)
-			b = append(b, a[c.limitTo:]...)
+			b = append(b, a[c.limitEnd:]...)
 			b = append(b, "\r\n"...)
 			continue
 		}
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -26,7 +26,7 @@
 }
 
 // The ways in which a client leaves.
-var leaving = map[string]func(net.Conn){
+var departures = map[string]func(net.Conn){
 	"end":   func(nc net.Conn) { nc.Close() },
 	"reset": func(nc net.Conn) { _ = nc.(*net.TCPConn).SetLinger(0); nc.Close() },
 }
@@ -42,10 +42,10 @@
 	}{
 		"connecting":   {standin.Connecting, "", 1},
 		"queued":       {standin.Connecting, encode("Q.DO", anyone, newID(), payment, "BODY"), 2},
-		"not read":     {standin.Connecting, strings.Repeat(encode("PING"), 2*mostPending), mostPending},
+		"not read":     {standin.Connecting, strings.Repeat(encode("PING"), 2*maxPending), maxPending},
 		"half written": {standin.HalfRead, "", 1},
 	} {
-		for way, leave := range leaving {
+		for way, leave := range departures {
 			for _, cancelling := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s, %s, cancelling %v", state, way, cancelling), func(t *testing.T) {
 					b := stoppedBackend(t, s.at)
@@ -253,12 +253,12 @@
 	got.Answer(value)
 	r.eventually("the end of the connection", func(*loop) bool {
 		clients := r.server.front.clients
-		return len(clients) == 1 && clients[0].endBy > 0
+		return len(clients) == 1 && clients[0].lingerUntil > 0
 	})
 	c.send("Q.DO", anyone, newID(), payment, "BODY") // crosses the end
 	r.eventually("the time for it to be over", func(*loop) bool {
 		clients := r.server.front.clients
-		return len(clients) == 0 || clients[0].endBy > clients[0].endedAt+lingerTime
+		return len(clients) == 0 || clients[0].lingerUntil > clients[0].endedAt+lingerTimeout
 	})
 	c.want(fmt.Sprintf("$%d\r\n%s", len(value), value))
 	idle(t, "the request that crossed the end", b.Got)
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	acceptRetry  = 5 * time.Millisecond
-	growAfter    = time.Second // without a failed accept, for one place back
-	acceptBatch  = 64          // connections taken before the others have their turn
-	partBatch    = 64          // connections closed that their clients have ended, likewise
-	pacePause    = time.Millisecond
-	readBatch    = 4 // reads from one connection before the others have theirs
-	sharedBuffer = 64 << 10
+	acceptRetryDelay = 5 * time.Millisecond
+	growInterval     = time.Second // without a failed accept, for one place back
+	acceptBatch      = 64          // connections taken before the others have their turn
+	closeBatch       = 64          // connections closed that their clients have ended, likewise
+	batchInterval    = time.Millisecond
+	readBatch        = 4 // reads from one connection before the others have theirs
+	sharedBufferSize = 64 << 10
 )
 
 // front holds the listener and the clients' connections. Connections at rest
 // have no goroutine, no buffer and no timer.
 type front struct {
-	cfg       *Config
-	loop      *loop
-	ln        reactor.Listener // nil once no further connection is taken
-	admission *admission.Controller[*client]
-	clients   []*client // in no order
-	buf       []byte    // read into by every connection in turn
-	out       []byte    // written from by every connection in turn
-	parting   []*client // at rest, and ended by their clients; closed in batches
-	again     []*client // have more to read than their turn allows
-	dirty     []*client // may have answers to write
-	unwatched []*client // accepted, and the poller could not take them yet
-	stalled   list.List // of *client: wait for their clients to read on, the longest first
-	held      int       // bytes of answers that these are due
-	accepted  uint64    // connections so far
-
-	acceptable bool          // the listener may have more
-	retryAt    time.Duration // accept failed, or had its batch: not before then; 0 when not
-	growAt     time.Duration // a place is given back then; 0 when it has them all
-	short      shortage
-	partAt     time.Duration // the next batch of those parting comes no sooner
-	lastLook   bool          // the listener closes once nothing waits in its queue
-	draining   bool
-	finished   bool          // takes no request but those that have come
-	onHold     bool          // another process of this ingress takes the clients still
-	empty      chan struct{} // closed when no further connection is taken and none is left
+	cfg          *Config
+	loop         *loop
+	ln           reactor.Listener // nil once no further connection is taken
+	admission    *admission.Controller[*client]
+	clients      []*client // in no order
+	readBuffer   []byte    // read into by every connection in turn
+	writeBuffer  []byte    // written from by every connection in turn
+	closeQueue   []*client // at rest, and ended by their clients; closed in batches
+	readQueue    []*client // have more to read than their turn allows
+	dirty        []*client // may have answers to write
+	unwatched    []*client // accepted, and the poller could not take them yet
+	stalled      list.List // of *client: wait for their clients to read on, the longest first
+	stalledBytes int       // bytes of answers that these are due
+	accepted     uint64    // connections so far
+
+	acceptReady     bool          // the listener may have more
+	acceptRetryAt   time.Duration // accept failed, or had its batch: not before then; 0 when not
+	growAt          time.Duration // a place is given back then; 0 when it has them all
+	fdShortage      shortage
+	closeBatchAt    time.Duration // the next batch of those parting comes no sooner
+	emptyingBacklog bool          // the listener closes once nothing waits in its queue
+	draining        bool
+	finished        bool          // takes no request but those that have come
+	onHold          bool          // another process of this ingress takes the clients still
+	empty           chan struct{} // closed when no further connection is taken and none is left
 }
 
 // newFront makes a front and opens its address.
@@ -61,8 +61,8 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &front{cfg: cfg, loop: l, admission: d, buf: make([]byte, sharedBuffer), empty: make(chan struct{}),
-		short: shortage{half: cfg.Limits.Sockets / 2}}
+	f := &front{cfg: cfg, loop: l, admission: d, readBuffer: make([]byte, sharedBufferSize), empty: make(chan struct{}),
+		fdShortage: shortage{halfLimit: cfg.Limits.Sockets / 2}}
 	address := cfg.Listen
 	if cfg.Passed != "" {
 		address = cfg.Passed
@@ -76,18 +76,18 @@
 
 // Round does what has gathered in one round.
 func (f *front) Round() {
-	again := f.again
-	f.again = nil
+	again := f.readQueue
+	f.readQueue = nil
 	for _, c := range again {
-		c.queued = false
-		c.pump()
-		if c.first != nil && c.first.body != nil {
-			c.soil() // the rest of what its turn did not allow
+		c.readQueued = false
+		c.processInput()
+		if c.first != nil && c.first.stream != nil {
+			c.markDirty() // the rest of what its turn did not allow
 		}
 	}
 	if f.loop.starved {
 		f.loop.starved = false
-		f.missedOne(f.loop.Now())
+		f.noteShortage(f.loop.Now())
 	}
 	f.admitAndClose()
 	f.flush()
@@ -99,8 +99,8 @@
 
 // Next tells when there is something to do though nothing happens.
 func (f *front) Next() (at time.Duration, any bool) {
-	takes := f.acceptable && f.ln != nil && !f.onHold && !f.lastLook
-	if len(f.again) > 0 || len(f.dirty) > 0 || takes && f.retryAt == 0 && f.admission.HasRoom() {
+	takes := f.acceptReady && f.ln != nil && !f.onHold && !f.emptyingBacklog
+	if len(f.readQueue) > 0 || len(f.dirty) > 0 || takes && f.acceptRetryAt == 0 && f.admission.HasRoom() {
 		return 0, true
 	}
 	earlier := func(t time.Duration, ok bool) {
@@ -108,24 +108,24 @@
 			at, any = t, true
 		}
 	}
-	earlier(f.admission.NextDue(f.waiting()))
-	earlier(f.retryAt, f.retryAt > 0)
+	earlier(f.admission.NextDue(f.acceptBlocked()))
+	earlier(f.acceptRetryAt, f.acceptRetryAt > 0)
 	earlier(f.growAt, f.growAt > 0)
-	earlier(f.short.trialAt, takes && f.admission.Shrunk())
-	earlier(f.partAt, len(f.parting) > 0)
+	earlier(f.fdShortage.trialAt, takes && f.admission.Shrunk())
+	earlier(f.closeBatchAt, len(f.closeQueue) > 0)
 	return at, any
 }
 
-// waiting tells that a connection waits in the listener's queue and finds no room.
-func (f *front) waiting() bool {
-	return f.acceptable && f.ln != nil && !f.onHold && !f.admission.HasRoom()
+// acceptBlocked tells that a connection waits in the listener's queue and finds no room.
+func (f *front) acceptBlocked() bool {
+	return f.acceptReady && f.ln != nil && !f.onHold && !f.admission.HasRoom()
 }
 
 // acceptor is told of the listener.
 type acceptor front
 
 // Ready notes that connections wait.
-func (a *acceptor) Ready(reactor.Event) { a.acceptable = true }
+func (a *acceptor) Ready(reactor.Event) { a.acceptReady = true }
 
 // Ready takes what happened on a connection.
 func (c *client) Ready(e reactor.Event) {
@@ -137,51 +137,51 @@
 		if c.place.Idle() {
 			// When thousands end at once, the events of the busy few stand among
 			// theirs: to close each as it comes would hold those up.
-			f.part(c)
+			f.queueClose(c)
 		} else {
 			c.close(closedByClient, nil)
 		}
 		return
 	}
 	if e&reactor.Writable != 0 && len(c.unwritten) > 0 {
-		c.soil()
+		c.markDirty()
 	}
 	if e&reactor.Readable != 0 {
 		c.readable = true
-		c.pump()
+		c.processInput()
 	}
 }
 
-// later gives a connection a turn in the next round.
-func (f *front) later(c *client) {
-	if !c.queued {
-		c.queued = true
-		f.again = append(f.again, c)
+// queueRead gives a connection a turn in the next round.
+func (f *front) queueRead(c *client) {
+	if !c.readQueued {
+		c.readQueued = true
+		f.readQueue = append(f.readQueue, c)
 	}
 }
 
-// part notes that a connection at rest is to be closed.
-func (f *front) part(c *client) {
-	if !c.parting {
-		c.parting = true
-		f.parting = append(f.parting, c)
+// queueClose notes that a connection at rest is to be closed.
+func (f *front) queueClose(c *client) {
+	if !c.closeQueued {
+		c.closeQueued = true
+		f.closeQueue = append(f.closeQueue, c)
 	}
 }
 
-// closeParting closes a batch of those whose clients have ended them.
-func (f *front) closeParting(now time.Duration) {
-	if len(f.parting) == 0 || now < f.partAt {
+// closeQueuedClients closes a batch of those whose clients have ended them.
+func (f *front) closeQueuedClients(now time.Duration) {
+	if len(f.closeQueue) == 0 || now < f.closeBatchAt {
 		return
 	}
-	n := min(partBatch, len(f.parting))
-	for i, c := range f.parting[:n] {
+	n := min(closeBatch, len(f.closeQueue))
+	for i, c := range f.closeQueue[:n] {
 		c.close(closedByClient, nil)
-		f.parting[i] = nil
+		f.closeQueue[i] = nil
 	}
-	if f.parting = f.parting[n:]; len(f.parting) == 0 {
-		f.parting = nil
+	if f.closeQueue = f.closeQueue[n:]; len(f.closeQueue) == 0 {
+		f.closeQueue = nil
 	}
-	f.partAt = now + pacePause
+	f.closeBatchAt = now + batchInterval
 }
 
 // flush writes the answers that have become due. What all have to write in one
@@ -191,8 +191,8 @@
 		dirty := f.dirty
 		f.dirty = nil
 		for _, c := range dirty {
-			c.soiled = false
-			c.settle()
+			c.flushQueued = false
+			c.writeReplies()
 		}
 		if f.dirty == nil {
 			f.dirty = dirty[:0]
@@ -204,89 +204,91 @@
 // admitAndClose takes new connections and closes those that the admission controller selects.
 func (f *front) admitAndClose() {
 	now := f.loop.Now()
-	if f.retryAt > 0 && now >= f.retryAt {
-		f.retryAt = 0
+	if f.acceptRetryAt > 0 && now >= f.acceptRetryAt {
+		f.acceptRetryAt = 0
 	}
 	if f.growAt > 0 && now >= f.growAt {
 		f.growAt = 0
 		if f.admission.Grow() {
-			f.growAt = now + growAfter
+			f.growAt = now + growInterval
 		}
 	}
-	f.closeParting(now)
-	f.watchAgain(now)
+	f.closeQueuedClients(now)
+	f.retryWatches(now)
 	f.accept(now)
-	f.admission.Due(now, f.waiting(), func(p *admission.Place[*client]) bool { return p.Owner.dismiss() })
-	if f.acceptable && !f.lastLook {
+	f.admission.Due(now, f.acceptBlocked(), func(p *admission.Place[*client]) bool { return p.Owner.closeForAdmission() })
+	if f.acceptReady && !f.emptyingBacklog {
 		f.accept(now) // in the places that have become free
 	}
 }
 
 func (f *front) accept(now time.Duration) {
-	if f.lastLook {
-		f.takeRest(now)
+	if f.emptyingBacklog {
+		f.acceptBacklog(now)
 		return
 	}
 	if len(f.unwatched) > 0 { // the poller could take no further one either
 		return
 	}
-	for n := 0; f.acceptable && f.ln != nil && !f.onHold && f.retryAt == 0 && (f.admission.HasRoom() || f.tries(now)); n++ {
+	for n := 0; f.acceptReady && f.ln != nil && !f.onHold && f.acceptRetryAt == 0 && (f.admission.HasRoom() || f.shouldTryAccept(now)); n++ {
 		if n == acceptBatch {
-			f.retryAt = now + pacePause
+			f.acceptRetryAt = now + batchInterval
 			return
 		}
 		nc, err := f.ln.Accept()
 		switch {
 		case err == nil:
-			f.add(nc, now)
-			f.hadOne()
+			f.addClient(nc, now)
+			f.noteAccepted()
 		case errors.Is(err, reactor.ErrWait):
-			f.acceptable = false
+			f.acceptReady = false
 		case errors.Is(err, reactor.ErrFiles): // the next ones wait in the queue
 			f.loop.events.acceptFailed(err)
-			f.missedOne(now)
+			f.noteShortage(now)
 		default:
 			f.loop.events.acceptFailed(err)
-			f.retryAt = now + acceptRetry
+			f.acceptRetryAt = now + acceptRetryDelay
 		}
 	}
 }
 
-// tries tells whether a connection is to be taken beyond the places that a shortage has left.
-func (f *front) tries(now time.Duration) bool { return f.admission.Shrunk() && f.short.due(now) }
+// shouldTryAccept tells whether a connection is to be taken beyond the places that a shortage has left.
+func (f *front) shouldTryAccept(now time.Duration) bool {
+	return f.admission.Shrunk() && f.fdShortage.trialDue(now)
+}
 
-// watchAgain has the poller watch the connections that it could not take.
-func (f *front) watchAgain(now time.Duration) {
-	if f.retryAt > 0 {
+// retryWatches has the poller watch the connections that it could not take.
+func (f *front) retryWatches(now time.Duration) {
+	if f.acceptRetryAt > 0 {
 		return
 	}
 	waiting := f.unwatched
 	f.unwatched = nil
 	for _, c := range waiting {
-		f.begin(c, now)
+		f.watchClient(c, now)
 	}
 }
 
-// hadOne notes that a connection was to be had, and gives the places back where that shows that
+// noteAccepted notes that a connection was to be had, and gives the places back where that shows that
 // descriptors are not short.
-func (f *front) hadOne() {
-	switch over := f.short.over(f.heldNow()); {
+func (f *front) noteAccepted() {
+	switch over := f.fdShortage.recordSuccess(f.openConnections()); {
 	case !f.admission.Shrunk():
 	case over:
 		f.admission.Restore()
 		f.growAt = 0
 	case !f.admission.HasRoom():
-		f.short.postpone(f.loop.Now())
+		f.fdShortage.postponeTrial(f.loop.Now())
 	}
 }
 
-// heldNow is how many connections the process holds.
-func (f *front) heldNow() int { return len(f.clients) + len(f.unwatched) + f.loop.pool.Open() }
+// openConnections is how many connections the process holds.
+func (f *front) openConnections() int { return len(f.clients) + len(f.unwatched) + f.loop.pool.Open() }
 
-// missedOne notes that no descriptor, or no memory for one, was to be had.
-func (f *front) missedOne(now time.Duration) {
-	f.retryAt = now + acceptRetry
-	if f.short.own(now, f.heldNow()) {
+// noteShortage notes that no descriptor, or no memory for one, was to be had.
+func (f *front) noteShortage(now time.Duration) {
+	f.acceptRetryAt = now + acceptRetryDelay
+	if f.fdShortage.recordFailure(now, f.openConnections()) {
 		f.shrink(now)
 	}
 }
@@ -295,39 +297,39 @@
 // is, and closes one at rest in place of what was wanted.
 func (f *front) shrink(now time.Duration) {
 	f.admission.Shrink()
-	f.growAt = now + growAfter
-	f.admission.Due(now, true, func(p *admission.Place[*client]) bool { return p.Owner.dismiss() })
+	f.growAt = now + growInterval
+	f.admission.Due(now, true, func(p *admission.Place[*client]) bool { return p.Owner.closeForAdmission() })
 }
 
-// add serves a new connection.
-func (f *front) add(nc reactor.Conn, now time.Duration) {
+// addClient serves a new connection.
+func (f *front) addClient(nc reactor.Conn, now time.Duration) {
 	f.accepted++
 	c := &client{front: f, net: nc, number: f.accepted}
 	c.place.Owner, c.timer.Owner = c, c
-	f.begin(c, now)
+	f.watchClient(c, now)
 }
 
-// begin has the poller watch a connection and serves it. Where the poller can't, the connection waits:
+// watchClient has the poller watch a connection and serves it. Where the poller can't, the connection waits:
 // it may hold a request by now.
-func (f *front) begin(c *client, now time.Duration) {
+func (f *front) watchClient(c *client, now time.Duration) {
 	if err := c.net.Watch(c); err != nil {
 		f.loop.events.watchFailed(c, err)
 		f.unwatched = append(f.unwatched, c)
-		f.missedOne(now)
+		f.noteShortage(now)
 		return
 	}
-	c.index, c.readBy, c.timed = len(f.clients), now+firstPatience, true
+	c.index, c.readDeadline, c.readTimed = len(f.clients), now+firstCommandTimeout, true
 	f.loop.events.opened(c)
 	f.clients = append(f.clients, c)
 	f.admission.Admit(&c.place, now)
-	c.arm()
+	c.resetTimer()
 	if f.finished { // it has waited in the queue: what it holds is all that is taken
 		c.finish()
 	}
 }
 
-// leave forgets a connection that is closed.
-func (f *front) leave(c *client) {
+// removeClient forgets a connection that is closed.
+func (f *front) removeClient(c *client) {
 	last := len(f.clients) - 1
 	moved := f.clients[last]
 	f.clients[c.index], moved.index = moved, c.index
@@ -337,9 +339,9 @@
 
 // unstall takes a connection off those that wait for their clients to read on.
 func (f *front) unstall(c *client) {
-	if c.stall != nil {
-		f.stalled.Remove(c.stall)
-		c.stall = nil
+	if c.stallEntry != nil {
+		f.stalled.Remove(c.stallEntry)
+		c.stallEntry = nil
 	}
 }
 
@@ -367,23 +369,23 @@
 		f.endListener()
 		return
 	}
-	f.lastLook = true
-	f.takeRest(f.loop.Now())
+	f.emptyingBacklog = true
+	f.acceptBacklog(f.loop.Now())
 }
 
-// takeRest takes all that waits, and closes the listener once nothing does. While accept fails it is
+// acceptBacklog takes all that waits, and closes the listener once nothing does. While accept fails it is
 // tried again.
-func (f *front) takeRest(now time.Duration) {
-	for f.retryAt == 0 && f.ln != nil {
+func (f *front) acceptBacklog(now time.Duration) {
+	for f.acceptRetryAt == 0 && f.ln != nil {
 		nc, err := f.ln.Accept()
 		switch {
 		case err == nil:
-			f.add(nc, now)
+			f.addClient(nc, now)
 		case errors.Is(err, reactor.ErrWait):
 			f.endListener()
 		default:
 			f.loop.events.acceptFailed(err)
-			f.retryAt = now + acceptRetry
+			f.acceptRetryAt = now + acceptRetryDelay
 		}
 	}
 }
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// goneMost is how long after its client's close an attempt may begin: the end
+	// maxBeginAfterClose is how long after its client's close an attempt may begin: the end
 	// has to come, and one round to be played.
-	goneMost = latency + 100*ms
-	// waitMost is from when a request has come to when its wait is over.
-	waitMost = 400 * ms
-	// roundLate is how late the round comes that ends it where the process stands still.
-	roundLate = 100 * ms
+	maxBeginAfterClose = latency + 100*ms
+	// waitTime is from when a request has come to when its wait is over.
+	waitTime = 400 * ms
+	// roundDelay is how late the round comes that ends it where the process stands still.
+	roundDelay = 100 * ms
 )
 
 // A wait is what a request waits for when its client leaves.
-type aWait struct {
-	backends int
-	class    string
-	attempts int                 // that begin before
-	change   func(*Config)       // of the configuration
-	before   func(i *simulation) // the request is sent
-	behind   func(i *simulation) // it, at once
-	over     func(i *simulation) // it is, waitMost after
+type waitCase struct {
+	backends      int
+	class         string
+	attempts      int                   // that begin before
+	change        func(*Config)         // of the configuration
+	beforeRequest func(sim *simulation) // the request is sent
+	afterRequest  func(sim *simulation) // it, at once
+	endWait       func(sim *simulation) // it is, waitMost after
 }
 
-var waits = map[string]aWait{
+var waitCases = map[string]waitCase{
 	"a connection that comes up late": {backends: 1, class: "payment",
-		behind: func(i *simulation) { i.net.Faults.Latency = waitMost }}, // of the connection alone
+		afterRequest: func(sim *simulation) { sim.net.Faults.Latency = waitTime }}, // of the connection alone
 	"a descriptor": {backends: 1, class: "payment",
-		behind: func(i *simulation) { i.node.Files = i.node.Open() },
-		over:   func(i *simulation) { i.node.Files = 0 }},
+		afterRequest: func(sim *simulation) { sim.node.Files = sim.node.Open() },
+		endWait:      func(sim *simulation) { sim.node.Files = 0 }},
 	"a place at the ingress": {backends: 1, class: "payment",
-		before: func(i *simulation) { i.node.Files = i.node.Open() },
-		over:   func(i *simulation) { i.node.Files = 0 }},
+		beforeRequest: func(sim *simulation) { sim.node.Files = sim.node.Open() },
+		endWait:       func(sim *simulation) { sim.node.Files = 0 }},
 	"a repeat of what was turned away": {backends: 2, class: "payment", attempts: 1,
-		over: func(i *simulation) { i.attempts[0].say("-BUSY\r\n") }},
+		endWait: func(sim *simulation) { sim.attempts[0].write("-BUSY\r\n") }},
 	"a repeat of what has failed": {backends: 2, class: "lookup", attempts: 1,
-		over: func(i *simulation) { i.attempts[0].say("-ERR failed\r\n") }},
+		endWait: func(sim *simulation) { sim.attempts[0].write("-ERR failed\r\n") }},
 	"a repeat of what was reset": {backends: 2, class: "lookup", attempts: 1,
-		over: func(i *simulation) { i.attempts[0].at.node.Kill() }},
+		endWait: func(sim *simulation) { sim.attempts[0].backend.node.Kill() }},
 	"a second copy": {backends: 2, class: "lookup", attempts: 1,
 		change: func(cfg *Config) {
 			cfg.Choice.SecondCopies = true
@@ -51,9 +51,9 @@
 
 // play plays a wait. leave, which may be nil, is called so long before its end. The
 // process may stand still for a time up to roundLate behind the end.
-func (w aWait) play(t *testing.T, seed uint64, cancelling bool, leave func(*virtualClient), before, still time.Duration) (i *simulation, gone time.Duration) {
+func (w waitCase) play(t *testing.T, seed uint64, cancelling bool, leave func(*virtualClient), before, still time.Duration) (sim *simulation, gone time.Duration) {
 	t.Helper()
-	i = newSimulation(t, seed, w.backends, func(cfg *Config) {
+	sim = newSimulation(t, seed, w.backends, func(cfg *Config) {
 		cfg.Choice.Cancelling = cancelling
 		if w.change != nil {
 			w.change(cfg)
@@ -61,42 +61,42 @@
 	})
 	call := func(f func(*simulation)) {
 		if f != nil {
-			f(i)
+			f(sim)
 		}
 	}
-	call(w.before)
-	c := i.dial("")
-	i.run(3 * ms)
-	over := i.net.Now() + waitMost + latency
-	c.say(ask(w.class, newID(), 5000))
-	call(w.behind)
-	i.run(2 * ms)
-	i.net.Faults.Latency = latency
-	i.run(5 * ms)
-	if len(i.attempts) != w.attempts {
-		t.Fatalf("%d attempts have begun, want %d", len(i.attempts), w.attempts)
+	call(w.beforeRequest)
+	c := sim.dial("")
+	sim.advance(3 * ms)
+	over := sim.net.Now() + waitTime + latency
+	c.send(encodeRequest(w.class, newID(), 5000))
+	call(w.afterRequest)
+	sim.advance(2 * ms)
+	sim.net.Faults.Latency = latency
+	sim.advance(5 * ms)
+	if len(sim.attempts) != w.attempts {
+		t.Fatalf("%d attempts have begun, want %d", len(sim.attempts), w.attempts)
 	}
-	stop, leaves := over+roundLate-still, over-before
-	i.net.Until(min(stop, leaves))
+	stop, leaves := over+roundDelay-still, over-before
+	sim.net.Until(min(stop, leaves))
 	if still > 0 && stop <= leaves {
-		i.node.Pause()
+		sim.node.Pause()
 	}
-	i.net.Until(leaves)
-	if gone = i.net.Now(); leave != nil {
+	sim.net.Until(leaves)
+	if gone = sim.net.Now(); leave != nil {
 		leave(c)
 	}
-	i.net.Until(min(max(stop, leaves), over))
+	sim.net.Until(min(max(stop, leaves), over))
 	if still > 0 {
-		i.node.Pause()
+		sim.node.Pause()
 	}
-	i.net.Until(over)
-	call(w.over)
+	sim.net.Until(over)
+	call(w.endWait)
 	if still > 0 {
-		i.run(roundLate)
-		i.node.Resume()
+		sim.advance(roundDelay)
+		sim.node.Resume()
 	}
-	i.run(6 * time.Second) // past the request's own time
-	return i, gone
+	sim.advance(6 * time.Second) // past the request's own time
+	return sim, gone
 }
 
 // No attempt, first or further, begins once its client has closed its connection:
@@ -104,25 +104,25 @@
 // process stood still, so that the end of the wait and the client's own are told in
 // one round, in any order.
 func TestNothingIsSentOnOnceTheClientHasGone(t *testing.T) {
-	for name, w := range waits {
+	for name, w := range waitCases {
 		for _, cancelling := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancelling %v", name, cancelling), func(t *testing.T) {
 				for _, still := range []time.Duration{0, 150 * ms, 300 * ms} {
 					// So that what is to be seen would be: a client that stays has another attempt.
-					if i, _ := w.play(t, 1, cancelling, nil, waitMost/2, still); len(i.attempts) <= w.attempts {
-						t.Fatalf("still %v: %d attempts for a client that stays, want more", still, len(i.attempts))
+					if sim, _ := w.play(t, 1, cancelling, nil, waitTime/2, still); len(sim.attempts) <= w.attempts {
+						t.Fatalf("still %v: %d attempts for a client that stays, want more", still, len(sim.attempts))
 					}
-					for way, leave := range leavingVirtually {
-						for _, before := range []time.Duration{waitMost / 2, 50 * ms, 2 * ms, latency, 0} {
+					for way, leave := range virtualDepartures {
+						for _, before := range []time.Duration{waitTime / 2, 50 * ms, 2 * ms, latency, 0} {
 							for seed := uint64(1); seed <= 4; seed++ {
-								i, gone := w.play(t, seed, cancelling, leave, before, still)
-								for _, a := range i.attempts {
-									if a.begun > gone+goneMost {
+								sim, gone := w.play(t, seed, cancelling, leave, before, still)
+								for _, a := range sim.attempts {
+									if a.begunAt > gone+maxBeginAfterClose {
 										t.Fatalf("%s %v before the end of the wait, still %v, seed %d: an attempt begins %v after the client's close",
-											way, before, still, seed, a.begun-gone)
+											way, before, still, seed, a.begunAt-gone)
 									}
 								}
-								if h := i.ingress.Held(); h.Requests+h.Clients > 0 {
+								if h := sim.ingress.Held(); h.Requests+h.Clients > 0 {
 									t.Fatalf("%s %v before the end of the wait, still %v, seed %d: the ingress holds %+v", way, before, still, seed, h)
 								}
 							}
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -16,14 +16,14 @@
 const (
 	// answerMargin is kept back from a client's time, so that an answer given
 	// at the end of it still arrives before the client gives up.
-	answerMargin   = 15 * time.Millisecond
-	marginPart     = 10 // at most this part of the time is kept back
-	probeTimeout   = 250 * time.Millisecond
-	heldShare      = 6    // what is held for clients may take this part of the memory
-	customersShare = 5    // and what is known of customers this one, at
-	customerBytes  = 1400 // for each, with its places in the gateway's map and row
-	recentRead     = 5 * time.Millisecond
-	idsMargin      = time.Second // ids are known for so long beyond the longest time of a request
+	answerMargin          = 15 * time.Millisecond
+	answerMarginDivisor   = 10 // at most this part of the time is kept back
+	probeTimeout          = 250 * time.Millisecond
+	clientMemoryDivisor   = 6    // what is held for clients may take this part of the memory
+	customerMemoryDivisor = 5    // and what is known of customers this one, at
+	customerBytes         = 1400 // for each, with its places in the gateway's map and row
+	recentRead            = 5 * time.Millisecond
+	idsMargin             = time.Second // ids are known for so long beyond the longest time of a request
 )
 
 // loop owns the gateway and all that is decided by it. It belongs to the
@@ -33,25 +33,25 @@
 // told, by settle and by the pool's turn in the round.
 type loop struct {
 	*reactor.Loop
-	cfg      *Config
-	gateway  *choice.Gateway
-	fleet    *fleet.Fleet // of the gateway's backends
-	ready    bool         // discovery was asked and backends are known
-	asked    bool         // discovery was asked at least once
-	pool     *upstream.Pool
-	starved  bool // descriptors have run out in a dial; the front makes room at its turn
-	requests map[uint32]*request
-	lastID   uint32
-	ids      recentIDs
-	memory   *memory
-	answers  []answer // given and not handed out yet
-	settling bool
-	figures  figures
-	events   eventLog
-	starts   startClock
-	rules    []lifecycle.Rules // by class
-	spare    *alarm            // of the gateway's timers, to be used again
-	terms    *terms            // nil while no version of configuration was in force
+	cfg            *Config
+	gateway        *choice.Gateway
+	fleet          *fleet.Fleet // of the gateway's backends
+	ready          bool         // discovery was asked and backends are known
+	discoveryAsked bool         // discovery was asked at least once
+	pool           *upstream.Pool
+	starved        bool // descriptors have run out in a dial; the front makes room at its turn
+	requests       map[uint32]*request
+	lastID         uint32
+	ids            recentIDs
+	memory         *memory
+	answers        []answer // given and not handed out yet
+	delivering     bool
+	figures        figures
+	events         eventLog
+	starts         startClock
+	rules          []lifecycle.Rules // by class
+	freeAlarms     *alarm            // of the gateway's timers, to be used again
+	terms          *terms            // nil while no version of configuration was in force
 }
 
 // outcomeKind is how a request ends for its client.
@@ -66,10 +66,10 @@
 
 // outcome is the one final answer of a request, in no protocol's words.
 type outcome struct {
-	kind  outcomeKind
-	value []byte        // served: as the backend gave it
-	body  body          // in place of value, where that is large; whoever gets it reads it to its end or closes it
-	after time.Duration // refused: when to come again; 0: no advice
+	kind       outcomeKind
+	value      []byte        // served: as the backend gave it
+	stream     valueStream   // in place of value, where that is large; whoever gets it reads it to its end or closes it
+	retryAfter time.Duration // refused: when to come again; 0: no advice
 }
 
 // answerer takes the one final answer of a request. It does not block, and is
@@ -89,26 +89,26 @@
 // the end of its last attempt.
 type request struct {
 	*command
-	id       uint32 // the gateway's: the clients' ids are longer
-	size     int
-	replyTo  answerer
-	slot     slot // the answer's place, where the client speaks RESP
-	deadline time.Duration
-	takenAt  time.Duration // when it was taken
-	sent     time.Duration // its first attempt
-	state    lifecycle.Request
-	attempts []*upstream.Attempt
+	id          uint32 // the gateway's: the clients' ids are longer
+	size        int
+	replyTo     answerer
+	slot        slot // the answer's place, where the client speaks RESP
+	deadline    time.Duration
+	takenAt     time.Duration // when it was taken
+	firstSentAt time.Duration // its first attempt
+	state       lifecycle.Request
+	attempts    []*upstream.Attempt
 
-	initial upstream.Attempt // most need no other
-	list    [1]*upstream.Attempt
+	firstAttempt  upstream.Attempt // most need no other
+	attemptsArray [1]*upstream.Attempt
 }
 
 func newLoop(cfg *Config, on *reactor.Loop) (*loop, error) {
 	l := &loop{
 		Loop: on, cfg: cfg, requests: map[uint32]*request{}, figures: figures{classes: make([]ClassFigures, len(cfg.Choice.Classes))},
-		memory: &memory{most: int64(cfg.Limits.MemoryMB) << 20 / heldShare},
+		memory: &memory{limit: int64(cfg.Limits.MemoryMB) << 20 / clientMemoryDivisor},
 	}
-	l.rules = rulesOf(cfg.Choice)
+	l.rules = lifecycleRules(cfg.Choice)
 	if cfg.Own.Log.LogsRequests() {
 		l.events.details = slog.Default()
 	}
@@ -116,13 +116,13 @@
 	for _, c := range cfg.Choice.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	l.ids.span = longest + idsMargin
+	l.ids.retention = longest + idsMargin
 	l.pool = upstream.New(upstream.Config{Connections: cfg.Limits.backends(), Idle: cfg.connIdle,
 		ConnectTimeout: cfg.connectTimeout, Reports: cfg.Choice.ReportFields, Proof: cfg.Proof}, on, l)
 	on.Add(l.pool)
 	var err error
 	decide := cfg.Choice
-	decide.Customers = cfg.Limits.MemoryMB << 20 / customersShare / customerBytes
+	decide.Customers = cfg.Limits.MemoryMB << 20 / customerMemoryDivisor / customerBytes
 	if l.gateway, err = choice.New(decide, cfg.Seed, l.Now(), l); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
@@ -137,21 +137,21 @@
 // every call of the gateway. To hand out one may end other requests, whose
 // clients do not read; their part is done before it returns, too.
 func (l *loop) deliverAnswers() {
-	if l.settling {
+	if l.delivering {
 		return
 	}
-	l.settling = true
+	l.delivering = true
 	for i := 0; i < len(l.answers); i++ {
 		a := l.answers[i]
 		l.answers[i] = answer{}
 		a.to.Answer(a.outcome)
 	}
 	l.answers = l.answers[:0]
-	l.settling = false
+	l.delivering = false
 }
 
-// request takes a client's try.
-func (l *loop) request(r *request) {
+// startRequest takes a client's try.
+func (l *loop) startRequest(r *request) {
 	l.lastID++
 	for l.requests[l.lastID] != nil {
 		l.lastID++
@@ -172,45 +172,45 @@
 		l.answer(r, outcome{kind: duplicate})
 	}
 	l.fleet.Step(now)
-	l.forget(r)
+	l.forgetIfDone(r)
 	l.deliverAnswers()
 }
 
 // recentIDs knows the clients' ids for a span at least, and for two at most.
 type recentIDs struct {
-	span         time.Duration
-	turned       time.Duration
-	young, older map[uint64]struct{}
+	retention         time.Duration
+	rotatedAt         time.Duration
+	current, previous map[uint64]struct{}
 }
 
 // add returns false if the id is known.
 func (r *recentIDs) add(id uint64, now time.Duration) bool {
-	if r.young == nil || now-r.turned >= r.span {
-		r.older, r.young, r.turned = r.young, map[uint64]struct{}{}, now
+	if r.current == nil || now-r.rotatedAt >= r.retention {
+		r.previous, r.current, r.rotatedAt = r.current, map[uint64]struct{}{}, now
 	}
-	if _, known := r.older[id]; known {
+	if _, known := r.previous[id]; known {
 		return false
 	}
-	n := len(r.young)
-	r.young[id] = struct{}{}
-	return len(r.young) > n
+	n := len(r.current)
+	r.current[id] = struct{}{}
+	return len(r.current) > n
 }
 
 func (r *recentIDs) remove(id uint64) {
-	delete(r.young, id)
-	delete(r.older, id)
+	delete(r.current, id)
+	delete(r.previous, id)
 }
 
-// forget drops a request that is over and has nothing out.
-func (l *loop) forget(r *request) {
+// forgetIfDone drops a request that is over and has nothing out.
+func (l *loop) forgetIfDone(r *request) {
 	if r.state.Over() && r.state.Out() == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
-		l.memory.give(r.size)
+		l.memory.release(r.size)
 	}
 }
 
-// gone ends open requests whose client has left.
-func (l *loop) gone(open []*request) {
+// abandonRequests ends open requests whose client has left.
+func (l *loop) abandonRequests(open []*request) {
 	if len(open) == 0 {
 		return
 	}
@@ -223,7 +223,7 @@
 			}
 			l.withdraw(r)
 			l.gateway.Gone(l.Now(), r.id)
-			l.forget(r)
+			l.forgetIfDone(r)
 		}
 	}
 	l.deliverAnswers()
@@ -255,7 +255,7 @@
 		if r.state.Over() {
 			reply.Stream.Close()
 		} else {
-			l.answer(r, outcome{kind: served, body: reply.Stream})
+			l.answer(r, outcome{kind: served, stream: reply.Stream})
 		}
 	} else if reply.Status == choice.OK {
 		l.answer(r, outcome{kind: served, value: reply.Value})
@@ -264,7 +264,7 @@
 		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Over: r.state.Over(),
 		Metered: reply.Metered, Used: reply.Used, Age: reply.Age, Load: reply.Load,
 	})
-	l.forget(r)
+	l.forgetIfDone(r)
 }
 
 // Figures takes what stood behind a large value.
@@ -311,7 +311,7 @@
 	}
 	l.events.answered(r, o.kind)
 	l.withdraw(r) // a second copy that has not gone out yet
-	if o.body == nil {
+	if o.stream == nil {
 		l.figures.open--
 		l.figures.classes[r.class].count(o.kind)
 	}
@@ -348,7 +348,7 @@
 		known.State = state
 		named[m.ID] = true
 		b := choice.Backend{
-			ID: l.pool.Member(known), Zone: index(l.cfg.zones, m.Locality), Kind: index(l.cfg.kinds, m.Flavor),
+			ID: l.pool.Member(known), Zone: indexOf(l.cfg.zones, m.Locality), Kind: indexOf(l.cfg.kinds, m.Flavor),
 			Cell: m.Cell, State: state, Weight: m.Size,
 		}
 		b.Started, b.Dated = l.started(m)
@@ -369,14 +369,14 @@
 
 // markAsked marks that discovery was asked for the list, whether or not it answered.
 func (l *loop) markAsked() {
-	l.asked = true
+	l.discoveryAsked = true
 	l.checkReady()
 }
 
 // checkReady lets clients in once there is a backend. The list of the
 // configuration may be old, so discovery is asked first.
 func (l *loop) checkReady() {
-	l.ready = l.ready || l.asked && l.pool.Serving()
+	l.ready = l.ready || l.discoveryAsked && l.pool.Serving()
 }
 
 // started tells when a backend started, by the gateway's clock. 0 stands for long ago.
@@ -387,9 +387,9 @@
 	return l.starts.started(m.ID, m.UpSince, l.Now()), true
 }
 
-// index is the place of a name in a list of the settings; a name that is not
+// indexOf is the place of a name in a list of the settings; a name that is not
 // there is no place of ours.
-func index(places map[string]int, name string) int {
+func indexOf(places map[string]int, name string) int {
 	if i, ok := places[name]; ok {
 		return i
 	}
@@ -401,18 +401,18 @@
 // Send starts an attempt.
 func (l *loop) Send(id, backend uint32, timeout time.Duration) {
 	r := l.requests[id]
-	a := &r.initial
+	a := &r.firstAttempt
 	if len(r.attempts) > 0 {
 		a = new(upstream.Attempt)
 	} else {
-		r.attempts = r.list[:0]
+		r.attempts = r.attemptsArray[:0]
 	}
 	*a = upstream.Attempt{Message: r, Owner: r, Number: len(r.attempts), Backend: backend, Deadline: l.Now() + timeout,
 		Repeatable: l.cfg.Choice.Classes[r.class].Effect == choice.Free}
-	if class := &l.cfg.Choice.Classes[r.class]; class.Effect == choice.Guarded && a != &r.initial {
-		a.Before = r.sent + class.Window // later its repeat is not dropped any more
-	} else if a == &r.initial {
-		r.sent = l.Now()
+	if class := &l.cfg.Choice.Classes[r.class]; class.Effect == choice.Guarded && a != &r.firstAttempt {
+		a.Before = r.firstSentAt + class.Window // later its repeat is not dropped any more
+	} else if a == &r.firstAttempt {
+		r.firstSentAt = l.Now()
 	}
 	r.attempts = append(r.attempts, a)
 	l.events.sent(r, a)
@@ -456,8 +456,8 @@
 	return s != choice.Refused && s != choice.ConnectFailed && s != choice.Moot
 }
 
-// rulesOf are the rules of each class.
-func rulesOf(cfg choice.Config) (rules []lifecycle.Rules) {
+// lifecycleRules are the rules of each class.
+func lifecycleRules(cfg choice.Config) (rules []lifecycle.Rules) {
 	mostOut := 1
 	if cfg.SecondCopies {
 		mostOut = 2
@@ -477,7 +477,7 @@
 
 // Refuse answers that trying again does no harm.
 func (l *loop) Refuse(id uint32, after time.Duration) {
-	l.answer(l.requests[id], outcome{kind: refused, after: after})
+	l.answer(l.requests[id], outcome{kind: refused, retryAfter: after})
 }
 
 // Fail answers without a promise.
@@ -497,12 +497,12 @@
 
 // After sets a timer.
 func (l *loop) After(wait time.Duration, token uint64) {
-	a := l.spare
+	a := l.freeAlarms
 	if a == nil {
 		a = &alarm{loop: l}
 		a.timer.Owner = a
 	} else {
-		l.spare = a.next
+		l.freeAlarms = a.next
 	}
 	a.token = token
 	l.Set(&a.timer, l.Now()+wait)
@@ -520,7 +520,7 @@
 func (a *alarm) Ring() {
 	l := a.loop
 	token := a.token
-	a.next, l.spare = l.spare, a
+	a.next, l.freeAlarms = l.freeAlarms, a
 	l.gateway.Timer(l.Now(), token)
 	l.deliverAnswers()
 }
--- a/internal/ingress/moment_test.go
+++ b/internal/ingress/moment_test.go
@@ -12,49 +12,49 @@
 // or left unread. What is read is sent on, and would be lost behind the end.
 func TestRequestAboutTheEndOfItsConnectionIsAnsweredOrLeft(t *testing.T) {
 	for name, end := range map[string]func(*simulation){
-		"drain": func(i *simulation) { i.do(i.ingress.Drain) },
-		"drain and finish": func(i *simulation) {
-			i.do(func() { i.ingress.Drain(); i.ingress.CloseListener(); i.ingress.Finish() })
+		"drain": func(sim *simulation) { sim.do(sim.ingress.Drain) },
+		"drain and finish": func(sim *simulation) {
+			sim.do(func() { sim.ingress.Drain(); sim.ingress.CloseListener(); sim.ingress.Finish() })
 		},
-		"standby":             func(i *simulation) { i.do(i.ingress.Standby) },
-		"descriptors run out": func(i *simulation) { i.do(func() { i.ingress.front.shrink(i.node.Now()) }) },
+		"standby":             func(sim *simulation) { sim.do(sim.ingress.Standby) },
+		"descriptors run out": func(sim *simulation) { sim.do(func() { sim.ingress.front.shrink(sim.node.Now()) }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			// play has a request come so long after the end is called for, and tells what came of it.
 			play := func(after time.Duration, seed uint64) (served bool, endedAt time.Duration) {
-				i := newSimulation(t, seed, 2, nil)
-				i.answer = func(a *playedAttempt) { a.serve("v") }
-				c := i.dial("")
-				i.run(3 * ms)
-				c.say(ask("lookup", newID(), 1000)) // so that it rests between requests
-				i.run(30 * ms)
-				if got := c.answers(); got != "$1\r\nv" || len(i.attempts) != 1 {
+				sim := newSimulation(t, seed, 2, nil)
+				sim.onAttempt = func(a *scriptedAttempt) { a.serve("v") }
+				c := sim.dial("")
+				sim.advance(3 * ms)
+				c.send(encodeRequest("lookup", newID(), 1000)) // so that it rests between requests
+				sim.advance(30 * ms)
+				if got := c.answers(); got != "$1\r\nv" || len(sim.attempts) != 1 {
 					t.Fatalf("the request before is answered with %q", got)
 				}
-				i.attempts, c.in = nil, nil
-				at := i.net.Now() + 10*ms
-				i.net.Until(at + min(0, after) - latency)
+				sim.attempts, c.received = nil, nil
+				at := sim.net.Now() + 10*ms
+				sim.net.Until(at + min(0, after) - latency)
 				if after < 0 {
-					c.say(ask("payment", newID(), 1000))
+					c.send(encodeRequest("payment", newID(), 1000))
 				}
-				i.net.Until(at)
-				end(i)
+				sim.net.Until(at)
+				end(sim)
 				if after >= 0 {
-					i.net.After(max(0, after-latency), func() {
+					sim.net.After(max(0, after-latency), func() {
 						if !c.ended {
-							c.say(ask("payment", newID(), 1000))
+							c.send(encodeRequest("payment", newID(), 1000))
 						}
 					})
 				}
 				for n := 0; n < 4000 && !c.ended; n++ {
-					i.run(ms / 4)
+					sim.advance(ms / 4)
 				}
-				endedAt = i.net.Now() - at
-				i.run(2 * time.Second)
-				if served = c.answers() == "$1\r\nv"; served != (len(i.attempts) == 1) || len(i.attempts) > 1 {
-					t.Fatalf("%v after the end was called for, seed %d: %d attempts, and the client got %q", after, seed, len(i.attempts), c.answers())
+				endedAt = sim.net.Now() - at
+				sim.advance(2 * time.Second)
+				if served = c.answers() == "$1\r\nv"; served != (len(sim.attempts) == 1) || len(sim.attempts) > 1 {
+					t.Fatalf("%v after the end was called for, seed %d: %d attempts, and the client got %q", after, seed, len(sim.attempts), c.answers())
 				}
-				if h := i.ingress.Held(); h.Requests > 0 {
+				if h := sim.ingress.Held(); h.Requests > 0 {
 					t.Fatalf("%v after the end was called for, seed %d: the ingress holds %+v", after, seed, h)
 				}
 				return served, endedAt
@@ -74,27 +74,27 @@
 	}
 }
 
-// crossing is a connection on which a command comes in the very moment in which its
+// crossingConn is a connection on which a command comes in the very moment in which its
 // sending is ended: behind every look of the ingress, and before the end.
-type crossing struct {
+type crossingConn struct {
 	reactor.Conn
-	come  func() // has the command come
-	ended bool
-	read  int // bytes, behind the end
+	deliver      func() // has the command come
+	ended        bool
+	readAfterEnd int // bytes, behind the end
 }
 
-func (c *crossing) CloseWrite() {
-	c.come()
+func (c *crossingConn) CloseWrite() {
+	c.deliver()
 	for end := time.Now().Add(patience); !c.Conn.Pending() && time.Now().Before(end); {
 	}
 	c.Conn.CloseWrite()
 	c.ended = true
 }
 
-func (c *crossing) Read(b []byte) (int, error) {
+func (c *crossingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if c.ended {
-		c.read += max(0, n)
+		c.readAfterEnd += max(0, n)
 	}
 	return n, err
 }
@@ -109,18 +109,18 @@
 	wait(t, "the request before", b.Got).Answer("v")
 	c.want("$1\r\nv")
 	r.eventually("the rig's own connection to be gone", func(*loop) bool { return len(r.server.front.clients) == 1 })
-	var x *crossing
+	var x *crossingConn
 	r.ask(func(*loop) {
 		of := r.server.front.clients[0]
-		x = &crossing{Conn: of.net, come: func() { _, _ = c.nc.Write(standin.Encode("Q.DO", anyone, newID(), payment, "BODY")) }}
+		x = &crossingConn{Conn: of.net, deliver: func() { _, _ = c.nc.Write(standin.Encode("Q.DO", anyone, newID(), payment, "BODY")) }}
 		of.net = x
 		r.server.Drain()
 	})
 	c.wantEnd()
 	r.eventually("the connection to be closed", func(*loop) bool { return len(r.server.front.clients) == 0 })
 	r.ask(func(l *loop) {
-		if x.read > 0 || len(l.requests) > 0 {
-			t.Errorf("%d bytes were read behind the end, and %d requests are open", x.read, len(l.requests))
+		if x.readAfterEnd > 0 || len(l.requests) > 0 {
+			t.Errorf("%d bytes were read behind the end, and %d requests are open", x.readAfterEnd, len(l.requests))
 		}
 	})
 	idle(t, "the request that came in the moment of the end", b.Got)
--- a/internal/ingress/virtual_test.go
+++ b/internal/ingress/virtual_test.go
@@ -20,13 +20,13 @@
 // on no machine.
 type simulation struct {
 	*testing.T
-	net      *simnet.Net
-	node     *simnet.Node // the ingress's
-	ingress  *Ingress
-	client   *simnet.Node
-	backends []*playedBackend
-	attempts []*playedAttempt // in the order in which they began
-	answer   func(*playedAttempt)
+	net       *simnet.Net
+	node      *simnet.Node // the ingress's
+	ingress   *Ingress
+	client    *simnet.Node
+	backends  []*scriptedBackend
+	attempts  []*scriptedAttempt // in the order in which they began
+	onAttempt func(*scriptedAttempt)
 }
 
 const virtualAddress = "10.0.0.1:6379"
@@ -38,19 +38,19 @@
 // is noted, and goes to answer, if there is one.
 func newSimulation(t *testing.T, seed uint64, backends int, change func(*Config)) *simulation {
 	t.Helper()
-	i := &simulation{T: t, net: simnet.New(seed)}
-	i.net.Faults = simnet.Faults{Latency: latency}
-	i.node, i.client = i.net.Node("10.0.0.1"), i.net.Node("10.0.2.1")
+	sim := &simulation{T: t, net: simnet.New(seed)}
+	sim.net.Faults = simnet.Faults{Latency: latency}
+	sim.node, sim.client = sim.net.Node("10.0.0.1"), sim.net.Node("10.0.2.1")
 	list := MemberList{Revision: 1, Complete: true}
 	for n := range backends {
-		b := &playedBackend{simulation: i, node: i.net.Node(fmt.Sprintf("10.0.1.%d", n+1)), name: strconv.Itoa(n + 1)}
+		b := &scriptedBackend{simulation: sim, node: sim.net.Node(fmt.Sprintf("10.0.1.%d", n+1)), name: strconv.Itoa(n + 1)}
 		b.node.Start(func(l *reactor.Loop) {
 			var err error
 			if b.ln, err = l.Listen(b.node.IP+":7", b); err != nil {
 				t.Fatal(err)
 			}
 		})
-		i.backends = append(i.backends, b)
+		sim.backends = append(sim.backends, b)
 		list.Members = append(list.Members, Member{ID: b.name, HostPort: b.node.IP + ":7", Locality: "a", Flavor: "std", Phase: PhaseServing, Size: 1})
 	}
 	cfg, err := ParseConfig(fmt.Appendf(nil, `{"name":"n0","listen":%q,"seed":"%x","settings":%s}`, virtualAddress, seed, fmt.Sprintf(settings, 3600_000)))
@@ -61,19 +61,19 @@
 	if change != nil {
 		change(&cfg)
 	}
-	i.node.Start(func(l *reactor.Loop) {
-		if i.ingress, err = New(cfg, l); err != nil {
+	sim.node.Start(func(l *reactor.Loop) {
+		if sim.ingress, err = New(cfg, l); err != nil {
 			t.Fatal(err)
 		}
 	})
-	i.node.Loop.Post(func() { i.ingress.Members(list); i.ingress.Asked() })
-	i.client.Start(func(*reactor.Loop) {})
-	i.run(10 * ms)
-	return i
+	sim.node.Loop.Post(func() { sim.ingress.Members(list); sim.ingress.Asked() })
+	sim.client.Start(func(*reactor.Loop) {})
+	sim.advance(10 * ms)
+	return sim
 }
 
-// run lets time go on.
-func (i *simulation) run(d time.Duration) { i.net.Until(i.net.Now() + d) }
+// advance lets time go on.
+func (i *simulation) advance(d time.Duration) { i.net.Until(i.net.Now() + d) }
 
 // do runs f as a part of the ingress's next round.
 func (i *simulation) do(f func()) {
@@ -81,44 +81,44 @@
 	i.net.Until(i.net.Now())
 }
 
-// playedBackend is one backend that the test plays.
-type playedBackend struct {
+// scriptedBackend is one backend that the test plays.
+type scriptedBackend struct {
 	*simulation
 	node *simnet.Node
 	ln   reactor.Listener
 	name string
 }
 
-// playedAttempt is one command, or the first part of one, that came to a backend.
-type playedAttempt struct {
-	at    *playedBackend
-	conn  reactor.Conn
-	begun time.Duration // its first byte was written
-	args  []string      // nil while it is not whole
-	told  time.Duration // how long its answer is waited for
-	over  bool          // the ingress has ended the connection
+// scriptedAttempt is one command, or the first part of one, that came to a backend.
+type scriptedAttempt struct {
+	backend      *scriptedBackend
+	conn         reactor.Conn
+	begunAt      time.Duration // its first byte was written
+	args         []string      // nil while it is not whole
+	timeLimit    time.Duration // how long its answer is waited for
+	disconnected bool          // the ingress has ended the connection
 }
 
 // Ready takes connections.
-func (b *playedBackend) Ready(reactor.Event) {
+func (b *scriptedBackend) Ready(reactor.Event) {
 	for {
 		nc, err := b.ln.Accept()
 		if err != nil {
 			return
 		}
-		_ = nc.Watch(&playedConn{playedBackend: b, conn: nc})
+		_ = nc.Watch(&scriptedConn{scriptedBackend: b, conn: nc})
 	}
 }
 
-type playedConn struct {
-	*playedBackend
-	conn reactor.Conn
-	in   []byte
-	last *playedAttempt
+type scriptedConn struct {
+	*scriptedBackend
+	conn     reactor.Conn
+	received []byte
+	last     *scriptedAttempt
 }
 
 // Ready reads commands.
-func (c *playedConn) Ready(reactor.Event) {
+func (c *scriptedConn) Ready(reactor.Event) {
 	var buf [8 << 10]byte
 	for {
 		begun := simnet.SentAt(c.conn)
@@ -128,66 +128,66 @@
 		}
 		if err != nil {
 			if c.last != nil {
-				c.last.over = true
+				c.last.disconnected = true
 			}
 			return
 		}
-		if len(c.in) == 0 {
-			c.last = &playedAttempt{at: c.playedBackend, conn: c.conn, begun: begun}
+		if len(c.received) == 0 {
+			c.last = &scriptedAttempt{backend: c.scriptedBackend, conn: c.conn, begunAt: begun}
 			c.attempts = append(c.attempts, c.last)
 		}
-		c.in = append(c.in, buf[:n]...)
-		args, used, err := nextCommand(c.in)
+		c.received = append(c.received, buf[:n]...)
+		args, used, err := nextCommand(c.received)
 		if err != nil {
-			c.Errorf("backend %s gets %.80q: %v", c.name, c.in, err)
+			c.Errorf("backend %s gets %.80q: %v", c.name, c.received, err)
 			return
 		}
 		if used == 0 {
 			continue
 		}
-		if used < len(c.in) {
-			c.Errorf("backend %s gets something behind a command: %.80q", c.name, c.in[used:])
+		if used < len(c.received) {
+			c.Errorf("backend %s gets something behind a command: %.80q", c.name, c.received[used:])
 		}
 		for _, a := range args {
 			c.last.args = append(c.last.args, string(a))
 		}
-		c.in = nil
+		c.received = nil
 		_, limit, _ := strings.Cut(c.last.args[optionsArg], "d=")
 		limit, _, _ = strings.Cut(limit, ",")
 		told, err := strconv.Atoi(limit)
 		if err != nil {
 			c.Errorf("backend %s is told %q", c.name, c.last.args[optionsArg])
 		}
-		c.last.told = time.Duration(told) * ms
-		if c.answer != nil {
-			c.answer(c.last)
+		c.last.timeLimit = time.Duration(told) * ms
+		if c.onAttempt != nil {
+			c.onAttempt(c.last)
 		}
 	}
 }
 
-// say writes on the attempt's connection.
-func (a *playedAttempt) say(text string) { _, _ = a.conn.Write([]byte(text)) }
+// write writes on the attempt's connection.
+func (a *scriptedAttempt) write(text string) { _, _ = a.conn.Write([]byte(text)) }
 
 // serve answers with a value.
-func (a *playedAttempt) serve(v string) {
-	a.say(fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(v), v))
+func (a *scriptedAttempt) serve(v string) {
+	a.write(fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(v), v))
 }
 
 // virtualClient is one client's connection.
 type virtualClient struct {
 	*simulation
-	conn  reactor.Conn
-	out   []byte
-	up    bool
-	in    []byte
-	ended bool // by the ingress, or by a reset
-	reset bool
+	conn      reactor.Conn
+	unsent    []byte
+	connected bool
+	received  []byte
+	ended     bool // by the ingress, or by a reset
+	reset     bool
 }
 
 // dial connects a client, and says text once the connection is up.
 func (i *simulation) dial(text string) *virtualClient {
 	i.Helper()
-	c := &virtualClient{simulation: i, out: []byte(text)}
+	c := &virtualClient{simulation: i, unsent: []byte(text)}
 	var err error
 	if c.conn, err = i.client.Dial(virtualAddress, c); err != nil {
 		i.Fatal(err)
@@ -197,12 +197,12 @@
 
 // Ready writes what is to be said and reads what is answered.
 func (c *virtualClient) Ready(e reactor.Event) {
-	c.up = c.up || e&reactor.Writable != 0
+	c.connected = c.connected || e&reactor.Writable != 0
 	c.flush()
 	var buf [4096]byte
 	for !c.ended {
 		n, err := c.conn.Read(buf[:])
-		c.in = append(c.in, buf[:n]...)
+		c.received = append(c.received, buf[:n]...)
 		if err == reactor.ErrWait {
 			return
 		}
@@ -212,23 +212,23 @@
 }
 
 func (c *virtualClient) flush() {
-	if c.up && len(c.out) > 0 {
-		n, _ := c.conn.Write(c.out)
-		c.out = c.out[n:]
+	if c.connected && len(c.unsent) > 0 {
+		n, _ := c.conn.Write(c.unsent)
+		c.unsent = c.unsent[n:]
 	}
 }
 
-// say sends more.
-func (c *virtualClient) say(text string) {
-	c.out = append(c.out, text...)
+// send sends more.
+func (c *virtualClient) send(text string) {
+	c.unsent = append(c.unsent, text...)
 	c.flush()
 }
 
 // answers are the lines that have come.
-func (c *virtualClient) answers() string { return string(bytes.TrimSpace(c.in)) }
+func (c *virtualClient) answers() string { return string(bytes.TrimSpace(c.received)) }
 
-// ask is a request of a class that has so many milliseconds.
-func ask(class, id string, limit int) string {
+// encodeRequest is a request of a class that has so many milliseconds.
+func encodeRequest(class, id string, limit int) string {
 	options := standin.Options(class, limit)
 	if class == "lookup" {
 		return encode("Q.ASK", anyone, id, options)
@@ -236,8 +236,8 @@
 	return encode("Q.DO", anyone, id, options, "BODY")
 }
 
-// leavingVirtually are the ways in which a client leaves.
-var leavingVirtually = map[string]func(*virtualClient){
+// virtualDepartures are the ways in which a client leaves.
+var virtualDepartures = map[string]func(*virtualClient){
 	"end":   func(c *virtualClient) { c.conn.Close() },
 	"reset": func(c *virtualClient) { c.client.Kill() },
 }
