--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -218,9 +218,9 @@
 func (c *client) enforceReplyLimits() {
 	f := c.front
 	if c.replyBytes > maxStalledReplyBytes {
-		c.close(closedUnread, nil)
+		c.close(closedUnreadAnswers, nil)
 	}
 	for int64(f.stalledBytes) > f.loop.memory.limit/stalledMemoryDivisor && f.stalled.Len() > 0 {
-		f.stalled.Front().Value.(*client).close(closedUnread, nil)
+		f.stalled.Front().Value.(*client).close(closedUnreadAnswers, nil)
 	}
 }
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -261,7 +261,7 @@
 		// is turned away leaves the CPU to the others.
 		c.invalidCommands++
 		if c.invalidCommands >= maxInvalidCommands {
-			c.endWithError(closedWrong, errTooManyInvalid)
+			c.endWithError(closedInvalidCommands, errTooManyInvalid)
 			return
 		}
 		if c.invalidCommands > 1 {
@@ -283,7 +283,7 @@
 	r.replyTo = &r.slot
 	c.hasRequested = true
 	c.pushSlot(&r.slot)
-	owner.events.taken(c, r)
+	owner.events.requestAccepted(c, r)
 	owner.startRequest(r)
 }
 
--- a/internal/ingress/closes_test.go
+++ b/internal/ingress/closes_test.go
@@ -81,8 +81,8 @@
 				if !due || !c.ended {
 					t.Fatalf("seed %d: the client got %.200q (ended %v), want %q and then %q", seed, got, c.ended, play.want, play.last)
 				}
-				if n := len(sim.ingress.front.clients); n > 0 || sim.ingress.Held().Memory != 0 {
-					t.Fatalf("seed %d: %d clients are left, %+v", seed, n, sim.ingress.Held())
+				if n := len(sim.ingress.front.clients); n > 0 || sim.ingress.Usage().Memory != 0 {
+					t.Fatalf("seed %d: %d clients are left, %+v", seed, n, sim.ingress.Usage())
 				}
 			}
 		})
--- a/internal/ingress/closing.go
+++ b/internal/ingress/closing.go
@@ -25,9 +25,9 @@
 // anew by its client; one that was read would be taken, and lost.
 func (c *client) lingeringClose() {
 	if c.first != nil {
-		c.front.loop.recordViolation(lifecycle.Close(c.pending, false), c.first.request)
+		c.front.loop.recordViolation(lifecycle.CheckClose(c.pending, false), c.first.request)
 	}
-	c.front.loop.events.closed(c, c.reason, nil)
+	c.front.loop.events.connectionClosed(c, c.reason, nil)
 	c.net.CloseWrite()
 	c.closing = true
 	c.keepPartial(nil)
@@ -47,7 +47,7 @@
 	c.hasInput()
 	c.processInput()
 	if c.inputClosed = true; c.net != nil && !c.closing && !c.hasBacklog {
-		c.closeAfterReplies(closedFinished)
+		c.closeAfterReplies(closedShutdown)
 	}
 }
 
@@ -102,7 +102,7 @@
 			c.lingerUntil = now + lingerTimeout
 			break
 		}
-		c.close(closedEnded, nil)
+		c.close(closedLingerExpired, nil)
 		return
 	case over(&c.writeDeadline):
 		c.close(closedSlowReader, nil)
@@ -122,9 +122,9 @@
 			break // it was whole, or has moved the bound
 		}
 		if len(c.partial) > 0 {
-			c.endWithError(closedHalf, errPartialCommand)
+			c.endWithError(closedIncompleteCommand, errPartialCommand)
 		} else {
-			c.endWithError(closedSilent, errNoCommand)
+			c.endWithError(closedNoCommand, errNoCommand)
 		}
 		c.reportActivity()
 	}
@@ -138,8 +138,8 @@
 	if c.net == nil {
 		return
 	}
-	if c.lingerUntil == 0 && reason != closedEnded { // its end has been told already
-		f.loop.events.closed(c, reason, err)
+	if c.lingerUntil == 0 && reason != closedLingerExpired { // its end has been told already
+		f.loop.events.connectionClosed(c, reason, err)
 	}
 	c.net.Close()
 	c.net = nil
@@ -148,7 +148,7 @@
 	f.admission.Release(&c.place)
 	open := c.dropReplies()
 	if len(open) > 0 {
-		f.loop.recordViolation(lifecycle.Close(len(open), reason.frees()), open[0])
+		f.loop.recordViolation(lifecycle.CheckClose(len(open), reason.allowsOpenRequests()), open[0])
 	}
 	f.loop.abandonRequests(open)
 }
@@ -158,7 +158,7 @@
 // takes the answers before with it.
 func (c *client) closeAfterBrokenStream() {
 	open := c.dropReplies()
-	c.reason = closedValueBroken
+	c.reason = closedValueTruncated
 	c.lingeringClose()
 	c.front.loop.abandonRequests(open)
 }
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -44,7 +44,7 @@
 		endWait: func(sim *simulation) { sim.attempts[0].backend.node.Kill() }},
 	"a second copy": {backends: 2, class: "lookup", attempts: 1,
 		change: func(cfg *Config) {
-			cfg.Choice.SecondCopies = true
+			cfg.Choice.Hedging = true
 			cfg.Choice.Classes[0].Aim = 616 * ms // the copy goes after 0.65 of it
 		}},
 }
@@ -122,7 +122,7 @@
 											way, before, still, seed, a.begunAt-gone)
 									}
 								}
-								if h := sim.ingress.Held(); h.Requests+h.Clients > 0 {
+								if h := sim.ingress.Usage(); h.Requests+h.Clients > 0 {
 									t.Fatalf("%s %v before the end of the wait, still %v, seed %d: the ingress holds %+v", way, before, still, seed, h)
 								}
 							}
--- a/internal/ingress/inbox_test.go
+++ b/internal/ingress/inbox_test.go
@@ -61,19 +61,19 @@
 				if rng.IntN(12) == 0 {
 					l.Complete = true
 				}
-				one.do(func() { one.ingress.Members(l) })
-				run.ingress.tell(l)
+				one.do(func() { one.ingress.UpdateMembers(l) })
+				run.ingress.enqueueMembers(l)
 			}
 			run.do(func() {})
 			state := func(i *simulation) (all []string) {
-				known := i.ingress.loop.pool.Known()
+				known := i.ingress.loop.pool.BackendIDs()
 				for _, name := range slices.Sorted(maps.Keys(known)) {
 					all = append(all, fmt.Sprint(name, "=", known[name]))
 				}
 				view := i.ingress.loop.gateway.View(i.net.Now())
 				slices.SortFunc(view, func(a, b choice.BackendView) int { return cmp.Compare(a.ID, b.ID) })
 				for _, v := range view {
-					all = append(all, fmt.Sprint(v.ID, v.Used, v.Part))
+					all = append(all, fmt.Sprint(v.ID, v.Used, v.PickWeight))
 				}
 				used, of := i.ingress.loop.fleet.Size()
 				return append(all, fmt.Sprint(used, of))
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -46,12 +46,12 @@
 	memory         *memory
 	answers        []answer // given and not handed out yet
 	delivering     bool
-	figures        figures
+	figures        metrics
 	events         eventLog
 	starts         startClock
 	rules          []lifecycle.Rules // by class
 	freeAlarms     *alarm            // of the gateway's timers, to be used again
-	terms          *terms            // nil while no version of configuration was in force
+	terms          *runtimeConfig    // nil while no version of configuration was in force
 }
 
 // outcomeKind is how a request ends for its client.
@@ -105,11 +105,11 @@
 
 func newLoop(cfg *Config, on *reactor.Loop) (*loop, error) {
 	l := &loop{
-		Loop: on, cfg: cfg, requests: map[uint32]*request{}, figures: figures{classes: make([]ClassFigures, len(cfg.Choice.Classes))},
+		Loop: on, cfg: cfg, requests: map[uint32]*request{}, figures: metrics{classes: make([]ClassCounters, len(cfg.Choice.Classes))},
 		memory: &memory{limit: int64(cfg.Limits.MemoryMB) << 20 / clientMemoryDivisor},
 	}
 	l.rules = lifecycleRules(cfg.Choice)
-	if cfg.Own.Log.LogsRequests() {
+	if cfg.Options.Log.LogsRequests() {
 		l.events.details = slog.Default()
 	}
 	longest := time.Duration(0)
@@ -117,19 +117,19 @@
 		longest = max(longest, c.Deadline)
 	}
 	l.ids.retention = longest + idsMargin
-	l.pool = upstream.New(upstream.Config{Connections: cfg.Limits.backends(), Idle: cfg.connIdle,
-		ConnectTimeout: cfg.connectTimeout, Reports: cfg.Choice.ReportFields, Proof: cfg.Proof}, on, l)
+	l.pool = upstream.New(upstream.Config{MaxConnections: cfg.Limits.maxBackendConns(), BackendIdleTimeout: cfg.backendIdleTimeout,
+		ConnectTimeout: cfg.connectTimeout, ReportFields: cfg.Choice.ReportFields, TrustThreshold: cfg.Proof}, on, l)
 	on.Add(l.pool)
 	var err error
 	decide := cfg.Choice
-	decide.Customers = cfg.Limits.MemoryMB << 20 / customerMemoryDivisor / customerBytes
+	decide.MaxCustomers = cfg.Limits.MemoryMB << 20 / customerMemoryDivisor / customerBytes
 	if l.gateway, err = choice.New(decide, cfg.Seed, l.Now(), l); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	if l.fleet, err = fleet.New(cfg.Choice, l.gateway, l.Now()); err != nil {
 		return nil, err
 	}
-	l.updateMembers(choice.Cached, cfg.Known)
+	l.updateMembers(choice.Cached, cfg.CachedMembers)
 	return l, nil
 }
 
@@ -165,7 +165,7 @@
 	if l.ids.add(r.requestID, now) {
 		l.gateway.Request(now, choice.Request{
 			ID: r.id, Class: r.class, Plan: r.plan, Customer: r.customer, TimeLeft: r.deadline - now,
-			Units: r.units, Spread: r.spread, First: r.first, Repeat: r.repeat,
+			Units: r.units, Spread: r.spread, First: r.first, ClientRetry: r.repeat,
 		})
 	} else {
 		// The copy of another's open request: its value belongs to that one alone.
@@ -203,7 +203,7 @@
 
 // forgetIfDone drops a request that is over and has nothing out.
 func (l *loop) forgetIfDone(r *request) {
-	if r.state.Over() && r.state.Out() == 0 && l.requests[r.id] == r {
+	if r.state.Finished() && r.state.InFlight() == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
 		l.memory.release(r.size)
 	}
@@ -217,12 +217,12 @@
 	for _, r := range open {
 		if r.state.Abandon() {
 			l.figures.open--
-			l.events.abandoned(r)
+			l.events.requestAbandoned(r)
 			if len(r.attempts) == 0 {
 				l.ids.remove(r.requestID) // nothing was sent on: it may come again
 			}
 			l.withdraw(r)
-			l.gateway.Gone(l.Now(), r.id)
+			l.gateway.Disconnected(l.Now(), r.id)
 			l.forgetIfDone(r)
 		}
 	}
@@ -241,18 +241,18 @@
 func (l *loop) Ended(a *upstream.Attempt, reply upstream.Reply, elapsed time.Duration) {
 	defer l.deliverAnswers()
 	if a.Probe {
-		l.gateway.Probed(l.Now(), choice.Probe{
+		l.gateway.Probed(l.Now(), choice.ProbeResult{
 			Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Load: reply.Load})
 		return
 	}
 	r := a.Owner.(*request)
 	if reply.Cause != upstream.CauseForbidden {
-		r.state.Ended(mayHaveRun(reply.Status))
+		r.state.AttemptEnded(mayHaveRun(reply.Status))
 	}
-	l.events.ended(r, a, reply)
+	l.events.attemptEnded(r, a, reply)
 	l.fleet.Ended()
 	if reply.Stream != nil {
-		if r.state.Over() {
+		if r.state.Finished() {
 			reply.Stream.Close()
 		} else {
 			l.answer(r, outcome{kind: served, stream: reply.Stream})
@@ -261,16 +261,16 @@
 		l.answer(r, outcome{kind: served, value: reply.Value})
 	}
 	l.gateway.Outcome(l.Now(), choice.Outcome{
-		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Over: r.state.Over(),
+		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Done: r.state.Finished(),
 		Metered: reply.Metered, Used: reply.Used, Age: reply.Age, Load: reply.Load,
 	})
 	l.forgetIfDone(r)
 }
 
-// Figures takes what stood behind a large value.
-func (l *loop) Figures(a *upstream.Attempt, reply upstream.Reply) {
+// Trailer takes what stood behind a large value.
+func (l *loop) Trailer(a *upstream.Attempt, reply upstream.Reply) {
 	if r := a.Owner.(*request); reply.Metered {
-		l.gateway.Metered(l.Now(), r.customer, r.plan, reply.Used, reply.Age)
+		l.gateway.LateReading(l.Now(), r.customer, r.plan, reply.Used, reply.Age)
 		l.deliverAnswers()
 	}
 }
@@ -286,9 +286,9 @@
 	}
 }
 
-// Starved notes that a dial wants room. Connections are closed for it later: this
+// OutOfDescriptors notes that a dial wants room. Connections are closed for it later: this
 // is called while the gateway is at work, and a connection closed may end requests.
-func (l *loop) Starved() { l.starved = true }
+func (l *loop) OutOfDescriptors() { l.starved = true }
 
 // Written counts an attempt that has come whole to a backend.
 func (l *loop) Written(a *upstream.Attempt) {
@@ -309,7 +309,7 @@
 	if l.recordViolation(wrong, r) {
 		o = outcome{kind: failed} // promises nothing
 	}
-	l.events.answered(r, o.kind)
+	l.events.requestAnswered(r, o.kind)
 	l.withdraw(r) // a second copy that has not gone out yet
 	if o.stream == nil {
 		l.figures.open--
@@ -336,22 +336,22 @@
 		// One process serves at an address. The one that started last has taken
 		// it over; the other is gone, though discovery has not noticed yet. What
 		// is sent to that one would reach the new one, cold, and not be counted.
-		known := upstream.Member{Name: m.ID, Address: m.HostPort, Since: m.UpSince}
-		if other, any := l.pool.Sharing(known); state == choice.Ready && any {
-			if other.Since > m.UpSince {
+		known := upstream.Member{Name: m.ID, Address: m.HostPort, StartedAt: m.UpSince}
+		if other, any := l.pool.OtherAtAddress(known); state == choice.Ready && any {
+			if other.StartedAt > m.UpSince {
 				state = choice.Removed
 			} else {
 				other.State = choice.Removed
-				backends = append(backends, choice.Backend{ID: l.pool.Member(other), State: choice.Removed})
+				backends = append(backends, choice.Backend{ID: l.pool.Update(other), State: choice.Removed})
 			}
 		}
 		known.State = state
 		named[m.ID] = true
 		b := choice.Backend{
-			ID: l.pool.Member(known), Zone: indexOf(l.cfg.zones, m.Locality), Kind: indexOf(l.cfg.kinds, m.Flavor),
+			ID: l.pool.Update(known), Zone: indexOf(l.cfg.zones, m.Locality), Kind: indexOf(l.cfg.kinds, m.Flavor),
 			Cell: m.Cell, State: state, Weight: m.Size,
 		}
-		b.Started, b.Dated = l.started(m)
+		b.Started, b.StartKnown = l.started(m)
 		if state == choice.Removed {
 			l.starts.forget(m.ID)
 		}
@@ -359,8 +359,8 @@
 		backends = append(backends, b)
 	}
 	if kind != choice.Delta {
-		l.pool.Keep(named)
-		l.starts.keep(named)
+		l.pool.RemoveUnlisted(named)
+		l.starts.retain(named)
 	}
 	l.fleet.Members(now, kind, backends, func(b choice.Backend) uint64 { return keys[b.ID] })
 	l.deliverAnswers()
@@ -376,7 +376,7 @@
 // checkReady lets clients in once there is a backend. The list of the
 // configuration may be old, so discovery is asked first.
 func (l *loop) checkReady() {
-	l.ready = l.ready || l.discoveryAsked && l.pool.Serving()
+	l.ready = l.ready || l.discoveryAsked && l.pool.AnyReady()
 }
 
 // started tells when a backend started, by the gateway's clock. 0 stands for long ago.
@@ -384,7 +384,7 @@
 	if m.UpSince <= 0 {
 		return 0, false
 	}
-	return l.starts.started(m.ID, m.UpSince, l.Now()), true
+	return l.starts.startTime(m.ID, m.UpSince, l.Now()), true
 }
 
 // indexOf is the place of a name in a list of the settings; a name that is not
@@ -408,16 +408,16 @@
 		r.attempts = r.attemptsArray[:0]
 	}
 	*a = upstream.Attempt{Message: r, Owner: r, Number: len(r.attempts), Backend: backend, Deadline: l.Now() + timeout,
-		Repeatable: l.cfg.Choice.Classes[r.class].Effect == choice.Free}
-	if class := &l.cfg.Choice.Classes[r.class]; class.Effect == choice.Guarded && a != &r.firstAttempt {
-		a.Before = r.firstSentAt + class.Window // later its repeat is not dropped any more
+		Repeatable: l.cfg.Choice.Classes[r.class].Effect == choice.Idempotent}
+	if class := &l.cfg.Choice.Classes[r.class]; class.Effect == choice.Deduplicated && a != &r.firstAttempt {
+		a.WriteBy = r.firstSentAt + class.Window // later its repeat is not dropped any more
 	} else if a == &r.firstAttempt {
 		r.firstSentAt = l.Now()
 	}
 	r.attempts = append(r.attempts, a)
-	l.events.sent(r, a)
+	l.events.attemptStarted(r, a)
 	l.fleet.Sent()
-	if l.recordViolation(r.state.Begin(l.Now()), r) {
+	if l.recordViolation(r.state.BeginAttempt(l.Now()), r) {
 		l.pool.Forbid(a)
 		return
 	}
@@ -430,7 +430,7 @@
 		return true
 	}
 	r := a.Owner.(*request)
-	if l.recordViolation(r.state.Write(l.Now()), r) {
+	if l.recordViolation(r.state.CheckWrite(l.Now()), r) {
 		return false
 	}
 	// Just after its reading nothing can have happened that is not known. Later an event that tells of the
@@ -453,22 +453,22 @@
 
 // mayHaveRun tells what the end of an attempt says of it.
 func mayHaveRun(s choice.Status) bool {
-	return s != choice.Refused && s != choice.ConnectFailed && s != choice.Moot
+	return s != choice.Refused && s != choice.ConnectFailed && s != choice.Unsent
 }
 
 // lifecycleRules are the rules of each class.
 func lifecycleRules(cfg choice.Config) (rules []lifecycle.Rules) {
 	mostOut := 1
-	if cfg.SecondCopies {
+	if cfg.Hedging {
 		mostOut = 2
 	}
 	for _, c := range cfg.Classes {
-		r := lifecycle.Rules{Window: c.Window, Everywhere: c.Group == choice.GroupAll, MostOut: mostOut, MostInAll: cfg.MaxAttempts}
+		r := lifecycle.Rules{DedupWindow: c.Window, DedupAcrossBackends: c.Group == choice.GroupAll, MaxInFlight: mostOut, MaxAttempts: cfg.MaxAttempts}
 		switch c.Effect {
-		case choice.Guarded:
-			r.Repeats = lifecycle.RunsOnceAway
-		case choice.SingleShot:
-			r.Repeats = lifecycle.RunsOnce
+		case choice.Deduplicated:
+			r.Idempotency = lifecycle.Deduplicated
+		case choice.AtMostOnce:
+			r.Idempotency = lifecycle.NonIdempotent
 		}
 		rules = append(rules, r)
 	}
@@ -495,8 +495,8 @@
 	l.pool.Start(&upstream.Attempt{Message: loadProbe, Probe: true, Repeatable: true, Backend: backend, Deadline: l.Now() + probeTimeout})
 }
 
-// After sets a timer.
-func (l *loop) After(wait time.Duration, token uint64) {
+// SetTimer sets a timer.
+func (l *loop) SetTimer(wait time.Duration, token uint64) {
 	a := l.freeAlarms
 	if a == nil {
 		a = &alarm{loop: l}
--- a/internal/ingress/virtual_test.go
+++ b/internal/ingress/virtual_test.go
@@ -66,7 +66,7 @@
 			t.Fatal(err)
 		}
 	})
-	sim.node.Loop.Post(func() { sim.ingress.Members(list); sim.ingress.Asked() })
+	sim.node.Loop.Post(func() { sim.ingress.UpdateMembers(list); sim.ingress.DiscoveryQueried() })
 	sim.client.Start(func(*reactor.Loop) {})
 	sim.advance(10 * ms)
 	return sim
@@ -231,9 +231,9 @@
 func encodeRequest(class, id string, limit int) string {
 	options := standin.Options(class, limit)
 	if class == "lookup" {
-		return encode("Q.ASK", anyone, id, options)
+		return encode("Q.ASK", someCustomer, id, options)
 	}
-	return encode("Q.DO", anyone, id, options, "BODY")
+	return encode("Q.DO", someCustomer, id, options, "BODY")
 }
 
 // virtualDepartures are the ways in which a client leaves.
