--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -1,6 +1,6 @@
 package ingress
 
-// The answers of a connection: their order, and how they are written.
+// This file holds the replies of a connection: their order, and how they are written.
 
 import (
 	"errors"
@@ -11,20 +11,20 @@
 	"wickarch/internal/reactor"
 )
 
-// slot is the place of one answer in the order of its connection.
+// slot is the place of one reply in the command order of its connection.
 type slot struct {
 	client      *client
-	request     *request // nil for what needs no backend
-	data        []byte   // the answer as it is written, or the value alone
+	request     *request // nil for commands that need no backend
+	data        []byte   // the encoded reply, or the bare value if bulk is set
 	next        *slot
-	stream      valueStream // in place of data: a value passed on as it comes, until that has ended
-	buffered    []byte      // what has come of the body, where all of it is waited for
+	stream      valueStream // in place of data: a value forwarded while it arrives; nil once it has ended
+	buffered    []byte      // what has arrived of the stream, if it is buffered whole
 	filled      bool
-	headWritten bool // the head of the body has been written
-	bulk        bool // data is a value, to be written as a bulk string
+	headWritten bool // the bulk header of the stream has been written
+	bulk        bool // data is a value to be encoded as a bulk string
 }
 
-// size is how many bytes the answer has as it is written.
+// size returns the length of the encoded reply.
 func (s *slot) size() int {
 	if !s.bulk {
 		return len(s.data)
@@ -36,7 +36,7 @@
 	return n
 }
 
-// appendTo appends the answer as it is written.
+// appendTo appends the encoded reply.
 func (s *slot) appendTo(b []byte) []byte {
 	if s.bulk {
 		return redcon.AppendBulk(b, s.data)
@@ -49,10 +49,10 @@
 	duplicateReply = []byte("-ERR the request id is in use\r\n")
 )
 
-// Disconnected tells whether the client has left.
+// Disconnected reports whether the client has disconnected.
 func (s *slot) Disconnected() bool { return s.client.net == nil || s.client.net.Gone() }
 
-// Answer gives the slot its one answer.
+// Answer fills the slot with the final outcome of its request.
 func (s *slot) Answer(o outcome) {
 	c := s.client
 	if c.net == nil || c.lingerUntil > 0 {
@@ -86,14 +86,14 @@
 	}
 	s.filled = true
 	n := s.size()
-	c.front.loop.memory.reserve(n) // until it is written
+	c.front.loop.memory.reserve(n) // released when it is written
 	c.addReplyBytes(n)
 	if c.first == s && c.net != nil {
 		c.markDirty()
 	}
 }
 
-// markDirty notes that there may be something to write.
+// markDirty queues the connection for the next flush.
 func (c *client) markDirty() {
 	if !c.flushQueued {
 		c.flushQueued = true
@@ -101,7 +101,7 @@
 	}
 }
 
-// pushSlot appends a slot.
+// pushSlot appends a slot to the reply queue.
 func (c *client) pushSlot(s *slot) {
 	if c.last != nil {
 		c.last.next = s
@@ -112,8 +112,8 @@
 	c.pending++
 }
 
-// writeReplies writes the answers that are due, in order, and ends the connection if
-// it is to end and nothing is left.
+// writeReplies writes the replies that are due, in order, and ends the connection if it is to end and nothing is left
+// to write.
 func (c *client) writeReplies() {
 	if c.net == nil {
 		return
@@ -147,7 +147,7 @@
 			return
 		}
 	}
-	// What has come already is not lost to the end that follows.
+	// Commands that have already arrived are read before the connection ends, so that they are not lost.
 	if c.first == nil && !c.closing && (c.hasBacklog || c.readable || f.draining && c.hasInput()) {
 		c.processInput()
 		if c.first != nil || c.net == nil {
@@ -162,14 +162,14 @@
 		return
 	}
 	if c.readable || len(c.partial) > 0 {
-		c.processInput() // what was not taken while so much was due
+		c.processInput() // commands held back while too many replies were due
 		return
 	}
 	c.reportActivity()
 }
 
-// write writes b, and tells whether the client has taken all of it. What it
-// does not take now is held, by this connection alone; the others go on.
+// write writes b and reports whether the socket accepted all of it. The rest is held for this connection
+// alone; other connections are not delayed.
 func (c *client) write(b []byte) bool {
 	f := c.front
 	n, err := c.net.Write(b)
@@ -182,7 +182,7 @@
 	case err == nil:
 	case errors.Is(err, reactor.ErrWait) && c.stallEntry != nil:
 		c.unwritten = b[n:]
-		if n > 0 { // it does read, if slowly
+		if n > 0 { // the client reads, if slowly
 			c.writeDeadline = f.loop.Now() + writeTimeout
 			c.resetTimer()
 		}
@@ -203,7 +203,7 @@
 	return true
 }
 
-// addReplyBytes takes note of an answer that is due.
+// addReplyBytes accounts for a reply of n bytes that is due.
 func (c *client) addReplyBytes(n int) {
 	c.replyBytes += n
 	if c.stallEntry != nil {
@@ -212,9 +212,9 @@
 	}
 }
 
-// enforceReplyLimits closes connections whose clients do not read, where they hold too much:
-// this one by its own enforceReplyLimits, and the one that stalls for longest by that of all.
-// Their answers have failed, and are not kept for ever.
+// enforceReplyLimits closes connections whose clients do not read and that hold too many reply bytes: this one
+// if it exceeds its own limit, and those stalled for longest while all stalled ones together exceed theirs.
+// Their replies have failed and are not kept forever.
 func (c *client) enforceReplyLimits() {
 	f := c.front
 	if c.replyBytes > maxStalledReplyBytes {
--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -8,8 +8,8 @@
 	"wickarch/internal/reactor"
 )
 
-// valueStream is a value too large to be held: it is passed on as it comes. See
-// upstream.Stream for what its methods promise.
+// valueStream is a large value that is forwarded as it arrives instead of being held. See upstream.Stream for the
+// contract of its methods.
 type valueStream interface {
 	Size() int
 	Read(b []byte) (int, error)
@@ -18,12 +18,12 @@
 }
 
 const (
-	streamChunk   = 16 << 10 // bytes of a body read at a time, and so held for a client that reads slowly
-	chunksPerTurn = 8        // such chunks before the others have their turn
+	streamChunk   = 16 << 10 // bytes of a stream read at a time, and so buffered for a client that reads slowly
+	chunksPerTurn = 8        // chunks forwarded before other connections get their turn
 )
 
-// forwardStream passes on what is here of the value whose turn it is. It tells whether
-// that is done with, the connection open, and the next answer may follow.
+// forwardStream forwards what has arrived of the value that is first in the queue. It reports whether the value
+// is done, the connection is still open, and the next reply may follow.
 func (c *client) forwardStream() bool {
 	f, s := c.front, c.first
 	if !s.headWritten && c.shouldBuffer(s) {
@@ -42,7 +42,7 @@
 		b = b[:len(b)+n]
 		switch {
 		case errors.Is(err, io.EOF):
-			b = append(b, "\r\n"...) // what makes it whole for the client comes with the proof that it is
+			b = append(b, "\r\n"...) // the terminator is sent only once the value is proven complete
 			s.endStream(true)
 			c.popSlot()
 		case errors.Is(err, reactor.ErrWait):
@@ -50,8 +50,8 @@
 				return false
 			}
 		case err != nil:
-			// The client can tell by the end of its connection that the value is
-			// not whole. There is no other way to say so within a bulk string.
+			// The client can tell from the end of its connection that the value is incomplete. There is no other way
+			// to signal it within a bulk string.
 			s.endStream(false)
 			c.closeAfterBrokenStream()
 			return false
@@ -72,8 +72,8 @@
 	return false
 }
 
-// shouldBuffer tells whether a value is to be waited for as a whole, in memory taken for it: one that breaks off
-// ends its connection, and others wait for their answers behind it there.
+// shouldBuffer reports whether a value is to be buffered whole, in memory reserved for it. A value that breaks
+// off while it is forwarded ends its connection, on which other requests wait for their replies.
 func (c *client) shouldBuffer(s *slot) bool {
 	if _, whole := s.stream.(*bufferedValue); whole {
 		return false
@@ -90,7 +90,7 @@
 	return true
 }
 
-// hasRequestBehind tells whether a request waits for its answer behind this one.
+// hasRequestBehind reports whether another request waits for its reply behind this slot.
 func (s *slot) hasRequestBehind() bool {
 	for next := s.next; next != nil; next = next.next {
 		if next.request != nil {
@@ -100,8 +100,8 @@
 	return false
 }
 
-// bufferStream reads what is here of a value that is held. It tells whether there is an answer to go on with: the
-// whole value, or that it failed.
+// bufferStream reads what has arrived of a value that is buffered. It reports whether there is a reply to
+// continue with: the complete value, or an error.
 func (c *client) bufferStream(s *slot) bool {
 	for range chunksPerTurn {
 		room := s.buffered[len(s.buffered):min(cap(s.buffered), len(s.buffered)+streamChunk)]
@@ -123,20 +123,20 @@
 	return false
 }
 
-// failStream answers in place of a value of which nothing has gone to the client that its request has failed.
+// failStream replaces a value of which nothing has been sent to the client by an error reply.
 func (c *client) failStream(s *slot) {
 	c.bufferDeadline = 0
 	s.closeStream()
 	s.data = failedReply
-	c.front.loop.memory.reserve(len(s.data)) // until it is written
+	c.front.loop.memory.reserve(len(s.data)) // released when it is written
 	c.addReplyBytes(len(s.data))
 	c.markDirty()
 }
 
-// bufferedValue is a body that is here as a whole.
+// bufferedValue is a valueStream that has been received completely.
 type bufferedValue struct{ rest []byte }
 
-// Size is the length of what is left.
+// Size returns the length of what is left.
 func (h *bufferedValue) Size() int { return len(h.rest) }
 
 // Read reads the next part.
@@ -148,13 +148,13 @@
 	return n, nil
 }
 
-// Notify has nothing to tell of.
+// Notify does nothing, as all data is present.
 func (*bufferedValue) Notify(func()) {}
 
-// Close gives it up.
+// Close does nothing.
 func (*bufferedValue) Close() {}
 
-// popSlot takes the first answer off the connection's order.
+// popSlot removes the first slot from the reply queue.
 func (c *client) popSlot() {
 	c.first = c.first.next
 	if c.first == nil {
@@ -163,13 +163,13 @@
 	c.pending--
 }
 
-// closeStream gives the body up.
+// closeStream closes the stream before its end.
 func (s *slot) closeStream() {
 	s.stream.Close()
 	s.endStream(false)
 }
 
-// endStream notes how the answer's body endStream.
+// endStream releases the stream and records whether it was delivered completely.
 func (s *slot) endStream(whole bool) {
 	s.client.front.loop.memory.release(cap(s.buffered))
 	s.stream, s.buffered = nil, nil
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	writeTimeout          = 5 * time.Second         // for a client to read on, once it does not
-	lingerTimeout         = 200 * time.Millisecond  // for a client to end a connection that was ended for it
-	maxPending            = 128                     // open requests on one connection
+	writeTimeout          = 5 * time.Second         // for a client that has stopped reading to read again
+	lingerTimeout         = 200 * time.Millisecond  // for a client to close its side after the ingress has ended the connection
+	maxPending            = 128                     // commands awaiting their replies on one connection
 	firstCommandTimeout   = 2200 * time.Millisecond // for the first command on a connection
-	partialCommandTimeout = 2 * time.Second         // for the rest of one that has begun
-	maxInvalidCommands    = 8                       // wrong commands after which a connection ends
+	partialCommandTimeout = 2 * time.Second         // for the rest of a command that has begun
+	maxInvalidCommands    = 8                       // invalid commands after which a connection ends
 	invalidCommandDelay   = 50 * time.Millisecond   // after the second one, and each further one
 	minPartialBuffer      = 512                     // bytes of buffer for a command that has begun
-	maxReplyBytes         = 256 << 10               // answers not written, past which nothing more is read
-	maxStalledReplyBytes  = 1 << 20                 // and past which a client that does not read is closed
-	stalledMemoryDivisor  = 2                       // of the memory for clients, at most so much for answers not read
+	maxReplyBytes         = 256 << 10               // bytes of unwritten replies beyond which nothing more is read
+	maxStalledReplyBytes  = 1 << 20                 // bytes of unwritten replies beyond which a client that does not read is disconnected
+	stalledMemoryDivisor  = 2                       // replies of stalled clients may take the memory for clients divided by this
 )
 
 var (
@@ -34,47 +34,47 @@
 	errNoMemory       = errors.New("no memory is left for the command")
 )
 
-// client is a client's connection. Commands start as they come; answers go in
-// the order of the commands.
+// client is the connection of a client. Commands start as they arrive; replies are written in the order of the
+// commands.
 type client struct {
 	front           *front
 	net             reactor.Conn // nil once closed
 	number          uint64       // in the order of acceptance, for logs
 	index           int          // in front.clients
-	invalidCommands int32        // wrong commands so far
+	invalidCommands int32        // so far
 	place           admission.Place[*client]
 	timer           reactor.Timer
 
-	first, last *slot // answers due, in order
+	first, last *slot // replies due, in order
 	pending     int
-	partial     []byte // what has been read of a command that is not whole, or is not to be taken yet
-	unwritten   []byte // what its client did not take of the answers last written
-	replyBytes  int    // bytes of answers that are due or unwritten
+	partial     []byte // what has been read of a command that is incomplete or not to be started yet
+	unwritten   []byte // what the socket did not accept of the last write
+	replyBytes  int    // bytes of replies that are due or unwritten
 
-	readAt         time.Duration // when what was last read had come
-	readDeadline   time.Duration // the first command, or the rest of one, must be here; 0: no bound
-	writeDeadline  time.Duration // the client must have taken unwritten; 0: nothing is
-	resumeAt       time.Duration // wrong commands: nothing is read before; 0: no pause
-	bufferDeadline time.Duration // the value that is waited for as a whole must be here; 0: none is
-	lingerUntil    time.Duration // the connection has been ended and closes then; 0: it has not
-	endedAt        time.Duration // when it has been
+	readAt         time.Duration // when the bytes last read had arrived
+	readDeadline   time.Duration // for the first command, or for the rest of one; 0: none
+	writeDeadline  time.Duration // for the client to accept unwritten; 0: nothing is unwritten
+	resumeAt       time.Duration // after invalid commands nothing is read before then; 0: no pause
+	bufferDeadline time.Duration // for the value that is buffered whole; 0: none is
+	lingerUntil    time.Duration // the connection has been ended and is closed then; 0: it has not been ended
+	endedAt        time.Duration // when the connection was ended
 
-	stallEntry *list.Element // its place among those that do not read
+	stallEntry *list.Element // in front.stalled; nil while the client reads
 
-	hasRequested bool        // has sent a request that could be taken
-	readTimed    bool        // readBy runs, for this command or the one before
-	readable     bool        // the socket may have more
-	readDelayed  bool        // what can be read has waited for us
-	hasBacklog   bool        // half may hold whole commands: they came while none was taken
-	closeQueued  bool        // is in front.parting: its client has ended it
-	readQueued   bool        // is in front.again
+	hasRequested bool        // has sent a request that was accepted
+	readTimed    bool        // readDeadline has been set for this command or the one before
+	readable     bool        // the socket may have more to read
+	readDelayed  bool        // readable input has waited for this process
+	hasBacklog   bool        // partial may hold complete commands, which arrived while none was accepted
+	closeQueued  bool        // is in front.closeQueue, as its client has ended it
+	readQueued   bool        // is in front.readQueue
 	flushQueued  bool        // is in front.dirty
-	closing      bool        // takes no further command, and ends when all is answered
-	inputClosed  bool        // reads nothing more: what has been read is all that it takes
-	reason       closeReason // closing: why
+	closing      bool        // accepts no further command, and ends when all are answered
+	inputClosed  bool        // reads nothing more; only what has been read is processed
+	reason       closeReason // why the connection closes, if it does
 }
 
-// reply answers a command at once, in its order.
+// reply answers a command immediately, in command order.
 func (c *client) reply(data []byte) {
 	c.front.loop.memory.reserve(len(data))
 	c.pushSlot(&slot{client: c, data: data, filled: true})
@@ -82,27 +82,26 @@
 	c.markDirty()
 }
 
-// replyError answers what is no valid request.
+// replyError answers an invalid command.
 func (c *client) replyError(err error) { c.reply(redcon.AppendError(nil, "ERR "+err.Error())) }
 
-// endWithError tells the client what is wrong and ends the connection.
+// endWithError sends the client an error and ends the connection.
 func (c *client) endWithError(reason closeReason, err error) {
 	c.replyError(err)
 	c.closeAfterReplies(reason)
 }
 
-// acceptsCommands tells whether a further command may be read.
+// acceptsCommands reports whether a further command may be read.
 func (c *client) acceptsCommands() bool {
 	return c.net != nil && !c.closing && !c.closeQueued && c.resumeAt == 0 &&
 		c.pending < maxPending && c.replyBytes < maxReplyBytes && !c.streaming()
 }
 
-// streaming tells whether a value is being passed on as it comes. If it breaks off the connection ends, and
-// what was read behind it would be lost.
+// streaming reports whether a value is being forwarded as it arrives. If it breaks off, the connection ends, and
+// commands read behind it would be lost.
 func (c *client) streaming() bool { return c.first != nil && c.first.headWritten }
 
-// processInput reads and starts commands, for as long as there are any and it is this
-// connection's turn.
+// processInput reads and starts commands, for as long as there are any and it is this connection's turn.
 func (c *client) processInput() {
 	for turn := 0; c.net != nil; turn++ {
 		if c.lingerUntil > 0 {
@@ -130,7 +129,7 @@
 	c.reportActivity()
 }
 
-// read reads once, and starts the commands that are whole.
+// read reads once, and starts the commands that are complete.
 func (c *client) read() {
 	buf := c.front.readBuffer
 	if len(c.partial) > 0 {
@@ -140,8 +139,8 @@
 		}
 		buf = c.partial[len(c.partial):cap(c.partial)]
 	}
-	// A request's time counts from when it came: it may have waited for a place,
-	// for its connection's turn, or while the process stood still.
+	// A request's time limit counts from its arrival: it may have waited for an admission place, for its
+	// connection's turn, or while the process was stalled.
 	waited := time.Duration(0)
 	if c.readAt == 0 || c.readDelayed || c.front.loop.Late() {
 		waited = c.net.Waited()
@@ -159,7 +158,7 @@
 		}
 		return
 	}
-	c.readDelayed = false // readable stays: a read may give less than there is, and what it leaves is not told again
+	c.readDelayed = false // readable stays set: a read may return less than there is, and no further event reports the rest
 	c.readAt = c.front.loop.Now() - waited
 	if len(c.partial) > 0 {
 		c.partial = c.partial[:len(c.partial)+n]
@@ -169,7 +168,7 @@
 	}
 }
 
-// growPartial makes room in half to read on.
+// growPartial enlarges partial to read on. It reports false if there is no memory.
 func (c *client) growPartial() bool {
 	size := min(2*cap(c.partial), resp.MaxMessage+minPartialBuffer)
 	if size == cap(c.partial) || !c.front.loop.memory.tryReserve(size-cap(c.partial)) {
@@ -179,7 +178,8 @@
 	return true
 }
 
-// keepPartial holds what is left of the commands read, in place of what was held.
+// keepPartial holds what is left of the bytes read, in place of what was held. It reports false if there is no
+// memory.
 func (c *client) keepPartial(rest []byte) bool {
 	memory := c.front.loop.memory
 	if len(rest) == 0 {
@@ -199,8 +199,7 @@
 	return true
 }
 
-// startCommands starts all whole startCommands of what was read, which is in half where
-// read is nil, and keeps the rest.
+// startCommands starts all complete commands in read, or in partial if read is nil, and keeps the rest.
 func (c *client) startCommands(read []byte) {
 	buf := read
 	if buf == nil {
@@ -217,7 +216,7 @@
 			break
 		}
 		buf = buf[n:]
-		if len(args) > 0 { // an empty array asks for nothing
+		if len(args) > 0 { // an empty array requests nothing
 			c.startCommand(args, n)
 		}
 	}
@@ -225,9 +224,9 @@
 		return
 	}
 	c.hasBacklog = len(buf) > 0 && !c.acceptsCommands()
-	// A client that says half a command and no more would keep its descriptor
-	// for good, and one that trickles is as bad: bytes buy no further time, whole
-	// commands do. One that waits for us is not to blame.
+	// A client that sends half a command and no more would keep its descriptor forever, and so would one that
+	// trickles bytes. Only complete commands extend the deadline, not bytes. A command that waits for this
+	// process has no deadline.
 	switch {
 	case len(buf) == 0 || c.hasBacklog:
 		c.readDeadline, c.readTimed = 0, false
@@ -241,7 +240,7 @@
 	c.resetTimer()
 }
 
-// startCommand starts a startCommand.
+// startCommand answers a PING or an invalid command, and starts any other as a request.
 func (c *client) startCommand(args [][]byte, size int) {
 	owner, cfg := c.front.loop, c.front.cfg
 	if equalFold(args[0], "PING") {
@@ -257,8 +256,8 @@
 	}
 	cmd, err := cfg.parseCommand(args)
 	if err != nil {
-		// Bounded for each connection, so that who sends nonsense as fast as it
-		// is turned away leaves the CPU to the others.
+		// Limited per connection, so that a client that sends invalid commands as fast as they are rejected leaves
+		// the CPU to the others.
 		c.invalidCommands++
 		if c.invalidCommands >= maxInvalidCommands {
 			c.endWithError(closedInvalidCommands, errTooManyInvalid)
@@ -271,7 +270,7 @@
 		return
 	}
 	if !owner.memory.tryReserve(size) {
-		// Nothing has run; holding more would end the whole process.
+		// Nothing has run, so the client may retry. Accepting more would exhaust the memory of the whole process.
 		owner.figures.classes[cmd.class].Busy++
 		c.reply(redcon.AppendError(nil, "BUSY"))
 		return
@@ -287,7 +286,7 @@
 	owner.startRequest(r)
 }
 
-// copyArgs copies the parts out of the read buffer.
+// copyArgs copies the arguments out of the read buffer.
 func copyArgs(args [][]byte, size int) [][]byte {
 	block := make([]byte, 0, size)
 	for i, a := range args {
@@ -298,8 +297,8 @@
 	return args
 }
 
-// reportActivity tells the admission controller whether anything is open on the connection; part of a
-// command is.
+// reportActivity tells the admission controller whether anything is open on the connection; an incomplete
+// command counts as open.
 func (c *client) reportActivity() {
 	switch {
 	case c.net == nil:
@@ -310,7 +309,7 @@
 	}
 }
 
-// hasInput tells whether there is something to read, whatever the poller has told.
+// hasInput reports whether there is something to read, whatever the poller has reported.
 func (c *client) hasInput() bool {
 	c.readable = c.readable || c.net.Pending()
 	return c.readable
--- a/internal/ingress/closing.go
+++ b/internal/ingress/closing.go
@@ -1,6 +1,6 @@
 package ingress
 
-// How a connection ends, and the deadlines that end it.
+// This file holds how a connection ends, and the deadlines that end it.
 
 import (
 	"time"
@@ -8,9 +8,8 @@
 	"wickarch/internal/lifecycle"
 )
 
-// closeAfterReplies lets the answers still due be written, and then ends the connection: one
-// that closes under them loses requests. What the client sends meanwhile is not
-// read: at full speed it would cost the others their CPU.
+// closeAfterReplies ends the connection once the pending replies are written: ending it earlier would lose
+// requests. What the client sends meanwhile is not read: a client at full speed would take CPU from the others.
 func (c *client) closeAfterReplies(reason closeReason) {
 	c.closing, c.reason = true, reason
 	c.readDeadline, c.resumeAt = 0, 0
@@ -19,10 +18,10 @@
 	c.resetTimer()
 }
 
-// lingeringClose ends the connection for the client, and keeps its end for a moment: closed
-// at once, what comes meanwhile would turn it into a reset that eats answers. None
-// of that is read. A request that crosses the end of its connection unread is sent
-// anew by its client; one that was read would be taken, and lost.
+// lingeringClose ends the connection for the client, and keeps the socket open for lingerTimeout: if it were
+// closed immediately, data that arrives meanwhile would cause a reset, which destroys replies in transit. None of
+// that data is read. A request that crosses the end of its connection unread is sent again by its client; one that
+// was read would be accepted, and lost.
 func (c *client) lingeringClose() {
 	if c.first != nil {
 		c.front.loop.recordViolation(lifecycle.CheckClose(c.pending, false), c.first.request)
@@ -38,8 +37,8 @@
 	c.resetTimer()
 }
 
-// finish reads what has come, and then no more: the connection ends behind the
-// answers to all that was read.
+// finish reads what has arrived, and nothing after that: the connection ends behind the replies to all that was
+// read.
 func (c *client) finish() {
 	if c.net == nil || c.closing {
 		return
@@ -51,10 +50,10 @@
 	}
 }
 
-// closeForAdmission closes the connection for the admission controller, unless something has come on it
-// that was not read yet: the poller tells so many events a round, and a round may
-// be late, so the clock alone would put our delay down to the client. A command
-// that crosses the close counts as not read, and the client sends it elsewhere.
+// closeForAdmission closes the connection for the admission controller, unless it has input that was not read
+// yet: the poller reports a limited number of events per round, and a round may be late, so the clock alone would
+// blame the client for a delay of this process. A command that crosses the close counts as not read, and the
+// client sends it elsewhere.
 func (c *client) closeForAdmission() (stays bool) {
 	if c.hasInput() {
 		c.front.queueRead(c)
@@ -69,57 +68,57 @@
 	return false
 }
 
-// resetTimer sets the timer to the first of the connection's deadlines.
+// resetTimer sets the timer to the earliest of the connection's deadlines.
 func (c *client) resetTimer() {
-	at := time.Duration(0)
-	for _, by := range [...]time.Duration{c.readDeadline, c.writeDeadline, c.resumeAt, c.lingerUntil, c.bufferDeadline} {
-		if by > 0 && (at == 0 || by < at) {
-			at = by
+	earliest := time.Duration(0)
+	for _, deadline := range [...]time.Duration{c.readDeadline, c.writeDeadline, c.resumeAt, c.lingerUntil, c.bufferDeadline} {
+		if deadline > 0 && (earliest == 0 || deadline < earliest) {
+			earliest = deadline
 		}
 	}
-	if at > 0 && c.net != nil {
-		c.front.loop.Set(&c.timer, at)
+	if earliest > 0 && c.net != nil {
+		c.front.loop.Set(&c.timer, earliest)
 	} else {
 		c.front.loop.Unset(&c.timer)
 	}
 }
 
-// Ring takes the deadlines that are over.
+// Ring handles the deadlines that have passed.
 func (c *client) Ring() {
 	now := c.front.loop.Now()
-	over := func(by *time.Duration) bool {
-		if *by == 0 || now < *by {
+	expired := func(deadline *time.Duration) bool {
+		if *deadline == 0 || now < *deadline {
 			return false
 		}
-		*by = 0
+		*deadline = 0
 		return true
 	}
 	switch {
-	case over(&c.lingerUntil):
-		// One that reads slowly has not got its answers yet. What crossed the end lies
-		// unread, and to close on it drops what is still to be sent.
+	case expired(&c.lingerUntil):
+		// A client that reads slowly has not received its replies yet. Data that crossed the end lies unread, and
+		// closing the socket over it drops what is still to be sent.
 		if c.net.Unsent() && now-c.endedAt < writeTimeout {
 			c.lingerUntil = now + lingerTimeout
 			break
 		}
 		c.close(closedLingerExpired, nil)
 		return
-	case over(&c.writeDeadline):
+	case expired(&c.writeDeadline):
 		c.close(closedSlowReader, nil)
 		return
-	case over(&c.bufferDeadline):
+	case expired(&c.bufferDeadline):
 		if s := c.first; s != nil && s.buffered != nil {
 			c.failStream(s)
 		}
-	case over(&c.resumeAt):
+	case expired(&c.resumeAt):
 		c.processInput()
-	case over(&c.readDeadline):
-		// What has come by now counts, though a late round has not read it yet.
+	case expired(&c.readDeadline):
+		// Input that has arrived by now counts, even if a late round has not read it yet.
 		if c.hasInput() {
 			c.processInput()
 		}
 		if c.net == nil || c.readDeadline > 0 || !c.readTimed {
-			break // it was whole, or has moved the bound
+			break // the command was complete, or has moved the deadline
 		}
 		if len(c.partial) > 0 {
 			c.endWithError(closedIncompleteCommand, errPartialCommand)
@@ -131,14 +130,14 @@
 	c.resetTimer()
 }
 
-// close closes the connection and ends its open requests. err is what the system said,
-// nil where it said nothing.
+// close closes the connection and abandons its open requests. err is the error of the system, nil if there was
+// none.
 func (c *client) close(reason closeReason, err error) {
 	f := c.front
 	if c.net == nil {
 		return
 	}
-	if c.lingerUntil == 0 && reason != closedLingerExpired { // its end has been told already
+	if c.lingerUntil == 0 && reason != closedLingerExpired { // its end has been counted already
 		f.loop.events.connectionClosed(c, reason, err)
 	}
 	c.net.Close()
@@ -153,9 +152,8 @@
 	f.loop.abandonRequests(open)
 }
 
-// closeAfterBrokenStream ends the connection behind what has been written, and its open
-// requests. To close it over commands that are not read would be a reset, which
-// takes the answers before with it.
+// closeAfterBrokenStream ends the connection behind what has been written, and abandons its open requests. Closing
+// the socket over commands that are not read would cause a reset, which destroys the replies before it.
 func (c *client) closeAfterBrokenStream() {
 	open := c.dropReplies()
 	c.reason = closedValueTruncated
@@ -163,7 +161,7 @@
 	c.front.loop.abandonRequests(open)
 }
 
-// dropReplies drops all answers that are due and returns the requests that are open.
+// dropReplies drops all replies that are due and returns the requests that are open.
 func (c *client) dropReplies() (open []*request) {
 	f := c.front
 	if c.stallEntry != nil {
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -14,11 +14,10 @@
 	"wickarch/internal/resp"
 )
 
-const maxArgs = 16 // of a command
+const maxArgs = 16 // per command
 
-// nextCommand takes the first whole command off buf; n is 0 while it is not
-// whole. The parts lie in buf. What is too long is refused by its length line,
-// before any of it is waited for.
+// nextCommand takes the first complete command off buf; n is 0 while it is incomplete. The arguments alias buf.
+// A command that is too long is rejected by its length line, before any of its data is awaited.
 func nextCommand(buf []byte) (args [][]byte, n int, err error) {
 	if len(buf) == 0 {
 		return nil, 0, nil
@@ -35,25 +34,24 @@
 	}
 	args = make([][]byte, 0, count)
 	for range count {
-		part, n, err := resp.Bulk(buf[at:], resp.MaxMessage-at)
+		arg, n, err := resp.Bulk(buf[at:], resp.MaxMessage-at)
 		if err != nil || n == 0 {
 			return nil, 0, err
 		}
-		args = append(args, part)
+		args = append(args, arg)
 		at += n
 	}
 	return args, at, nil
 }
 
-// command is one request of a client, decoded. All its values are in range: a
-// backend turns away what it can't use, and a customer's record must not
-// change by what is no request of his.
+// command is one decoded request of a client. All its values are in range: a backend rejects values that it can't
+// use, and an invalid request must not change the customer's record.
 type command struct {
 	args                 [][]byte // as the client sent them
-	limitStart, limitEnd int      // where the value of d stands in the options
+	limitStart, limitEnd int      // the position of d's value in the options
 	class, plan          int
 	customer             uint64
-	requestID            uint64 // the client's id, new with every try
+	requestID            uint64 // chosen by the client, new for each try
 	timeLimit            time.Duration
 	units                float64
 	spread, first        int
@@ -65,7 +63,7 @@
 	maxCustomer = 1 << 33
 )
 
-// parseCommand decodes a Q.ASK or Q.DO. Its error is worded for the client.
+// parseCommand decodes a Q.ASK or Q.DO. Its error texts are sent to the client.
 func (cfg *Config) parseCommand(args [][]byte) (*command, error) {
 	ask := equalFold(args[0], "Q.ASK")
 	switch {
@@ -98,15 +96,15 @@
 		if !ok {
 			return nil, errors.New("bad options")
 		}
-		is := optionNames[name]
-		if seen&is != 0 { // which of the two would a backend believe?
+		opt := optionNames[name]
+		if seen&opt != 0 { // backends might differ in which of the two they use
 			return nil, fmt.Errorf("%s stands twice", name)
 		}
-		seen |= is
-		if err = cfg.parseOption(c, is, name, value); err != nil {
+		seen |= opt
+		if err = cfg.parseOption(c, opt, name, value); err != nil {
 			return nil, err
 		}
-		if is == optLimit {
+		if opt == optLimit {
 			c.limitStart, c.limitEnd = at+len("d="), end
 		}
 		at = end + 1
@@ -121,10 +119,10 @@
 }
 
 // parseOption decodes the value of one option into the command.
-func (cfg *Config) parseOption(c *command, is option, name, value string) (err error) {
+func (cfg *Config) parseOption(c *command, opt option, name, value string) (err error) {
 	gateways := max(1, cfg.Choice.Gateways)
 	var ok bool
-	switch is {
+	switch opt {
 	case optClass:
 		if c.class, ok = cfg.classes[value]; !ok {
 			return errors.New("unknown class")
@@ -142,7 +140,7 @@
 		c.timeLimit = time.Duration(min(ms, math.MaxInt32) * float64(time.Millisecond))
 	case optUnits:
 		c.units, err = resp.Decimal(value)
-		if most := cfg.Choice.MaxUnits; err == nil && (c.units <= 0 || most > 0 && c.units > most) {
+		if maxUnits := cfg.Choice.MaxUnits; err == nil && (c.units <= 0 || maxUnits > 0 && c.units > maxUnits) {
 			err = resp.ErrMalformed
 		}
 	case optSpread:
@@ -160,7 +158,7 @@
 	return nil
 }
 
-// option is one of the names in a request's options, as a bit.
+// option is one of the option names of a request, as a bit.
 type option uint
 
 const (
@@ -178,7 +176,7 @@
 var optionNames = map[string]option{"c": optClass, "t": optPlan, "d": optLimit, "units": optUnits,
 	"spread": optSpread, "first": optFirst, "r": optRepeat}
 
-// equalFold compares a command's name, which may be written in any case.
+// equalFold compares a command name, ignoring case.
 func equalFold(a []byte, name string) bool { return strings.EqualFold(string(a), name) }
 
 func parseHex(b []byte) (uint64, error) {
@@ -188,17 +186,17 @@
 	return strconv.ParseUint(string(b), 16, 64)
 }
 
-// probe asks for a load report.
+// probe is the command that asks a backend for a load report.
 type probe struct{}
 
 var loadProbe probe
 
-// AppendTo appends the question.
+// AppendTo appends the command.
 func (probe) AppendTo(b []byte, _ time.Duration) []byte {
 	return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load")
 }
 
-// AppendTo appends the command for a backend: as the client sent it, with the
+// AppendTo appends the command for a backend: as the client sent it, except for the time limit, which becomes the
 // time that the ingress will wait.
 func (c *command) AppendTo(b []byte, wait time.Duration) []byte {
 	b = redcon.AppendArray(b, len(c.args))
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -13,76 +13,76 @@
 
 const (
 	acceptRetryDelay = 5 * time.Millisecond
-	growInterval     = time.Second // without a failed accept, for one place back
-	acceptBatch      = 64          // connections taken before the others have their turn
+	growInterval     = time.Second // without a failed accept, before one admission place is restored
+	acceptBatch      = 64          // connections accepted before the others have their turn
 	closeBatch       = 64          // connections closed that their clients have ended, likewise
 	batchInterval    = time.Millisecond
 	readBatch        = 4 // reads from one connection before the others have theirs
 	sharedBufferSize = 64 << 10
 )
 
-// front holds the listener and the clients' connections. Connections at rest
-// have no goroutine, no buffer and no timer.
+// front holds the listener and the clients' connections. Idle connections have no goroutine, no buffer and no
+// timer.
 type front struct {
 	cfg          *Config
 	loop         *loop
-	ln           reactor.Listener // nil once no further connection is taken
+	ln           reactor.Listener // nil once no further connection is accepted
 	admission    *admission.Controller[*client]
 	clients      []*client // in no order
-	readBuffer   []byte    // read into by every connection in turn
-	writeBuffer  []byte    // written from by every connection in turn
-	closeQueue   []*client // at rest, and ended by their clients; closed in batches
+	readBuffer   []byte    // for reads, shared by all connections
+	writeBuffer  []byte    // for writes, shared by all connections
+	closeQueue   []*client // idle, and ended by their clients; closed in batches
 	readQueue    []*client // have more to read than their turn allows
-	dirty        []*client // may have answers to write
-	unwatched    []*client // accepted, and the poller could not take them yet
+	dirty        []*client // may have replies to write
+	unwatched    []*client // accepted, but the poller could not register them yet
 	stalled      list.List // of *client: wait for their clients to read on, the longest first
-	stalledBytes int       // bytes of answers that these are due
+	stalledBytes int       // bytes of replies that are due to these
 	accepted     uint64    // connections so far
 
 	acceptReady     bool          // the listener may have more
-	acceptRetryAt   time.Duration // accept failed, or had its batch: not before then; 0 when not
-	growAt          time.Duration // a place is given back then; 0 when it has them all
+	acceptRetryAt   time.Duration // after a failed accept or a full batch, no accept before then; 0: no wait
+	growAt          time.Duration // an admission place is restored then; 0: none is missing
 	fdShortage      shortage
-	closeBatchAt    time.Duration // the next batch of those parting comes no sooner
-	emptyingBacklog bool          // the listener closes once nothing waits in its queue
+	closeBatchAt    time.Duration // no batch of closeQueue is closed before then
+	emptyingBacklog bool          // the listener closes once its backlog is empty
 	draining        bool
-	finished        bool          // takes no request but those that have come
-	onHold          bool          // another process of this ingress takes the clients still
-	empty           chan struct{} // closed when no further connection is taken and none is left
+	finished        bool          // accepts no request but those that have arrived
+	onHold          bool          // another process of this ingress still accepts the clients
+	empty           chan struct{} // closed when no further connection is accepted and none is left
 }
 
-// newFront makes a front and opens its address.
+// newFront creates a front and its listener.
 func newFront(cfg *Config, l *loop) (*front, error) {
 	limits := cfg.Options.Admission.Apply(cfg.Limits.admissionLimits())
 	if limits.Places >= cfg.Limits.Sockets {
-		return nil, fmt.Errorf("door.places: %d, with %d descriptors in all", limits.Places, cfg.Limits.Sockets)
+		return nil, fmt.Errorf("door.places is %d, but the process may hold only %d descriptors", limits.Places, cfg.Limits.Sockets)
 	}
-	d, err := admission.New[*client](limits)
+	controller, err := admission.New[*client](limits)
 	if err != nil {
 		return nil, err
 	}
-	f := &front{cfg: cfg, loop: l, admission: d, readBuffer: make([]byte, sharedBufferSize), empty: make(chan struct{}),
+	f := &front{cfg: cfg, loop: l, admission: controller, readBuffer: make([]byte, sharedBufferSize), empty: make(chan struct{}),
 		fdShortage: shortage{halfLimit: cfg.Limits.Sockets / 2}}
 	address := cfg.Listen
 	if cfg.InheritedListener != "" {
 		address = cfg.InheritedListener
 	}
 	if f.ln, err = l.Listen(address, (*acceptor)(f)); err != nil {
-		return nil, fmt.Errorf("clients: %w", err)
+		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
 	l.Add(f)
 	return f, nil
 }
 
-// Round does what has gathered in one round.
+// Round does the work that has accumulated in one round.
 func (f *front) Round() {
-	again := f.readQueue
+	queue := f.readQueue
 	f.readQueue = nil
-	for _, c := range again {
+	for _, c := range queue {
 		c.readQueued = false
 		c.processInput()
 		if c.first != nil && c.first.stream != nil {
-			c.markDirty() // the rest of what its turn did not allow
+			c.markDirty() // continues the stream that exceeded its turn
 		}
 	}
 	if f.loop.starved {
@@ -97,10 +97,10 @@
 	}
 }
 
-// Next tells when there is something to do though nothing happens.
+// Next returns when there is work to do even if no event arrives.
 func (f *front) Next() (at time.Duration, any bool) {
-	takes := f.acceptReady && f.ln != nil && !f.onHold && !f.emptyingBacklog
-	if len(f.readQueue) > 0 || len(f.dirty) > 0 || takes && f.acceptRetryAt == 0 && f.admission.HasRoom() {
+	accepting := f.acceptReady && f.ln != nil && !f.onHold && !f.emptyingBacklog
+	if len(f.readQueue) > 0 || len(f.dirty) > 0 || accepting && f.acceptRetryAt == 0 && f.admission.HasRoom() {
 		return 0, true
 	}
 	earlier := func(t time.Duration, ok bool) {
@@ -111,32 +111,32 @@
 	earlier(f.admission.NextDue(f.acceptBlocked()))
 	earlier(f.acceptRetryAt, f.acceptRetryAt > 0)
 	earlier(f.growAt, f.growAt > 0)
-	earlier(f.fdShortage.trialAt, takes && f.admission.Shrunk())
+	earlier(f.fdShortage.trialAt, accepting && f.admission.Shrunk())
 	earlier(f.closeBatchAt, len(f.closeQueue) > 0)
 	return at, any
 }
 
-// acceptBlocked tells that a connection waits in the listener's queue and finds no room.
+// acceptBlocked reports whether a connection waits in the listener's backlog and there is no place for it.
 func (f *front) acceptBlocked() bool {
 	return f.acceptReady && f.ln != nil && !f.onHold && !f.admission.HasRoom()
 }
 
-// acceptor is told of the listener.
+// acceptor handles the events of the listener.
 type acceptor front
 
-// Ready notes that connections wait.
+// Ready notes that connections wait to be accepted.
 func (a *acceptor) Ready(reactor.Event) { a.acceptReady = true }
 
-// Ready takes what happened on a connection.
+// Ready handles an event of the connection.
 func (c *client) Ready(e reactor.Event) {
 	f := c.front
 	if e&(reactor.Gone|reactor.Ended) != 0 {
-		// Told by the event and not by a read: while nothing is read, for all that
-		// is due or for a pause, the end lies behind bytes that nobody waits for
-		// any more, and what waits would be sent on though its client has left.
+		// The end is taken from the event and not from a read: while nothing is read, because of pending replies or
+		// a pause, the end lies behind bytes that nobody waits for any more, and waiting requests would be sent to
+		// backends though their client has disconnected.
 		if c.place.Idle() {
-			// When thousands end at once, the events of the busy few stand among
-			// theirs: to close each as it comes would hold those up.
+			// When thousands of clients disconnect at once, the events of the few busy ones are among theirs.
+			// Closing each connection immediately would delay the busy ones.
 			f.queueClose(c)
 		} else {
 			c.close(closedByClient, nil)
@@ -160,7 +160,7 @@
 	}
 }
 
-// queueClose notes that a connection at rest is to be closed.
+// queueClose queues an idle connection to be closed.
 func (f *front) queueClose(c *client) {
 	if !c.closeQueued {
 		c.closeQueued = true
@@ -168,7 +168,7 @@
 	}
 }
 
-// closeQueuedClients closes a batch of those whose clients have ended them.
+// closeQueuedClients closes a batch of the connections that their clients have ended.
 func (f *front) closeQueuedClients(now time.Duration) {
 	if len(f.closeQueue) == 0 || now < f.closeBatchAt {
 		return
@@ -184,8 +184,8 @@
 	f.closeBatchAt = now + batchInterval
 }
 
-// flush writes the answers that have become due. What all have to write in one
-// round goes with one call for each.
+// flush writes the replies that have become due. All that a connection has to write in one round goes out with
+// one call.
 func (f *front) flush() {
 	for len(f.dirty) > 0 {
 		dirty := f.dirty
@@ -201,7 +201,7 @@
 	}
 }
 
-// admitAndClose takes new connections and closes those that the admission controller selects.
+// admitAndClose accepts new connections and closes those that the admission controller selects.
 func (f *front) admitAndClose() {
 	now := f.loop.Now()
 	if f.acceptRetryAt > 0 && now >= f.acceptRetryAt {
@@ -227,7 +227,7 @@
 		f.acceptBacklog(now)
 		return
 	}
-	if len(f.unwatched) > 0 { // the poller could take no further one either
+	if len(f.unwatched) > 0 { // the poller could not register another one either
 		return
 	}
 	for n := 0; f.acceptReady && f.ln != nil && !f.onHold && f.acceptRetryAt == 0 && (f.admission.HasRoom() || f.shouldTryAccept(now)); n++ {
@@ -242,7 +242,7 @@
 			f.noteAccepted()
 		case errors.Is(err, reactor.ErrWait):
 			f.acceptReady = false
-		case errors.Is(err, reactor.ErrFiles): // the next ones wait in the queue
+		case errors.Is(err, reactor.ErrFiles): // the next ones wait in the backlog
 			f.loop.events.acceptFailed(err)
 			f.noteShortage(now)
 		default:
@@ -252,12 +252,12 @@
 	}
 }
 
-// shouldTryAccept tells whether a connection is to be taken beyond the places that a shortage has left.
+// shouldTryAccept reports whether to accept a connection beyond the places that a shortage has left.
 func (f *front) shouldTryAccept(now time.Duration) bool {
 	return f.admission.Shrunk() && f.fdShortage.trialDue(now)
 }
 
-// retryWatches has the poller watch the connections that it could not take.
+// retryWatches registers the connections that the poller could not register before.
 func (f *front) retryWatches(now time.Duration) {
 	if f.acceptRetryAt > 0 {
 		return
@@ -269,12 +269,12 @@
 	}
 }
 
-// noteAccepted notes that a connection was to be had, and gives the places back where that shows that
-// descriptors are not short.
+// noteAccepted records a successful accept, and restores the admission places if it shows that descriptors are
+// not short.
 func (f *front) noteAccepted() {
-	switch over := f.fdShortage.recordSuccess(f.openConnections()); {
+	switch recovered := f.fdShortage.recordSuccess(f.openConnections()); {
 	case !f.admission.Shrunk():
-	case over:
+	case recovered:
 		f.admission.Restore()
 		f.growAt = 0
 	case !f.admission.HasRoom():
@@ -282,10 +282,10 @@
 	}
 }
 
-// openConnections is how many connections the process holds.
+// openConnections returns how many connections the process holds.
 func (f *front) openConnections() int { return len(f.clients) + len(f.unwatched) + f.loop.pool.Open() }
 
-// noteShortage notes that no descriptor, or no memory for one, was to be had.
+// noteShortage records that no descriptor, or no memory for one, was available.
 func (f *front) noteShortage(now time.Duration) {
 	f.acceptRetryAt = now + acceptRetryDelay
 	if f.fdShortage.recordFailure(now, f.openConnections()) {
@@ -293,8 +293,8 @@
 	}
 }
 
-// shrink takes note that the process's descriptors have run out: the admission controller keeps to what there
-// is, and closes one at rest in place of what was wanted.
+// shrink handles a shortage that the process itself causes: the admission controller limits itself to the
+// connections that there are, and closes an idle one in place of the one that was wanted.
 func (f *front) shrink(now time.Duration) {
 	f.admission.Shrink()
 	f.growAt = now + growInterval
@@ -309,8 +309,8 @@
 	f.watchClient(c, now)
 }
 
-// watchClient has the poller watch a connection and serves it. Where the poller can't, the connection waits:
-// it may hold a request by now.
+// watchClient registers a connection with the poller and serves it. If the poller can't register it, the
+// connection waits: it may already hold a request.
 func (f *front) watchClient(c *client, now time.Duration) {
 	if err := c.net.Watch(c); err != nil {
 		f.loop.events.watchFailed(c, err)
@@ -323,12 +323,12 @@
 	f.clients = append(f.clients, c)
 	f.admission.Admit(&c.place, now)
 	c.resetTimer()
-	if f.finished { // it has waited in the queue: what it holds is all that is taken
+	if f.finished { // it has waited in the backlog: only what it already holds is processed
 		c.finish()
 	}
 }
 
-// removeClient forgets a connection that is closed.
+// removeClient removes a closed connection from clients.
 func (f *front) removeClient(c *client) {
 	last := len(f.clients) - 1
 	moved := f.clients[last]
@@ -337,7 +337,7 @@
 	f.clients = f.clients[:last]
 }
 
-// unstall takes a connection off those that wait for their clients to read on.
+// unstall removes a connection from those that wait for their clients to read on.
 func (f *front) unstall(c *client) {
 	if c.stallEntry != nil {
 		f.stalled.Remove(c.stallEntry)
@@ -345,7 +345,7 @@
 	}
 }
 
-// drain makes each connection close as soon as it has nothing open.
+// drain makes each connection close as soon as nothing is open on it.
 func (f *front) drain() {
 	f.draining = true
 	f.admission.Drain()
@@ -357,10 +357,9 @@
 	f.admission.Resume()
 }
 
-// closeListener ends the taking of connections. Those that wait in its queue are
-// taken before, room or not: the end of the listener would reset them, with the
-// requests that may lie in them. On an inherited socket they wait for whoever
-// holds it next.
+// closeListener stops accepting connections. Those in the backlog are accepted first, even without a free place:
+// closing the listener would reset them, with the requests that they may hold. On an inherited socket they wait
+// for the process that holds it next.
 func (f *front) closeListener() {
 	if f.ln == nil {
 		return
@@ -373,8 +372,8 @@
 	f.acceptBacklog(f.loop.Now())
 }
 
-// acceptBacklog takes all that waits, and closes the listener once nothing does. While accept fails it is
-// tried again.
+// acceptBacklog accepts all waiting connections, and closes the listener once there are none. It is retried while
+// accept fails.
 func (f *front) acceptBacklog(now time.Duration) {
 	for f.acceptRetryAt == 0 && f.ln != nil {
 		nc, err := f.ln.Accept()
@@ -395,9 +394,9 @@
 	f.ln = nil
 }
 
-// finish ends the taking of requests: what has come whole by now is answered, and
-// then each connection ends. What is taken later could not be answered in full
-// before the process has to be gone, and clients send for as long as they may.
+// finish stops accepting requests: those that have arrived completely are answered, and then each connection ends.
+// A later request could not be answered before the process has to end, and clients go on sending for as long as
+// they may.
 func (f *front) finish() {
 	f.finished = true
 	for _, c := range slices.Clone(f.clients) {
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -14,23 +14,22 @@
 )
 
 const (
-	// answerMargin is kept back from a client's time, so that an answer given
-	// at the end of it still arrives before the client gives up.
+	// answerMargin is subtracted from a client's time limit, so that an answer given at the end of it still arrives
+	// before the client gives up.
 	answerMargin          = 15 * time.Millisecond
-	answerMarginDivisor   = 10 // at most this part of the time is kept back
+	answerMarginDivisor   = 10 // answerMargin is at most the time limit divided by this
 	probeTimeout          = 250 * time.Millisecond
-	clientMemoryDivisor   = 6    // what is held for clients may take this part of the memory
-	customerMemoryDivisor = 5    // and what is known of customers this one, at
-	customerBytes         = 1400 // for each, with its places in the gateway's map and row
+	clientMemoryDivisor   = 6    // memory held for clients: the process's memory divided by this
+	customerMemoryDivisor = 5    // memory for customer records: the process's memory divided by this
+	customerBytes         = 1400 // memory of one customer record, with its entries in the gateway's map and row
 	recentRead            = 5 * time.Millisecond
-	idsMargin             = time.Second // ids are known for so long beyond the longest time of a request
+	idsMargin             = time.Second // request ids are remembered for so long beyond the longest deadline
 )
 
-// loop owns the gateway and all that is decided by it. It belongs to the
-// reactor's goroutine, as front and upstream do: a request passes from one to
-// the other by plain calls. None of these may reach the gateway while it is at
-// work itself, so what it asks for is answered, and what attempts end with is
-// told, by settle and by the pool's turn in the round.
+// loop owns the gateway and all that it decides on. It belongs to the reactor's goroutine, as front and upstream
+// do: a request passes from one to the other by plain calls. None of these may call the gateway while it is
+// running itself, so its answers are delivered by deliverAnswers, and the ends of attempts are reported in the
+// pool's turn of the round.
 type loop struct {
 	*reactor.Loop
 	cfg            *Config
@@ -39,19 +38,19 @@
 	ready          bool         // discovery was asked and backends are known
 	discoveryAsked bool         // discovery was asked at least once
 	pool           *upstream.Pool
-	starved        bool // descriptors have run out in a dial; the front makes room at its turn
+	starved        bool // descriptors have run out in a dial; the front makes room in its turn
 	requests       map[uint32]*request
 	lastID         uint32
 	ids            recentIDs
 	memory         *memory
-	answers        []answer // given and not handed out yet
+	answers        []answer // given by the gateway and not delivered yet
 	delivering     bool
 	figures        metrics
 	events         eventLog
 	starts         startClock
 	rules          []lifecycle.Rules // by class
-	freeAlarms     *alarm            // of the gateway's timers, to be used again
-	terms          *runtimeConfig    // nil while no version of configuration was in force
+	freeAlarms     *alarm            // of the gateway's timers, to be reused
+	terms          *runtimeConfig    // nil while no version of the configuration was in force
 }
 
 // outcomeKind is how a request ends for its client.
@@ -61,22 +60,22 @@
 	served outcomeKind = iota
 	refused
 	failed
-	duplicate // not taken: a request with its id is open, or was of late
+	duplicate // not accepted: a request with its id is open, or was recently
 )
 
-// outcome is the one final answer of a request, in no protocol's words.
+// outcome is the final answer of a request, independent of the protocol.
 type outcome struct {
 	kind       outcomeKind
-	value      []byte        // served: as the backend gave it
-	stream     valueStream   // in place of value, where that is large; whoever gets it reads it to its end or closes it
-	retryAfter time.Duration // refused: when to come again; 0: no advice
+	value      []byte        // served: as the backend sent it
+	stream     valueStream   // in place of value, if that is large; the receiver reads it to its end or closes it
+	retryAfter time.Duration // refused: the advised delay before a retry; 0: no advice
 }
 
-// answerer takes the one final answer of a request. It does not block, and is
-// never called while the gateway is at work.
+// answerer receives the final answer of a request. It does not block, and is never called while the gateway is
+// running.
 type answerer interface {
 	Answer(outcome)
-	// Disconnected tells whether whoever waits for the answer has left, as far as the system knows.
+	// Disconnected reports whether the receiver of the answer has left, as far as the system knows.
 	Disconnected() bool
 }
 
@@ -85,21 +84,20 @@
 	outcome
 }
 
-// request is one try of a client, from its last byte to its final answer and
-// the end of its last attempt.
+// request is one try of a client, from its last byte to its final answer and the end of its last attempt.
 type request struct {
 	*command
-	id          uint32 // the gateway's: the clients' ids are longer
+	id          uint32 // the id that the gateway uses: the clients' ids are longer
 	size        int
 	replyTo     answerer
-	slot        slot // the answer's place, where the client speaks RESP
+	slot        slot // the place of the reply, if the client speaks RESP
 	deadline    time.Duration
-	takenAt     time.Duration // when it was taken
-	firstSentAt time.Duration // its first attempt
+	takenAt     time.Duration // when it was accepted
+	firstSentAt time.Duration // when its first attempt began
 	state       lifecycle.Request
 	attempts    []*upstream.Attempt
 
-	firstAttempt  upstream.Attempt // most need no other
+	firstAttempt  upstream.Attempt // most requests need no other
 	attemptsArray [1]*upstream.Attempt
 }
 
@@ -121,9 +119,9 @@
 		ConnectTimeout: cfg.connectTimeout, ReportFields: cfg.Choice.ReportFields, TrustThreshold: cfg.Proof}, on, l)
 	on.Add(l.pool)
 	var err error
-	decide := cfg.Choice
-	decide.MaxCustomers = cfg.Limits.MemoryMB << 20 / customerMemoryDivisor / customerBytes
-	if l.gateway, err = choice.New(decide, cfg.Seed, l.Now(), l); err != nil {
+	choiceConfig := cfg.Choice
+	choiceConfig.MaxCustomers = cfg.Limits.MemoryMB << 20 / customerMemoryDivisor / customerBytes
+	if l.gateway, err = choice.New(choiceConfig, cfg.Seed, l.Now(), l); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	if l.fleet, err = fleet.New(cfg.Choice, l.gateway, l.Now()); err != nil {
@@ -133,9 +131,9 @@
 	return l, nil
 }
 
-// deliverAnswers hands out the answers that the gateway has given. It is called behind
-// every call of the gateway. To hand out one may end other requests, whose
-// clients do not read; their part is done before it returns, too.
+// deliverAnswers delivers the answers that the gateway has given. It is called after every call of the gateway.
+// A delivery may end other requests, whose clients do not read; what these lead to is also delivered before it
+// returns.
 func (l *loop) deliverAnswers() {
 	if l.delivering {
 		return
@@ -150,7 +148,7 @@
 	l.delivering = false
 }
 
-// startRequest takes a client's try.
+// startRequest submits a client's request to the gateway.
 func (l *loop) startRequest(r *request) {
 	l.lastID++
 	for l.requests[l.lastID] != nil {
@@ -168,7 +166,7 @@
 			Units: r.units, Spread: r.spread, First: r.first, ClientRetry: r.repeat,
 		})
 	} else {
-		// The copy of another's open request: its value belongs to that one alone.
+		// A copy of another client's open request: the value belongs to that request alone.
 		l.answer(r, outcome{kind: duplicate})
 	}
 	l.fleet.Step(now)
@@ -176,14 +174,14 @@
 	l.deliverAnswers()
 }
 
-// recentIDs knows the clients' ids for a span at least, and for two at most.
+// recentIDs remembers the clients' request ids for one retention period at least, and for two at most.
 type recentIDs struct {
 	retention         time.Duration
 	rotatedAt         time.Duration
 	current, previous map[uint64]struct{}
 }
 
-// add returns false if the id is known.
+// add remembers the id and returns false if it is known already.
 func (r *recentIDs) add(id uint64, now time.Duration) bool {
 	if r.current == nil || now-r.rotatedAt >= r.retention {
 		r.previous, r.current, r.rotatedAt = r.current, map[uint64]struct{}{}, now
@@ -201,7 +199,7 @@
 	delete(r.previous, id)
 }
 
-// forgetIfDone drops a request that is over and has nothing out.
+// forgetIfDone drops a request that has ended and has no attempt in flight.
 func (l *loop) forgetIfDone(r *request) {
 	if r.state.Finished() && r.state.InFlight() == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
@@ -209,7 +207,7 @@
 	}
 }
 
-// abandonRequests ends open requests whose client has left.
+// abandonRequests ends open requests whose client has disconnected.
 func (l *loop) abandonRequests(open []*request) {
 	if len(open) == 0 {
 		return
@@ -219,7 +217,7 @@
 			l.figures.open--
 			l.events.requestAbandoned(r)
 			if len(r.attempts) == 0 {
-				l.ids.remove(r.requestID) // nothing was sent on: it may come again
+				l.ids.remove(r.requestID) // no attempt was made: the id may be used again
 			}
 			l.withdraw(r)
 			l.gateway.Disconnected(l.Now(), r.id)
@@ -229,15 +227,15 @@
 	l.deliverAnswers()
 }
 
-// withdraw drops what a request that is over waits to send, whether or not the
-// settings let work be cancelled: what has not been written whole never ran.
+// withdraw discards what a request that has ended still waits to send, whether or not the settings allow work to
+// be cancelled: what has not been written whole never ran.
 func (l *loop) withdraw(r *request) {
 	for _, a := range r.attempts {
 		l.pool.Withdraw(a)
 	}
 }
 
-// Ended takes the end of an attempt or a probe.
+// Ended handles the end of an attempt or a probe.
 func (l *loop) Ended(a *upstream.Attempt, reply upstream.Reply, elapsed time.Duration) {
 	defer l.deliverAnswers()
 	if a.Probe {
@@ -267,7 +265,7 @@
 	l.forgetIfDone(r)
 }
 
-// Trailer takes what stood behind a large value.
+// Trailer handles the usage report that follows a large value.
 func (l *loop) Trailer(a *upstream.Attempt, reply upstream.Reply) {
 	if r := a.Owner.(*request); reply.Metered {
 		l.gateway.LateReading(l.Now(), r.customer, r.plan, reply.Used, reply.Age)
@@ -275,8 +273,8 @@
 	}
 }
 
-// streamEnded notes the end of a large value's way to its client. One that did not get
-// all of it has no answer.
+// streamEnded records the end of a large value's transfer to its client. The request counts as failed if the
+// client did not get all of it.
 func (l *loop) streamEnded(r *request, whole bool) {
 	l.figures.open--
 	if whole {
@@ -286,11 +284,11 @@
 	}
 }
 
-// OutOfDescriptors notes that a dial wants room. Connections are closed for it later: this
-// is called while the gateway is at work, and a connection closed may end requests.
+// OutOfDescriptors notes that a dial needs a descriptor. Connections are closed for it later: this is called while
+// the gateway is running, and closing a connection may end requests.
 func (l *loop) OutOfDescriptors() { l.starved = true }
 
-// Written counts an attempt that has come whole to a backend.
+// Written counts an attempt that was written whole to a backend.
 func (l *loop) Written(a *upstream.Attempt) {
 	if !a.Probe {
 		l.figures.classes[a.Owner.(*request).class].Calls++
@@ -302,15 +300,15 @@
 	if r == nil {
 		return
 	}
-	give, wrong := r.state.Answer(o.kind == refused)
-	if !give {
+	allowed, violation := r.state.Answer(o.kind == refused)
+	if !allowed {
 		return
 	}
-	if l.recordViolation(wrong, r) {
-		o = outcome{kind: failed} // promises nothing
+	if l.recordViolation(violation, r) {
+		o = outcome{kind: failed} // makes no promise
 	}
 	l.events.requestAnswered(r, o.kind)
-	l.withdraw(r) // a second copy that has not gone out yet
+	l.withdraw(r) // a hedged attempt that has not been sent yet
 	if o.stream == nil {
 		l.figures.open--
 		l.figures.classes[r.class].count(o.kind)
@@ -318,13 +316,13 @@
 	l.answers = append(l.answers, answer{r.replyTo, o})
 }
 
-// updateMembers takes a list of backends from discovery.
+// updateMembers applies a list of backends from discovery.
 func (l *loop) updateMembers(kind choice.ListKind, list MemberList) {
 	now := l.Now()
 	l.starts.observe(now, l.Wall())
 	backends := make([]choice.Backend, 0, len(list.Members))
 	keys := make(map[uint32]uint64, len(list.Members)) // the gateway's numbers are its own
-	named := make(map[string]bool, len(list.Members))
+	listed := make(map[string]bool, len(list.Members))
 	for _, m := range list.Members {
 		state := choice.Ready
 		switch m.Phase {
@@ -333,11 +331,11 @@
 		case PhaseDeleted:
 			state = choice.Removed
 		}
-		// One process serves at an address. The one that started last has taken
-		// it over; the other is gone, though discovery has not noticed yet. What
-		// is sent to that one would reach the new one, cold, and not be counted.
-		known := upstream.Member{Name: m.ID, Address: m.HostPort, StartedAt: m.UpSince}
-		if other, any := l.pool.OtherAtAddress(known); state == choice.Ready && any {
+		// Only one process serves at an address. The one that started last has taken it over; the other has ended,
+		// even if discovery has not noticed it yet. Requests for the old one would reach the new one, which is
+		// cold, and would not count as load on it.
+		member := upstream.Member{Name: m.ID, Address: m.HostPort, StartedAt: m.UpSince}
+		if other, any := l.pool.OtherAtAddress(member); state == choice.Ready && any {
 			if other.StartedAt > m.UpSince {
 				state = choice.Removed
 			} else {
@@ -345,10 +343,10 @@
 				backends = append(backends, choice.Backend{ID: l.pool.Update(other), State: choice.Removed})
 			}
 		}
-		known.State = state
-		named[m.ID] = true
+		member.State = state
+		listed[m.ID] = true
 		b := choice.Backend{
-			ID: l.pool.Update(known), Zone: indexOf(l.cfg.zones, m.Locality), Kind: indexOf(l.cfg.kinds, m.Flavor),
+			ID: l.pool.Update(member), Zone: indexOf(l.cfg.zones, m.Locality), Kind: indexOf(l.cfg.kinds, m.Flavor),
 			Cell: m.Cell, State: state, Weight: m.Size,
 		}
 		b.Started, b.StartKnown = l.started(m)
@@ -359,27 +357,28 @@
 		backends = append(backends, b)
 	}
 	if kind != choice.Delta {
-		l.pool.RemoveUnlisted(named)
-		l.starts.retain(named)
+		l.pool.RemoveUnlisted(listed)
+		l.starts.retain(listed)
 	}
 	l.fleet.Members(now, kind, backends, func(b choice.Backend) uint64 { return keys[b.ID] })
 	l.deliverAnswers()
 	l.checkReady()
 }
 
-// markAsked marks that discovery was asked for the list, whether or not it answered.
+// markAsked records that discovery was asked for the list, whether or not it answered.
 func (l *loop) markAsked() {
 	l.discoveryAsked = true
 	l.checkReady()
 }
 
-// checkReady lets clients in once there is a backend. The list of the
-// configuration may be old, so discovery is asked first.
+// checkReady lets clients in once there is a backend. The list in the configuration may be old, so discovery is
+// asked first.
 func (l *loop) checkReady() {
 	l.ready = l.ready || l.discoveryAsked && l.pool.AnyReady()
 }
 
-// started tells when a backend started, by the gateway's clock. 0 stands for long ago.
+// started returns when a backend started, by the gateway's clock, and whether discovery states it. 0 stands for
+// long ago.
 func (l *loop) started(m Member) (at time.Duration, dated bool) {
 	if m.UpSince <= 0 {
 		return 0, false
@@ -387,16 +386,15 @@
 	return l.starts.startTime(m.ID, m.UpSince, l.Now()), true
 }
 
-// indexOf is the place of a name in a list of the settings; a name that is not
-// there is no place of ours.
-func indexOf(places map[string]int, name string) int {
-	if i, ok := places[name]; ok {
+// indexOf returns the position of a name in a list of the settings, or -1 for a name that is not listed.
+func indexOf(positions map[string]int, name string) int {
+	if i, ok := positions[name]; ok {
 		return i
 	}
 	return -1
 }
 
-// The gateway's actions.
+// The methods below are the gateway's choice.Actions.
 
 // Send starts an attempt.
 func (l *loop) Send(id, backend uint32, timeout time.Duration) {
@@ -410,7 +408,7 @@
 	*a = upstream.Attempt{Message: r, Owner: r, Number: len(r.attempts), Backend: backend, Deadline: l.Now() + timeout,
 		Repeatable: l.cfg.Choice.Classes[r.class].Effect == choice.Idempotent}
 	if class := &l.cfg.Choice.Classes[r.class]; class.Effect == choice.Deduplicated && a != &r.firstAttempt {
-		a.WriteBy = r.firstSentAt + class.Window // later its repeat is not dropped any more
+		a.WriteBy = r.firstSentAt + class.Window // later on, backends no longer drop its repeat
 	} else if a == &r.firstAttempt {
 		r.firstSentAt = l.Now()
 	}
@@ -424,7 +422,7 @@
 	l.pool.Start(a)
 }
 
-// MayWrite is the last look before the first byte of an attempt.
+// MayWrite is the last check before the first byte of an attempt.
 func (l *loop) MayWrite(a *upstream.Attempt) bool {
 	if a.Probe {
 		return true
@@ -433,37 +431,39 @@
 	if l.recordViolation(r.state.CheckWrite(l.Now()), r) {
 		return false
 	}
-	// Just after its reading nothing can have happened that is not known. Later an event that tells of the
-	// client's end may be late.
+	// Just after the request was read, its client can't have disconnected unnoticed. Later, the event that reports
+	// the disconnect may be late.
 	return l.Now()-r.takenAt < recentRead && !l.Late() || !r.replyTo.Disconnected()
 }
 
-// recordViolation counts and logs a step that the rule on requests forbids. Whoever asked does not take it.
+// recordViolation counts and logs a step that the rule on requests forbids, and reports whether v is one. The
+// caller does not take such a step.
 func (l *loop) recordViolation(v lifecycle.Violation, r *request) bool {
 	if !l.events.violations.Add(v) {
 		return false
 	}
-	name := uint64(0)
+	requestID := uint64(0)
 	if r != nil {
-		name = r.requestID
+		requestID = r.requestID
 	}
-	slog.Error("a step that the rule on requests forbids was not taken", "violation", v, "request", fmt.Sprintf("%016x", name))
+	slog.Error("blocked a step that the rule on requests forbids", "violation", v, "request", fmt.Sprintf("%016x", requestID))
 	return true
 }
 
-// mayHaveRun tells what the end of an attempt says of it.
+// mayHaveRun reports whether an attempt that ended with this status may have run.
 func mayHaveRun(s choice.Status) bool {
 	return s != choice.Refused && s != choice.ConnectFailed && s != choice.Unsent
 }
 
-// lifecycleRules are the rules of each class.
+// lifecycleRules returns the lifecycle rules of each class.
 func lifecycleRules(cfg choice.Config) (rules []lifecycle.Rules) {
-	mostOut := 1
+	maxInFlight := 1
 	if cfg.Hedging {
-		mostOut = 2
+		maxInFlight = 2
 	}
 	for _, c := range cfg.Classes {
-		r := lifecycle.Rules{DedupWindow: c.Window, DedupAcrossBackends: c.Group == choice.GroupAll, MaxInFlight: mostOut, MaxAttempts: cfg.MaxAttempts}
+		r := lifecycle.Rules{DedupWindow: c.Window, DedupAcrossBackends: c.Group == choice.GroupAll,
+			MaxInFlight: maxInFlight, MaxAttempts: cfg.MaxAttempts}
 		switch c.Effect {
 		case choice.Deduplicated:
 			r.Idempotency = lifecycle.Deduplicated
@@ -475,7 +475,7 @@
 	return rules
 }
 
-// Refuse answers that trying again does no harm.
+// Refuse answers that a retry does no harm.
 func (l *loop) Refuse(id uint32, after time.Duration) {
 	l.answer(l.requests[id], outcome{kind: refused, retryAfter: after})
 }
@@ -483,7 +483,7 @@
 // Fail answers without a promise.
 func (l *loop) Fail(id uint32) { l.answer(l.requests[id], outcome{kind: failed}) }
 
-// Cancel stops the wait for an attempt. Its end comes as for any other.
+// Cancel stops waiting for an attempt. Its end is reported as for any other.
 func (l *loop) Cancel(id uint32, number int) {
 	if r := l.requests[id]; r != nil && number < len(r.attempts) {
 		l.pool.Abort(r.attempts[number])
@@ -495,7 +495,7 @@
 	l.pool.Start(&upstream.Attempt{Message: loadProbe, Probe: true, Repeatable: true, Backend: backend, Deadline: l.Now() + probeTimeout})
 }
 
-// SetTimer sets a timer.
+// SetTimer starts a timer of the gateway.
 func (l *loop) SetTimer(wait time.Duration, token uint64) {
 	a := l.freeAlarms
 	if a == nil {
@@ -508,7 +508,7 @@
 	l.Set(&a.timer, l.Now()+wait)
 }
 
-// alarm is one timer of the gateway's.
+// alarm is one timer of the gateway.
 type alarm struct {
 	loop  *loop
 	timer reactor.Timer
@@ -516,7 +516,7 @@
 	next  *alarm
 }
 
-// Ring hands the timer to the gateway.
+// Ring reports the expired timer to the gateway.
 func (a *alarm) Ring() {
 	l := a.loop
 	token := a.token
--- a/internal/ingress/memory.go
+++ b/internal/ingress/memory.go
@@ -1,13 +1,13 @@
 package ingress
 
-// memory counts the bytes that are held for clients: open requests, read
-// buffers beyond their usual size, and answers not written yet. Past the bound
-// requests are refused; held, they would end the whole process.
+// memory counts the bytes that are held for clients: open requests, read buffers beyond their usual size, and
+// unwritten replies. Requests beyond the limit are refused; accepting them would exhaust the memory of the whole
+// process.
 type memory struct {
 	used, limit int64
 }
 
-// tryReserve holds n bytes more, if there is room for them.
+// tryReserve reserves n bytes if they fit within the limit.
 func (m *memory) tryReserve(n int) bool {
 	if m.used+int64(n) > m.limit {
 		return false
@@ -16,7 +16,7 @@
 	return true
 }
 
-// reserve holds n bytes that can't be refused any more.
+// reserve reserves n bytes that can't be refused any more, even beyond the limit.
 func (m *memory) reserve(n int) { m.used += int64(n) }
 
 func (m *memory) release(n int) { m.used -= int64(n) }
--- a/internal/ingress/shortage.go
+++ b/internal/ingress/shortage.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	// transientShortage is how long a shortage may last that the process has no part in.
+	// transientShortage is how long a shortage may last before it counts as caused by this process, however few
+	// connections it holds.
 	transientShortage = 500 * time.Millisecond
-	minTrialInterval  = 5 * time.Millisecond  // between two looks whether descriptors are short still
-	maxTrialInterval  = 80 * time.Millisecond // the same, at most: the time doubles
+	minTrialInterval  = 5 * time.Millisecond  // first interval between checks whether descriptors are still short
+	maxTrialInterval  = 80 * time.Millisecond // upper bound of that interval, which doubles
 )
 
-// shortage judges failures for want of descriptors or memory: whether what the process itself holds is
-// short, and whether it is over.
+// shortage evaluates failures for lack of descriptors or memory: whether the connections that the process itself
+// holds cause the shortage, and whether it is over.
 type shortage struct {
-	halfLimit     int           // of the descriptors that the process may hold
-	failingSince  time.Duration // since when no connection was to be had; 0 when one was
-	lastFailure   time.Duration // when one was last missed
-	heldAtFailure int           // connections held at the last shortage of its own
-	trialAt       time.Duration // not tried again before then
-	trialInterval time.Duration // how long that waits
+	halfLimit     int           // half of the descriptors that the process may hold
+	failingSince  time.Duration // when accepts or dials began to fail; 0 after a success
+	lastFailure   time.Duration // when the last one failed
+	heldAtFailure int           // connections held at the last shortage that the process caused
+	trialAt       time.Duration // no trial before then
+	trialInterval time.Duration // between trials
 }
 
-// recordFailure notes a failure with so many connections held. It tells whether it may be these that are too many: they are
-// many, or the shortage lasts.
+// recordFailure records a failure while so many connections are held. It reports whether these may be the cause:
+// they are many, or the shortage lasts.
 func (s *shortage) recordFailure(now time.Duration, held int) bool {
 	if s.failingSince == 0 || now-s.lastFailure > transientShortage/2 {
 		s.failingSince = now
@@ -36,12 +37,12 @@
 	return true
 }
 
-// trialDue tells whether a connection is to be tried beyond what a shortage has left: only that shows whether
-// it lasts.
+// trialDue reports whether to try one connection beyond the places that a shortage has left: only a trial shows
+// whether the shortage lasts.
 func (s *shortage) trialDue(now time.Duration) bool { return now >= s.trialAt }
 
-// recordSuccess notes a connection that was had. It tells whether so many held now show that the shortage was none of
-// the process's own: more than when it failed.
+// recordSuccess records a successful accept. It reports whether the number of connections held now shows that they
+// did not cause the shortage: it is higher than at the failure.
 func (s *shortage) recordSuccess(held int) bool {
 	s.failingSince = 0
 	if held <= s.heldAtFailure {
@@ -51,5 +52,5 @@
 	return true
 }
 
-// postponeTrial puts the next trial off.
+// postponeTrial delays the next trial by the interval between trials.
 func (s *shortage) postponeTrial(now time.Duration) { s.trialAt = now + s.trialInterval }
