--- a/internal/ingress/body_test.go
+++ b/internal/ingress/body_test.go
@@ -8,27 +8,27 @@
 	"testing"
 )
 
-// largeValue is told apart by its number.
+// largeValue returns a value that is identified by its number.
 func largeValue(n int) string { return strings.Repeat(fmt.Sprintf("%07d ", n), 1<<18) } // 2 MiB
 
-// wantLargeValue reads a large value, head and end as well.
+// wantLargeValue reads a large value including its header and terminator.
 func (c *fakeClient) wantLargeValue(want string) {
 	c.t.Helper()
 	head, err := c.in.ReadString('\n')
 	if err != nil || head != fmt.Sprintf("$%d\r\n", len(want)) {
-		c.t.Fatalf("head %q, %v", head, err)
+		c.t.Fatalf("bulk header %q, error %v", head, err)
 	}
 	got := make([]byte, len(want)+2)
 	if n, err := io.ReadFull(c.in, got); err != nil {
-		c.t.Fatalf("%d bytes of %d: %v", n, len(want), err)
+		c.t.Fatalf("got %d of %d bytes: %v", n, len(want), err)
 	}
 	if string(got) != want+"\r\n" {
-		c.t.Fatal("another value came")
+		c.t.Fatal("got another value")
 	}
 }
 
-// Many large values for clients that do not read yet: what is held of each is a
-// small part, and each comes whole to whom it belongs.
+// Guards against large values that are held in memory while their clients do not read: only a chunk of each may be
+// held, and each client must get its own value complete.
 func TestLargeValuesAreNotHeld(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"))
@@ -36,43 +36,43 @@
 	var clients []*fakeClient
 	for n := range many {
 		c := r.dial()
-		if err := c.nc.(*net.TCPConn).SetReadBuffer(256 << 10); err != nil { // or the kernel holds all of it
+		if err := c.nc.(*net.TCPConn).SetReadBuffer(256 << 10); err != nil { // otherwise the kernel would buffer all of it
 			t.Error(err)
 		}
 		c.send("Q.ASK", someCustomer, newID(), lookup)
 		got := wait(t, "a command", b.Got)
-		go got.Answer(largeValue(n)) // until all of it is taken
+		go got.Answer(largeValue(n)) // blocks until all of it is read
 		clients = append(clients, c)
 	}
-	// The kernel holds a part of each; what is behind that waits at the backend.
+	// The kernel buffers a part of each value; the rest waits at the backend.
 	for _, c := range clients {
 		if _, err := c.in.Peek(1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.eventually("all clients are behind", func(l *loop) bool { return r.server.front.stalled.Len() == many })
+	r.eventually("all clients to stall", func(l *loop) bool { return r.server.front.stalled.Len() == many })
 	r.onLoop(func(l *loop) {
-		if most := int64(many * (streamChunk + 64)); l.memory.used > most {
-			t.Errorf("%d bytes are held for %d values, want %d at most", l.memory.used, many, most)
+		if maxHeld := int64(many * (streamChunk + 64)); l.memory.used > maxHeld {
+			t.Errorf("%d bytes are held for %d values, want at most %d", l.memory.used, many, maxHeld)
 		}
 	})
 	if f := r.metrics(); f["inflight"] != many || f["success.lookup"] != 0 {
-		t.Errorf("inflight=%d success=%d on the way, want %d and 0", f["inflight"], f["success.lookup"], many)
+		t.Errorf("inflight=%d success=%d while values are forwarded, want %d and 0", f["inflight"], f["success.lookup"], many)
 	}
 	for n, c := range clients {
 		c.wantLargeValue(largeValue(n))
 	}
-	// Each connection goes on behind it.
+	// Each connection continues after the value.
 	clients[0].send("PING")
 	clients[0].want("+PONG")
 	if f := r.metrics(); f["inflight"] != 0 || f["success.lookup"] != many {
 		t.Errorf("inflight=%d success=%d at the end, want 0 and %d", f["inflight"], f["success.lookup"], many)
 	}
-	r.eventually("nothing is held", func(l *loop) bool { return l.memory.used == 0 })
+	r.eventually("all memory to be released", func(l *loop) bool { return l.memory.used == 0 })
 }
 
-// Answers keep their order round a large one, and a drain waits for its end.
-func TestLargeValueKeepsItsPlaceInTheOrder(t *testing.T) {
+// Replies must keep their order around a large value, and a drain must wait for its end.
+func TestLargeValueKeepsReplyOrder(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("s-1"))
 	c := r.dial()
@@ -91,8 +91,8 @@
 	c.wantEnd()
 }
 
-// A value that breaks off ends the connection before what would make it whole.
-func TestLargeValueThatBreaksOffIsNotMadeWhole(t *testing.T) {
+// A value that breaks off must end the connection, and not be completed with a terminator.
+func TestBrokenLargeValueEndsConnection(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"))
 	c := r.dial()
@@ -105,19 +105,19 @@
 	}()
 	head, err := c.in.ReadString('\n')
 	if err != nil || head != fmt.Sprintf("$%d\r\n", len(value)) {
-		t.Fatalf("head %q, %v", head, err)
+		t.Fatalf("bulk header %q, error %v", head, err)
 	}
 	if rest, _ := io.ReadAll(c.in); len(rest) > len(value)/2 || string(rest) != value[:len(rest)] {
-		t.Errorf("%d bytes came of a value of which %d were sent", len(rest), len(value)/2)
+		t.Errorf("got %d bytes, want a prefix of the %d bytes sent", len(rest), len(value)/2)
 	}
 	if f := r.metrics(); f["inflight"] != 0 || f["failure.lookup"] != 1 {
 		t.Errorf("inflight=%d failure=%d, want 0 and 1", f["inflight"], f["failure.lookup"])
 	}
 }
 
-// Guards against requests that are lost with a large value in front of them: it breaks off at its backend, which
-// ended the connection under the answers behind it.
-func TestLargeValueThatBreaksOffTakesNoOtherAnswerAlong(t *testing.T) {
+// Guards against lost requests behind a large value that breaks off at its backend, which would end the connection
+// before their replies are written.
+func TestBrokenLargeValueLosesNoOtherReply(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"))
 	c := r.dial()
@@ -137,9 +137,9 @@
 	if f := r.metrics(); f["inflight"] != 0 || f["failure.lookup"] != 1 || f["success.payment"] != 1 {
 		t.Errorf("inflight=%d failure=%d success=%d, want 0, 1 and 1", f["inflight"], f["failure.lookup"], f["success.payment"])
 	}
-	r.eventually("nothing is held", func(l *loop) bool { return l.memory.used == 0 })
+	r.eventually("all memory to be released", func(l *loop) bool { return l.memory.used == 0 })
 
-	// What comes while a value is passed on waits for its end, and is taken behind it.
+	// A command that arrives while a value is forwarded waits for its end, and is processed then.
 	c.send("Q.ASK", someCustomer, newID(), lookup)
 	third := wait(t, "the next", b.Got)
 	go third.Answer(largeValue(8))
@@ -152,9 +152,9 @@
 	c.want("$4\r\nlast")
 }
 
-// Guards against an answer that never comes because its value, waited for as a whole, does not become whole in the
-// request's time.
-func TestLargeValueThatTricklesFailsAtItsDeadline(t *testing.T) {
+// Guards against a reply that never comes because its value, buffered whole, does not arrive completely within the
+// time limit of its request.
+func TestSlowBufferedValueFailsAtItsDeadline(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("s-1"))
 	c := r.dial()
@@ -171,11 +171,11 @@
 	}
 	c.want("-ERR failed")
 	c.want("$4\r\npaid")
-	r.eventually("nothing is held", func(l *loop) bool { return l.memory.used == 0 && l.figures.open == 0 })
+	r.eventually("all memory to be released", func(l *loop) bool { return l.memory.used == 0 && l.figures.open == 0 })
 }
 
-// A client that leaves in the middle takes its backend's connection along.
-func TestLeavingClientEndsItsLargeValue(t *testing.T) {
+// A client that disconnects while it receives a large value must end the attempt's backend connection too.
+func TestDisconnectEndsLargeValue(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("s-1"))
 	c := r.dial()
@@ -186,7 +186,7 @@
 		t.Fatal(err)
 	}
 	c.nc.Close()
-	r.eventually("nothing is held", func(l *loop) bool {
+	r.eventually("all memory to be released", func(l *loop) bool {
 		return l.memory.used == 0 && len(l.requests) == 0 && l.figures.open == 0
 	})
 }
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -11,7 +11,7 @@
 	"wickarch/internal/resp"
 )
 
-func TestRequestGoesOnUnchangedButForItsTimeLimit(t *testing.T) {
+func TestRequestIsForwardedUnchangedExceptTimeLimit(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
@@ -22,7 +22,7 @@
 		t.Errorf("options %q: %v", got.Args[3], err)
 	}
 	if limit <= 0 || limit >= 20000 {
-		t.Errorf("the backend is told %d ms, want less than the client's 20000", limit)
+		t.Errorf("the backend's time limit is %d ms, want less than the client's 20000", limit)
 	}
 	got.Args[3] = ""
 	if want := fmt.Sprint([]string{"q.do", someCustomer, someID, "", "BODY"}); fmt.Sprint(got.Args) != want {
@@ -38,7 +38,7 @@
 	c := r.dial()
 	c.write(encode("Q.ASK", someCustomer, "0000000000000001", lookup) +
 		encode("Q.ASK", someCustomer, "0000000000000002", lookup) + encode("PING"))
-	one, two := wait(t, "a request", b.Got), wait(t, "the one behind it", b.Got)
+	one, two := wait(t, "a request", b.Got), wait(t, "the request behind it", b.Got)
 	if one.Args[2] > two.Args[2] {
 		one, two = two, one
 	}
@@ -49,7 +49,7 @@
 	c.want("+PONG")
 }
 
-func TestWhatIsNoRequestIsAnsweredAndNotForwarded(t *testing.T) {
+func TestInvalidCommandsAreAnsweredAndNotForwarded(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	ask := func(from, to string) []string {
@@ -86,7 +86,7 @@
 		c := r.dial()
 		c.send(words...)
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("%.80q is answered %q, want -ERR", words, got)
+			t.Errorf("reply to %.80q is %q, want -ERR", words, got)
 		}
 		c.send("PING") // the connection still serves
 		c.want("+PONG")
@@ -95,34 +95,33 @@
 	wantNone(t, "a forwarded request", b.Got)
 	r.onLoop(func(l *loop) {
 		if len(l.requests) > 0 || l.lastID > 0 {
-			t.Error("the gateway was told of a wrong request")
+			t.Error("the gateway received an invalid request")
 		}
 	})
 }
 
-// A client that sends nonsense as fast as it is turned away must not take the
-// CPU of the others.
-func TestConnectionEndsAfterTooManyWrongCommands(t *testing.T) {
+// Guards against a client that takes the CPU of the others by sending invalid commands as fast as they are rejected.
+func TestConnectionEndsAfterTooManyInvalidCommands(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	c := r.dial()
 	c.write(strings.Repeat(encode("GET", "x"), 1000))
 	for n := 1; ; n++ {
 		got := c.line()
 		if !strings.HasPrefix(got, "-ERR ") || n > maxInvalidCommands {
-			t.Fatalf("answer %d is %q", n, got)
+			t.Fatalf("reply %d is %q", n, got)
 		}
 		if n == maxInvalidCommands {
 			break
 		}
 	}
 	if _, err := c.in.ReadByte(); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection is still open")
 	}
 }
 
-// An id is new with every try. The copy of one that is open is a stranger's,
-// and the value made for the request must not go to him.
-func TestCopyOfAnOpenRequestIsTurnedAway(t *testing.T) {
+// Request ids are new for every try. A copy of an open request comes from a stranger, who must not get the value
+// made for that request.
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c, stranger := r.dial(), r.dial()
@@ -130,18 +129,18 @@
 	got := wait(t, "the request", b.Got)
 	stranger.send("Q.ASK", someCustomer, someID, lookup)
 	if got := stranger.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("the copy is answered %q, want -ERR", got)
+		t.Errorf("reply to the duplicate is %q, want -ERR", got)
 	}
 	got.Answer("v")
 	c.want("$1\r\nv")
-	stranger.send("Q.ASK", someCustomer, someID, lookup) // nor a moment after
+	stranger.send("Q.ASK", someCustomer, someID, lookup) // nor shortly after the request has ended
 	if got := stranger.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("the late copy is answered %q, want -ERR", got)
+		t.Errorf("reply to the late duplicate is %q, want -ERR", got)
 	}
-	wantNone(t, "a copy sent on", b.Got)
+	wantNone(t, "a forwarded duplicate", b.Got)
 }
 
-func TestIDsAreForgottenAfterTheirTime(t *testing.T) {
+func TestRecentIDsExpire(t *testing.T) {
 	r := recentIDs{retention: 10}
 	for _, step := range []struct {
 		at   time.Duration
@@ -153,16 +152,16 @@
 		}
 	}
 	if n := len(r.current) + len(r.previous); n > 3 {
-		t.Errorf("%d ids are kept", n)
+		t.Errorf("%d ids are remembered, want at most 3", n)
 	}
 	r.remove(3)
 	if !r.add(3, 31) {
-		t.Error("a removed id is known")
+		t.Error("a removed id is still known")
 	}
 }
 
-// Who says nothing, or half a command, would keep a descriptor for good.
-func TestSilentClientsAndHalfCommandsAreEnded(t *testing.T) {
+// Guards against clients that keep a descriptor forever by sending nothing, or half a command.
+func TestSilentClientsAndPartialCommandsTimeOut(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	silent, half, asked := r.dial(), r.dial(), r.dial()
 	half.write("*2\r\n$4\r\nPI")
@@ -170,22 +169,21 @@
 	asked.want("+PONG")
 	for name, c := range map[string]*fakeClient{"silent": silent, "half": half} {
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("%s: answer %q, want -ERR", name, got)
+			t.Errorf("%s: reply %q, want -ERR", name, got)
 		}
 		c.wantEnd()
 	}
-	asked.send("PING") // quiet for as long, but it has asked
+	asked.send("PING") // silent for just as long, but it has sent a command
 	asked.want("+PONG")
 	asked.write("*1\r\n$4\r\nPI")
 	if got := asked.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("half a command behind a whole one is answered %q, want -ERR", got)
+		t.Errorf("reply to half a command behind a complete one is %q, want -ERR", got)
 	}
 	asked.wantEnd()
 }
 
-// Frames that cannot be read end their connection after a plain error, and
-// nobody else notices. What is too long is refused by its length line: waiting
-// for 60 MB that come slowly would hold the connection for as long.
+// Malformed frames must end only their own connection, after an error reply. A command that is too long is rejected
+// by its length line: waiting for 60 MB that arrive slowly would hold the connection for as long.
 func TestBrokenFramesEndOnlyTheirConnection(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
@@ -212,7 +210,7 @@
 		c.want("+PONG")
 		c.write(text)
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("%.40q is answered %q, want -ERR", text, got)
+			t.Errorf("reply to %.40q is %q, want -ERR", text, got)
 		}
 		c.wantEnd()
 	}
@@ -227,16 +225,16 @@
 	c := r.dial()
 	c.send("PING")
 	if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("PING is answered %q before backends are known", got)
+		t.Errorf("reply to PING before backends are known is %q, want -ERR", got)
 	}
 	d.Open()
 	wait(t, "a watch", d.Watched)
-	r.onLoop(func(*loop) {}) // what came before the watch has been taken
+	r.onLoop(func(*loop) {}) // everything before the watch has been processed
 	c.send("PING")
 	c.want("+PONG")
 }
 
-func TestBackendsOfTheConfigurationServeWhileDiscoveryIsDown(t *testing.T) {
+func TestConfiguredBackendsServeWhileDiscoveryIsDown(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t)
 	addr := d.Addr()
@@ -255,8 +253,8 @@
 	c.want("$1\r\nv")
 }
 
-// A client that has left must not keep its attempts going.
-func TestLeavingClientEndsItsAttempts(t *testing.T) {
+// Guards against attempts that go on after their client has disconnected.
+func TestDisconnectEndsAttempts(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
@@ -264,27 +262,27 @@
 	got := wait(t, "the request", b.Got)
 	c.nc.Close()
 	if nc := wait(t, "the end of the attempt", b.Closed); nc != got.Conn {
-		t.Error("another connection ended")
+		t.Error("the wrong connection ended")
 	}
 	r.eventually("the request to be forgotten", func(l *loop) bool { return len(l.requests) == 0 })
 }
 
-func TestRefusalCarriesTheAdvice(t *testing.T) {
+func TestRefusalCarriesRetryAdvice(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Plans[0].CeilingRate, cfg.Choice.Plans[0].CeilingBurst = 1e-9, 1 }, b.member("b"))
 	c := r.dial()
 	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	var ms int
 	if got := c.line(); !strings.HasPrefix(got, "-BUSY ") {
-		t.Errorf("over the ceiling the answer is %q", got)
+		t.Errorf("reply above the ceiling is %q, want -BUSY", got)
 	} else if _, err := fmt.Sscanf(got, "-BUSY %d", &ms); err != nil || ms <= 0 || ms > 1000 {
-		t.Errorf("advice of %d ms, %v", ms, err)
+		t.Errorf("retry advice of %d ms, error %v", ms, err)
 	}
 	wantNone(t, "a forwarded request", b.Got)
 }
 
-// Open requests past the memory for them are refused; held, they would end the process.
-func TestRequestsPastTheMemoryAreRefused(t *testing.T) {
+// Guards against open requests that exhaust the memory of the process: requests beyond the limit are refused.
+func TestRequestsBeyondMemoryLimitAreRefused(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	r.onLoop(func(l *loop) { l.memory.limit = 3000 })
@@ -294,7 +292,7 @@
 	first := wait(t, "the request", b.Got)
 	c.send("Q.DO", someCustomer, newID(), payment, body)
 	c.send("PING")
-	r.eventually("the commands to be taken", func(*loop) bool {
+	r.eventually("the commands to be read", func(*loop) bool {
 		pending := 0
 		for _, c := range r.server.front.clients {
 			pending = max(pending, c.pending)
@@ -305,15 +303,14 @@
 	c.want("$1\r\nv")
 	c.want("-BUSY")
 	c.want("+PONG")
-	r.eventually("the memory to be free", func(l *loop) bool { return l.memory.used == 0 })
+	r.eventually("all memory to be released", func(l *loop) bool { return l.memory.used == 0 })
 	c.send("Q.DO", someCustomer, newID(), payment, body)
-	wait(t, "a request after the first has ended", b.Got).Answer("w")
+	wait(t, "a request after the first one has ended", b.Got).Answer("w")
 	c.want("$1\r\nw")
 }
 
-// A command that crosses the end of a connection must not turn it into a reset,
-// which would eat the last answer.
-func TestCommandAtTheEndLeavesTheLastAnswerItsTime(t *testing.T) {
+// Guards against a reset that destroys the last reply, when a command crosses the end of its connection.
+func TestCommandCrossingTheEndLeavesLastReplyIntact(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
@@ -335,7 +332,7 @@
 	c.wantEnd()
 }
 
-func TestStopAnswersWhatIsOpenAndEndsBetweenRequests(t *testing.T) {
+func TestStopAnswersOpenRequestsAndClosesIdleConnections(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	quiet, busy := r.dial(), r.dial()
@@ -347,21 +344,21 @@
 	r.server.waitForLateClients = func() { <-over }
 	r.stop()
 	quiet.wantEnd()
-	late := r.dial() // clients still come for a while
+	late := r.dial() // new clients still arrive for a while
 	late.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	second := wait(t, "a request after the stop", b.Got)
 	second.Answer("late")
 	late.want("$4\r\nlate")
 	late.wantEnd()
 	close(over)
-	for addr := r.server.Addr(); ; { // until no further client is taken
+	for addr := r.server.Addr(); ; { // until no further client is accepted
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			break
 		}
 		nc.Close()
 	}
-	got.Answer("v") // it is still waited for
+	got.Answer("v") // the ingress still waits for it
 	busy.want("$1\r\nv")
 	busy.wantEnd()
 	if err := wait(t, "the end", r.ended); err != nil {
@@ -369,9 +366,9 @@
 	}
 }
 
-// More commands than a connection may have open are held back, though read. A
-// drain must not end the connection under them.
-func TestStopAnswersWhatIsHeldBack(t *testing.T) {
+// Guards against a drain that ends a connection while commands beyond its limit of pending ones are read but not
+// started.
+func TestStopAnswersCommandsHeldBack(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
@@ -381,7 +378,7 @@
 		all.WriteString(encode("Q.ASK", someCustomer, newID(), lookup))
 	}
 	c.write(all.String())
-	r.eventually("the bound to be reached", func(*loop) (yes bool) {
+	r.eventually("the limit of pending commands to be reached", func(*loop) (yes bool) {
 		for _, c := range r.server.front.clients {
 			yes = c.pending == maxPending && c.hasBacklog
 		}
@@ -399,7 +396,7 @@
 			select {
 			case got := <-b.Got:
 				got.Answer("v")
-			case <-b.Opened: // there are more than the stand-in keeps untaken
+			case <-b.Opened: // the fake backend's channels hold fewer events
 			case <-b.Closed:
 			case <-over:
 				return
@@ -408,18 +405,18 @@
 	}()
 	for n := range sent {
 		if got := c.line(); got != "$1\r\nv" && !strings.HasPrefix(got, "-BUSY") {
-			t.Fatalf("answer %d is %q", n, got)
+			t.Fatalf("reply %d is %q", n, got)
 		}
 	}
 	c.wantEnd()
 }
 
-// At the limit of descriptors the connection that has been idle for longest
-// makes room; one with a request open never does.
+// At the limit of descriptors the connection that has been idle for longest must make room for a new one; a
+// connection with an open request must not.
 func TestIdleClientMakesRoomForANewOne(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets = 4 }, b.member("b")) // two for clients
-	for r.countClients(nil) > 0 {                                               // that of the rig is gone
+	for r.countClients(nil) > 0 {                                               // until the rig's own connection is closed
 	}
 	busy := r.dial()
 	busy.send("Q.ASK", someCustomer, newID(), lookup)
@@ -444,23 +441,23 @@
 	got := wait(t, "the request", b.Got)
 	c.want("-ERR failed")
 	if took := time.Since(asked); took < 1500*time.Millisecond {
-		t.Errorf("failed after %v with no cause to", took)
+		t.Errorf("failed after %v, want at least 1.5s", took)
 	}
 	if nc := wait(t, "the end of the attempt", b.Closed); nc != got.Conn {
-		t.Error("another connection ended")
+		t.Error("the wrong connection ended")
 	}
-	c.send("PING") // nothing more came for the request
+	c.send("PING") // no second reply was sent
 	c.want("+PONG")
 }
 
-// A request gets one final answer, whatever else is said of it later.
-func TestSecondAnswerIsNotGiven(t *testing.T) {
+// A request must get one final answer, even if the gateway gives several.
+func TestSecondAnswerIsDropped(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
 	c.write(encode("Q.ASK", someCustomer, newID(), lookup) + encode("Q.ASK", someCustomer, newID(), lookup))
 	one, two := wait(t, "a request", b.Got), wait(t, "another", b.Got)
-	r.onLoop(func(l *loop) { // the second waits for the first, so both answers find it unwritten
+	r.onLoop(func(l *loop) { // the second reply waits for the first, so it is still unwritten at both answers
 		l.Fail(2)
 		l.Refuse(2, 0)
 		l.deliverAnswers()
@@ -499,32 +496,32 @@
 	}
 }
 
-// Thousands of clients that end at once must not hold up the busy few: those at
-// rest are closed in batches, with pauses between.
-func TestClientsThatEndAtOnceAreClosedInBatches(t *testing.T) {
+// Guards against delays of busy clients when thousands disconnect at once: idle connections are closed in batches,
+// with pauses between.
+func TestSimultaneousDisconnectsAreClosedInBatches(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
-	for r.countClients(nil) > 0 { // that of the rig is gone
+	for r.countClients(nil) > 0 { // until the rig's own connection is closed
 	}
 	const all = 2*closeBatch + 10
 	for range all {
 		r.dial()
 	}
-	r.eventually("all to be taken", func(*loop) bool { return len(r.server.front.clients) == all })
+	r.eventually("all connections to be accepted", func(*loop) bool { return len(r.server.front.clients) == all })
 	r.server.loop.Do(func() {
 		f := r.server.front
 		for _, c := range f.clients {
 			c.Ready(reactor.Readable | reactor.Ended)
-			c.Ready(reactor.Ended) // told twice, it goes once
+			c.Ready(reactor.Ended) // a repeated event closes it only once
 		}
 		now := f.loop.Now() + time.Hour
 		for _, want := range []int{all, all - closeBatch, all - closeBatch} {
 			if len(f.clients) != want {
-				t.Errorf("%d are open, want %d", len(f.clients), want)
+				t.Errorf("%d connections are open, want %d", len(f.clients), want)
 			}
 			f.closeQueuedClients(now)
 		}
 		f.closeBatchAt = 0
 	})
-	r.eventually("the rest to be closed", func(*loop) bool { return len(r.server.front.clients) == 0 })
+	r.eventually("the other connections to be closed", func(*loop) bool { return len(r.server.front.clients) == 0 })
 }
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -13,7 +13,7 @@
 	"wickarch/internal/standin"
 )
 
-// stoppedBackend is a backend that stops at a point until the test lets it go on.
+// stoppedBackend returns a backend that stops at a point until the test lets it continue.
 func stoppedBackend(t *testing.T, at standin.Point) *fakeBackend {
 	t.Helper()
 	b, err := standin.NewStoppedBackend(at)
@@ -25,78 +25,78 @@
 	return &fakeBackend{b}
 }
 
-// The ways in which a client leaves.
+// departures are the ways in which a client disconnects.
 var departures = map[string]func(net.Conn){
 	"end":   func(nc net.Conn) { nc.Close() },
 	"reset": func(nc net.Conn) { _ = nc.(*net.TCPConn).SetLinger(0); nc.Close() },
 }
 
-// A request whose client has left while it waited must not go on, whether or not
-// the settings let work be cancelled: what was not written whole never ran. Nor
-// may the end of a client go unnoticed because nothing is read from it.
-func TestRequestOfAClientThatLeftWhileItWaitedIsNotSentOn(t *testing.T) {
+// Guards against attempts for a client that disconnected while its request waited, whether or not the settings allow
+// work to be cancelled: what was not written whole never ran. The disconnect must be noticed even while nothing is
+// read from the client.
+func TestWaitingRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	for state, s := range map[string]struct {
-		at   standin.Point
-		more string // behind the request
-		slot int    // answers that are due then
+		at          standin.Point
+		more        string // sent behind the request
+		wantPending int    // expected number of pending replies
 	}{
 		"connecting":   {standin.Connecting, "", 1},
 		"queued":       {standin.Connecting, encode("Q.DO", someCustomer, newID(), payment, "BODY"), 2},
 		"not read":     {standin.Connecting, strings.Repeat(encode("PING"), 2*maxPending), maxPending},
 		"half written": {standin.HalfRead, "", 1},
 	} {
-		for way, leave := range departures {
+		for departure, leave := range departures {
 			for _, cancelling := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s, %s, cancelling %v", state, way, cancelling), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %s, cancelling %v", state, departure, cancelling), func(t *testing.T) {
 					b := stoppedBackend(t, s.at)
 					r := newRig(t, func(cfg *Config) { cfg.Choice.Cancelling, cfg.Choice.Probing = cancelling, false }, b.member("b"))
 					c := r.dial()
 					c.write(encode("Q.DO", someCustomer, newID(), payment, strings.Repeat("x", 64<<10)) + s.more)
 					r.eventually("the request to wait", func(l *loop) bool {
 						clients := r.server.front.clients
-						return l.pool.Open() > 0 && len(clients) == 1 && clients[0].pending == s.slot
+						return l.pool.Open() > 0 && len(clients) == 1 && clients[0].pending == s.wantPending
 					})
 					if s.at == standin.HalfRead {
 						wait(t, "half a request", b.Begun())
 					}
 					leave(c.nc)
 					open, answered := -1, uint64(0)
-					r.eventually("the client's end to be seen", func(l *loop) bool {
+					r.eventually("the disconnect to be noticed", func(l *loop) bool {
 						open = l.pool.Open()
 						answered = l.figures.classes[1].Failure + l.figures.classes[1].Busy
 						return len(r.server.front.clients) == 0
 					})
 					if answered != 0 {
-						t.Fatal("it was seen only when the request's own time was up")
+						t.Fatal("the disconnect was noticed only at the request's deadline")
 					}
 					if open != 0 {
-						t.Fatalf("%d attempts go on though their client has left", open)
+						t.Fatalf("%d attempts go on though their client has disconnected", open)
 					}
 					b.Go()
 					other := newID()
 					r.dial().send("Q.DO", someCustomer, other, payment, "BODY")
-					if got := wait(t, "another's request", b.Got); got.ID() != other {
-						t.Errorf("the backend got %s of the client that had left", got.ID())
+					if got := wait(t, "the request of another client", b.Got); got.ID() != other {
+						t.Errorf("the backend got request %s of the disconnected client", got.ID())
 					}
-					wantNone(t, "a request of the client that had left", b.Got)
+					wantNone(t, "a request of the disconnected client", b.Got)
 				})
 			}
 		}
 	}
 }
 
-// Connections that wait in the listener's queue are taken before it ends, also
-// where no place is free: their requests would be reset with them.
-func TestStopTakesTheConnectionsThatWait(t *testing.T) {
+// Guards against connections in the listener's backlog that are reset, with their requests, when the listener
+// closes: they must be accepted first, even where no place is free.
+func TestStopAcceptsTheListenerBacklog(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	places := r.server.front.admission
-	held := r.dial() // in the only place
+	held := r.dial() // takes the only place
 	held.send("PING")
 	held.want("+PONG")
-	r.eventually("the other connection to be gone", func(*loop) bool { return len(r.server.front.clients) == 1 })
+	r.eventually("the other connection to be closed", func(*loop) bool { return len(r.server.front.clients) == 1 })
 	var clients []*fakeClient
-	r.onLoop(func(l *loop) { // nothing is taken meanwhile
+	r.onLoop(func(l *loop) { // the loop accepts nothing meanwhile
 		if places.Shrink(); places.HasRoom() {
 			t.Error("there is a free place")
 		}
@@ -117,16 +117,15 @@
 	}
 }
 
-// A request that has come before the end of its connection is taken, whatever
-// the poller has told by then.
-func TestRequestThatCrossesTheLastAnswerIsTaken(t *testing.T) {
+// Guards against a request that is lost because its connection ends before the poller has reported it.
+func TestRequestThatCrossesTheLastReplyIsAnswered(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
 	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	wait(t, "the request", b.Got)
 	next := newID()
-	r.onLoop(func(l *loop) { // the answer is written in the round in which the next request comes
+	r.onLoop(func(l *loop) { // the reply is written in the round in which the next request arrives
 		c.send("Q.DO", someCustomer, next, payment, "BODY")
 		r.server.Drain()
 		for _, open := range l.requests {
@@ -144,36 +143,35 @@
 	c.wantEnd()
 }
 
-// Clients go on sending for as long as a connection stays open, and backends may
-// hang. All that was taken is answered before the process ends, and the rest is
-// left unread.
-func TestStopAnswersAllItTookFromThoseWhoGoOn(t *testing.T) {
-	hangs := newBackend(t)
+// Guards against unanswered requests at the end of the process, when clients go on sending and a backend hangs: all
+// that was accepted must be answered, and the rest left unread.
+func TestStopAnswersAllAcceptedRequestsOfSendingClients(t *testing.T) {
+	hanging := newBackend(t)
 	r := newRig(t, func(cfg *Config) {
 		cfg.Choice.Probing = false
 		for i := range cfg.Choice.Classes {
 			cfg.Choice.Classes[i].Deadline, cfg.Choice.Classes[i].Aim = time.Second, 300*time.Millisecond
 		}
-	}, hangs.member("b"))
+	}, hanging.member("b"))
 	r.server.waitForLateClients = func() {}
 	c := r.dial()
 	first := newID()
 	c.send("Q.DO", someCustomer, first, payment, "BODY")
-	if got := wait(t, "the request", hangs.Got); got.ID() != first {
-		t.Fatal("another request came")
+	if got := wait(t, "the request", hanging.Got); got.ID() != first {
+		t.Fatal("the backend got another request")
 	}
 	go func() {
 		for {
 			select {
-			case <-hangs.Got:
-			case <-hangs.Opened:
-			case <-hangs.Closed:
+			case <-hanging.Got:
+			case <-hanging.Opened:
+			case <-hanging.Closed:
 			case <-t.Context().Done():
 				return
 			}
 		}
 	}()
-	go func() { // until the connection is gone
+	go func() { // until the connection is closed
 		for c.c.Send("Q.DO", someCustomer, newID(), payment, "BODY") == nil {
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -190,14 +188,14 @@
 		t.Error(err)
 	}
 	if took := r.server.loop.lastID; answers != took {
-		t.Errorf("%d answers to the %d requests that were taken", answers, took)
+		t.Errorf("%d replies to the %d requests that were accepted", answers, took)
 	}
 }
 
-// Where repeats are dropped within a zone, one that may have run goes to that zone
-// alone. Two backends of zones that the settings do not name need not share one.
-func TestKeyedRepeatStaysInAZoneThatIsKnown(t *testing.T) {
-	for zone, again := range map[string]bool{"a": true, "beyond": false, "": false} {
+// Where backends drop repeats within a zone, a retry of a request that may have run must stay in that zone. Two
+// backends in zones that the settings do not name need not share one.
+func TestKeyedRetryStaysInAKnownZone(t *testing.T) {
+	for zone, retried := range map[string]bool{"a": true, "beyond": false, "": false} {
 		one, two := newBackend(t), newBackend(t)
 		members := []Member{one.member("1"), two.member("2")}
 		for i := range members {
@@ -218,21 +216,21 @@
 			other = one
 			got.Reset()
 		}
-		if again {
-			wait(t, "a repeat in the zone", other.Got).Answer("v")
+		if retried {
+			wait(t, "a retry in the zone", other.Got).Answer("v")
 			c.want("$1\r\nv")
 			continue
 		}
 		if got := c.line(); got != "-ERR failed" {
-			t.Errorf("zone %q: answer %q, want a failure", zone, got)
+			t.Errorf("zone %q: reply %q, want -ERR failed", zone, got)
 		}
-		wantNone(t, "a repeat in a zone that is not known", other.Got)
+		wantNone(t, "a retry in an unknown zone", other.Got)
 	}
 }
 
-// A client that reads slowly gets all of its last answer, though it has sent more:
-// an end with something unread would take back what is not delivered yet.
-func TestSlowReaderGetsItsLastAnswerThoughItSendsOn(t *testing.T) {
+// Guards against a lost last reply to a slow reader that has sent more: closing the socket over unread bytes would
+// drop what is not delivered yet.
+func TestSlowReaderThatSendsMoreGetsItsLastReply(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -255,8 +253,8 @@
 		clients := r.server.front.clients
 		return len(clients) == 1 && clients[0].lingerUntil > 0
 	})
-	c.send("Q.DO", someCustomer, newID(), payment, "BODY") // crosses the end
-	r.eventually("the time for it to be over", func(*loop) bool {
+	c.send("Q.DO", someCustomer, newID(), payment, "BODY") // crosses the end of the connection
+	r.eventually("the linger time to be extended or over", func(*loop) bool {
 		clients := r.server.front.clients
 		return len(clients) == 0 || clients[0].lingerUntil > clients[0].endedAt+lingerTimeout
 	})
@@ -264,52 +262,52 @@
 	wantNone(t, "the request that crossed the end", b.Got)
 }
 
-// A connection that comes up late carries nothing: neither when its backend was told
-// to be draining or gone meanwhile, between choice and first byte, nor when it was given up.
-func TestConnectionThatComesUpLateCarriesNothing(t *testing.T) {
-	for name, told := range map[string]string{
-		"draining":   `{"id":"late","host_port":%q,"phase":"DRAINING"},`,
-		"gone":       `{"id":"late","host_port":%q,"phase":"DELETED"},`,
-		"moved":      `{"id":"late","host_port":"127.0.0.1:1","phase":"SERVING","locality":%q},`,
-		"taken over": `{"id":"new","host_port":%q,"phase":"DRAINING"},{"id":"late","phase":"DELETED"},`,
-		"given up":   "",
+// Guards against requests written on a connection that comes up late, after its backend was reported draining,
+// deleted or replaced between selection and first byte, or after the connection was given up.
+func TestLateConnectionCarriesNoRequest(t *testing.T) {
+	for name, update := range map[string]string{
+		"draining": `{"id":"late","host_port":%q,"phase":"DRAINING"},`,
+		"deleted":  `{"id":"late","host_port":%q,"phase":"DELETED"},`,
+		"moved":    `{"id":"late","host_port":"127.0.0.1:1","phase":"SERVING","locality":%q},`,
+		"replaced": `{"id":"new","host_port":%q,"phase":"DRAINING"},{"id":"late","phase":"DELETED"},`,
+		"given up": "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			late, other := stoppedBackend(t, standin.Connecting), newBackend(t)
 			r := newRig(t, func(cfg *Config) {
 				cfg.Choice.Probing = false
-				if cfg.connectTimeout = testTimeout; told == "" {
+				if cfg.connectTimeout = testTimeout; update == "" {
 					cfg.connectTimeout = 3 * time.Second
 				}
 			}, late.member("late"))
 			wait(t, "a watch", r.discovery.Watched)
 			c := r.dial()
 			c.send("Q.DO", someCustomer, newID(), payment, "BODY")
-			r.eventually("a connection to come up", func(l *loop) bool { return l.pool.Open() == 1 })
-			if told != "" {
-				told = fmt.Sprintf(told, late.Addr)
+			r.eventually("a connection attempt", func(l *loop) bool { return l.pool.Open() == 1 })
+			if update != "" {
+				update = fmt.Sprintf(update, late.Addr)
 			}
-			r.discovery.Lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[%s{"id":"other","host_port":%q,"phase":"SERVING","size":1}]}`, told, other.Addr)
-			r.eventually("the change to be known", func(l *loop) bool { return l.pool.BackendIDs()["other"] > 0 })
-			if told != "" {
+			r.discovery.Lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[%s{"id":"other","host_port":%q,"phase":"SERVING","size":1}]}`, update, other.Addr)
+			r.eventually("the change to be applied", func(l *loop) bool { return l.pool.BackendIDs()["other"] > 0 })
+			if update != "" {
 				late.Go() // it comes up at the system's next try, a second later
 			}
 			wait(t, "the request at the other backend", other.Got).Answer("v")
 			late.Go()
 			c.want("$1\r\nv")
 			wantNone(t, "a request at the late backend", late.Got)
-			r.eventually("the late connection to be gone", func(l *loop) bool { return l.pool.Open() == 1 })
+			r.eventually("the late connection to be closed", func(l *loop) bool { return l.pool.Open() == 1 })
 		})
 	}
 }
 
-// What was taken when the process is told to end is answered, whatever its attempt
-// was at; half a request is taken as soon as it is whole.
-func TestStopAnswersWhatIsOnItsWay(t *testing.T) {
+// Guards against unanswered requests when the process is stopped, whatever state their attempts are in. A partial
+// request must be accepted as soon as it is complete.
+func TestStopAnswersRequestsInTransit(t *testing.T) {
 	whole := encode("Q.DO", someCustomer, newID(), payment, strings.Repeat("x", 64<<10))
 	for name, s := range map[string]struct {
 		at    standin.Point
-		first int // bytes of the request that come before the stop
+		first int // bytes of the request that are sent before the stop
 	}{
 		"connecting":   {standin.Connecting, len(whole)},
 		"half written": {standin.HalfRead, len(whole)},
@@ -322,7 +320,7 @@
 			r.server.waitForLateClients = func() { <-over }
 			c := r.dial()
 			c.write(whole[:s.first])
-			r.eventually("the request to have come that far", func(l *loop) bool {
+			r.eventually("the request to reach its state", func(l *loop) bool {
 				clients := r.server.front.clients
 				return len(clients) == 1 && (l.pool.Open() == 1 || s.first < len(whole) && len(clients[0].partial) > 0)
 			})
--- a/internal/ingress/options_test.go
+++ b/internal/ingress/options_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// address tells a socket's address as "host:port", or "" where it has none.
+// address returns a socket's address as "host:port", or "" if it has none.
 func address(sa syscall.Sockaddr, err error) string {
 	if err != nil {
 		return ""
@@ -23,10 +23,10 @@
 	return ""
 }
 
-// Every socket that the ingress writes to sends at once: what the system holds back
-// for its small size is lost with a reset. The options are read from the process's
-// descriptors, so that no way to open a socket is left out.
-func TestEverySocketSendsAtOnce(t *testing.T) {
+// Guards against bytes that the system holds back because there are few of them, and that a reset then destroys:
+// every socket that the ingress writes to must have TCP_NODELAY set. The options are read from the descriptors of
+// the process, so that no way of opening a socket is left out.
+func TestEverySocketHasNoDelay(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("b"))
 	c := r.dial()
@@ -38,40 +38,40 @@
 		t.Fatal(err)
 	}
 	defer caller.Close()
-	r.eventually("a caller at the second address", func(*loop) bool { return r.server.admin.Open() == 1 })
+	r.eventually("a connection to the admin address", func(*loop) bool { return r.server.admin.Open() == 1 })
 	seen := map[string]int{}
-	r.onLoop(func(*loop) { // no descriptor of the ingress's is closed meanwhile
+	r.onLoop(func(*loop) { // the ingress closes no descriptor meanwhile
 		all, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, e := range all {
 			fd, _ := strconv.Atoi(e.Name())
-			near, far := address(syscall.Getsockname(fd)), address(syscall.Getpeername(fd))
-			what := ""
+			local, remote := address(syscall.Getsockname(fd)), address(syscall.Getpeername(fd))
+			peer := ""
 			switch {
-			case far == "": // a listener, or no socket
-			case near == r.server.Addr():
-				what = "a client"
-			case near == r.server.admin.Addr():
-				what = "the second address"
-			case far == b.Addr:
-				what = "a backend"
-			case far == r.discovery.Addr():
-				what = "discovery"
+			case remote == "": // a listener, or no socket
+			case local == r.server.Addr():
+				peer = "a client"
+			case local == r.server.admin.Addr():
+				peer = "the admin address"
+			case remote == b.Addr:
+				peer = "a backend"
+			case remote == r.discovery.Addr():
+				peer = "discovery"
 			}
-			if what == "" {
+			if peer == "" {
 				continue
 			}
-			seen[what]++
+			seen[peer]++
 			if on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
-				t.Errorf("TCP_NODELAY to %s is %d, %v", what, on, err)
+				t.Errorf("TCP_NODELAY to %s is %d, error %v", peer, on, err)
 			}
 		}
 	})
-	for _, what := range []string{"a client", "the second address", "a backend", "discovery"} {
-		if seen[what] == 0 {
-			t.Errorf("no connection to %s was seen, of %v", what, seen)
+	for _, peer := range []string{"a client", "the admin address", "a backend", "discovery"} {
+		if seen[peer] == 0 {
+			t.Errorf("found no connection to %s, only %v", peer, seen)
 		}
 	}
 	got.Answer("v")
--- a/internal/ingress/virtual_test.go
+++ b/internal/ingress/virtual_test.go
@@ -15,13 +15,12 @@
 
 const ms = time.Millisecond
 
-// simulation is an ingress in virtual time, between a client's machine and
-// backends that the test plays. A run takes no real time, and its verdict hangs
-// on no machine.
+// simulation is an ingress in virtual time, between a client's machine and scripted backends. A run takes no real
+// time, and its result does not depend on the machine.
 type simulation struct {
 	*testing.T
 	net       *simnet.Net
-	node      *simnet.Node // the ingress's
+	node      *simnet.Node // of the ingress
 	ingress   *Ingress
 	client    *simnet.Node
 	backends  []*scriptedBackend
@@ -31,11 +30,11 @@
 
 const virtualAddress = "10.0.0.1:6379"
 
-// latency is one way, without jitter.
+// latency is one-way, without jitter.
 const latency = ms / 2
 
-// newSimulation starts an ingress and so many backends. What comes to these
-// is noted, and goes to answer, if there is one.
+// newSimulation starts an ingress and the given number of backends. Attempts that arrive there are recorded, and
+// passed to onAttempt if it is set.
 func newSimulation(t *testing.T, seed uint64, backends int, change func(*Config)) *simulation {
 	t.Helper()
 	sim := &simulation{T: t, net: simnet.New(seed)}
@@ -51,9 +50,11 @@
 			}
 		})
 		sim.backends = append(sim.backends, b)
-		list.Members = append(list.Members, Member{ID: b.name, HostPort: b.node.IP + ":7", Locality: "a", Flavor: "std", Phase: PhaseServing, Size: 1})
+		list.Members = append(list.Members, Member{ID: b.name, HostPort: b.node.IP + ":7",
+			Locality: "a", Flavor: "std", Phase: PhaseServing, Size: 1})
 	}
-	cfg, err := ParseConfig(fmt.Appendf(nil, `{"name":"n0","listen":%q,"seed":"%x","settings":%s}`, virtualAddress, seed, fmt.Sprintf(settings, 3600_000)))
+	cfg, err := ParseConfig(fmt.Appendf(nil, `{"name":"n0","listen":%q,"seed":"%x","settings":%s}`, virtualAddress, seed,
+		fmt.Sprintf(settings, 3600_000)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +73,7 @@
 	return sim
 }
 
-// advance lets time go on.
+// advance lets virtual time pass.
 func (i *simulation) advance(d time.Duration) { i.net.Until(i.net.Now() + d) }
 
 // do runs f as a part of the ingress's next round.
@@ -81,7 +82,7 @@
 	i.net.Until(i.net.Now())
 }
 
-// scriptedBackend is one backend that the test plays.
+// scriptedBackend is a backend that the test plays.
 type scriptedBackend struct {
 	*simulation
 	node *simnet.Node
@@ -89,17 +90,17 @@
 	name string
 }
 
-// scriptedAttempt is one command, or the first part of one, that came to a backend.
+// scriptedAttempt is one command, or the first part of one, that arrived at a backend.
 type scriptedAttempt struct {
 	backend      *scriptedBackend
 	conn         reactor.Conn
-	begunAt      time.Duration // its first byte was written
-	args         []string      // nil while it is not whole
-	timeLimit    time.Duration // how long its answer is waited for
+	begunAt      time.Duration // when its first byte was written
+	args         []string      // nil while it is incomplete
+	timeLimit    time.Duration // how long the ingress waits for its answer, as the command states
 	disconnected bool          // the ingress has ended the connection
 }
 
-// Ready takes connections.
+// Ready accepts connections.
 func (b *scriptedBackend) Ready(reactor.Event) {
 	for {
 		nc, err := b.ln.Accept()
@@ -139,14 +140,14 @@
 		c.received = append(c.received, buf[:n]...)
 		args, used, err := nextCommand(c.received)
 		if err != nil {
-			c.Errorf("backend %s gets %.80q: %v", c.name, c.received, err)
+			c.Errorf("backend %s got %.80q: %v", c.name, c.received, err)
 			return
 		}
 		if used == 0 {
 			continue
 		}
 		if used < len(c.received) {
-			c.Errorf("backend %s gets something behind a command: %.80q", c.name, c.received[used:])
+			c.Errorf("backend %s got bytes behind a command: %.80q", c.name, c.received[used:])
 		}
 		for _, a := range args {
 			c.last.args = append(c.last.args, string(a))
@@ -154,11 +155,11 @@
 		c.received = nil
 		_, limit, _ := strings.Cut(c.last.args[optionsArg], "d=")
 		limit, _, _ = strings.Cut(limit, ",")
-		told, err := strconv.Atoi(limit)
+		millis, err := strconv.Atoi(limit)
 		if err != nil {
-			c.Errorf("backend %s is told %q", c.name, c.last.args[optionsArg])
+			c.Errorf("backend %s got options without a time limit: %q", c.name, c.last.args[optionsArg])
 		}
-		c.last.timeLimit = time.Duration(told) * ms
+		c.last.timeLimit = time.Duration(millis) * ms
 		if c.onAttempt != nil {
 			c.onAttempt(c.last)
 		}
@@ -173,7 +174,7 @@
 	a.write(fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(v), v))
 }
 
-// virtualClient is one client's connection.
+// virtualClient is the connection of one client.
 type virtualClient struct {
 	*simulation
 	conn      reactor.Conn
@@ -184,7 +185,7 @@
 	reset     bool
 }
 
-// dial connects a client, and says text once the connection is up.
+// dial connects a client, and sends text once the connection is up.
 func (i *simulation) dial(text string) *virtualClient {
 	i.Helper()
 	c := &virtualClient{simulation: i, unsent: []byte(text)}
@@ -195,7 +196,7 @@
 	return c
 }
 
-// Ready writes what is to be said and reads what is answered.
+// Ready writes what is to be sent and reads the replies.
 func (c *virtualClient) Ready(e reactor.Event) {
 	c.connected = c.connected || e&reactor.Writable != 0
 	c.flush()
@@ -224,10 +225,10 @@
 	c.flush()
 }
 
-// answers are the lines that have come.
+// answers returns the replies received so far.
 func (c *virtualClient) answers() string { return string(bytes.TrimSpace(c.received)) }
 
-// encodeRequest is a request of a class that has so many milliseconds.
+// encodeRequest returns a request of a class with a time limit in milliseconds.
 func encodeRequest(class, id string, limit int) string {
 	options := standin.Options(class, limit)
 	if class == "lookup" {
@@ -236,7 +237,7 @@
 	return encode("Q.DO", someCustomer, id, options, "BODY")
 }
 
-// virtualDepartures are the ways in which a client leaves.
+// virtualDepartures are the ways in which a client disconnects.
 var virtualDepartures = map[string]func(*virtualClient){
 	"end":   func(c *virtualClient) { c.conn.Close() },
 	"reset": func(c *virtualClient) { c.client.Kill() },
