--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -47,7 +47,7 @@
 	emptyingBacklog bool          // the listener closes once its backlog is empty
 	draining        bool
 	finished        bool          // accepts no request but those that have arrived
-	onHold          bool          // another process of this ingress still accepts the clients
+	onHold          bool          // another process of this ingress still accepts clients
 	empty           chan struct{} // closed when no further connection is accepted and none is left
 }
 
