--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -1,6 +1,6 @@
 package ingress
 
-// The answers of a connection: their order, and how they are written.
+// This file holds the replies of a connection: their order, and how they are written.
 
 import (
 	"errors"
@@ -11,22 +11,22 @@
 	"wickarch/internal/reactor"
 )
 
-// slot is the place of one answer in the order of its connection.
+// slot is the place of one reply in the command order of its connection.
 type slot struct {
-	client  *client
-	request *request // nil for what needs no backend
-	data    []byte   // the answer as it is written, or the value alone
-	next    *slot
-	body    body   // in place of data: a value passed on as it comes, until that has ended
-	held    []byte // what has come of the body, where all of it is waited for
-	filled  bool
-	begun   bool // the head of the body has been written
-	value   bool // data is a value, to be written as a bulk string
+	client      *client
+	request     *request // nil for commands that need no backend
+	data        []byte   // the encoded reply, or the bare value if bulk is set
+	next        *slot
+	stream      valueStream // in place of data: a value forwarded while it arrives; nil once it has ended
+	buffered    []byte      // what has arrived of the stream, if it is buffered whole
+	filled      bool
+	headWritten bool // the bulk header of the stream has been written
+	bulk        bool // data is a value to be encoded as a bulk string
 }
 
-// size is how many bytes the answer has as it is written.
+// size returns the length of the encoded reply.
 func (s *slot) size() int {
-	if !s.value {
+	if !s.bulk {
 		return len(s.data)
 	}
 	n := len("$0\r\n\r\n") + len(s.data)
@@ -36,73 +36,73 @@
 	return n
 }
 
-// appendTo appends the answer as it is written.
+// appendTo appends the encoded reply.
 func (s *slot) appendTo(b []byte) []byte {
-	if s.value {
+	if s.bulk {
 		return redcon.AppendBulk(b, s.data)
 	}
 	return append(b, s.data...)
 }
 
 var (
-	failedLine = []byte("-ERR failed\r\n")
-	knownLine  = []byte("-ERR the request id is in use\r\n")
+	failedReply    = []byte("-ERR failed\r\n")
+	duplicateReply = []byte("-ERR the request id is in use\r\n")
 )
 
-// Disconnected tells whether the client has left.
+// Disconnected reports whether the client has disconnected.
 func (s *slot) Disconnected() bool { return s.client.net == nil || s.client.net.Gone() }
 
-// Answer gives the slot its one answer.
+// Answer fills the slot with the final outcome of its request.
 func (s *slot) Answer(o outcome) {
 	c := s.client
-	if c.net == nil || c.endBy > 0 {
-		if s.body = o.body; s.body != nil {
-			s.abandon()
+	if c.net == nil || c.lingerUntil > 0 {
+		if s.stream = o.stream; s.stream != nil {
+			s.closeStream()
 		}
 		return
 	}
-	if o.body != nil {
-		s.body, s.filled = o.body, true
-		s.body.Notify(c.soil)
+	if o.stream != nil {
+		s.stream, s.filled = o.stream, true
+		s.stream.Notify(c.markDirty)
 		if c.first == s {
-			c.soil()
+			c.markDirty()
 		}
 		return
 	}
 	switch o.kind {
 	case served:
-		s.data, s.value = o.value, true
+		s.data, s.bulk = o.value, true
 	case refused:
 		s.data = append(make([]byte, 0, len("-BUSY 1000\r\n")), "-BUSY"...)
-		if ms := o.after.Milliseconds(); ms > 0 {
+		if ms := o.retryAfter.Milliseconds(); ms > 0 {
 			s.data = strconv.AppendInt(append(s.data, ' '), ms, 10)
 		}
 		s.data = append(s.data, "\r\n"...)
 	case failed:
-		s.data = failedLine
+		s.data = failedReply
 	case duplicate:
-		s.data = knownLine
-		c.wrong++
+		s.data = duplicateReply
+		c.invalidCommands++
 	}
 	s.filled = true
 	n := s.size()
-	c.front.loop.memory.force(n) // until it is written
-	c.owe(n)
+	c.front.loop.memory.reserve(n) // released when it is written
+	c.addReplyBytes(n)
 	if c.first == s && c.net != nil {
-		c.soil()
+		c.markDirty()
 	}
 }
 
-// soil notes that there may be something to write.
-func (c *client) soil() {
-	if !c.soiled {
-		c.soiled = true
+// markDirty queues the connection for the next flush.
+func (c *client) markDirty() {
+	if !c.flushQueued {
+		c.flushQueued = true
 		c.front.dirty = append(c.front.dirty, c)
 	}
 }
 
-// push appends a slot.
-func (c *client) push(s *slot) {
+// pushSlot appends a slot to the reply queue.
+func (c *client) pushSlot(s *slot) {
 	if c.last != nil {
 		c.last.next = s
 	} else {
@@ -112,9 +112,9 @@
 	c.pending++
 }
 
-// settle writes the answers that are due, in order, and ends the connection if
-// it is to end and nothing is left.
-func (c *client) settle() {
+// writeReplies writes the replies that are due, in order, and ends the connection if it is to end and nothing is left
+// to write.
+func (c *client) writeReplies() {
 	if c.net == nil {
 		return
 	}
@@ -123,77 +123,77 @@
 		if !c.write(c.unwritten) {
 			return
 		}
-		c.writeBy = 0
-		f.held -= c.replyBytes
+		c.writeDeadline = 0
+		f.stalledBytes -= c.replyBytes
 		f.unstall(c)
-		c.arm()
+		c.resetTimer()
 	}
 	for c.first != nil && c.first.filled {
-		if c.first.body != nil {
-			if !c.pour() {
+		if c.first.stream != nil {
+			if !c.forwardStream() {
 				return
 			}
 			continue
 		}
-		out := f.out[:0]
-		for s := c.first; s != nil && s.filled && s.body == nil && (len(out) == 0 || len(out)+s.size() <= sharedBuffer); s = c.first {
+		out := f.writeBuffer[:0]
+		for s := c.first; s != nil && s.filled && s.stream == nil && (len(out) == 0 || len(out)+s.size() <= sharedBufferSize); s = c.first {
 			out = s.appendTo(out)
-			c.drop()
+			c.popSlot()
 		}
-		if f.out = out; cap(out) > 2*sharedBuffer {
-			f.out = nil
+		if f.writeBuffer = out; cap(out) > 2*sharedBufferSize {
+			f.writeBuffer = nil
 		}
 		if !c.write(out) {
 			return
 		}
 	}
-	// What has come already is not lost to the end that follows.
-	if c.first == nil && !c.closing && (c.behind || c.readable || f.draining && c.speaks()) {
-		c.pump()
+	// Commands that have already arrived are read before the connection ends, so that they are not lost.
+	if c.first == nil && !c.closing && (c.hasBacklog || c.readable || f.draining && c.hasInput()) {
+		c.processInput()
 		if c.first != nil || c.net == nil {
 			return
 		}
 	}
-	if c.first == nil && (c.closing || f.draining) && c.endBy == 0 && (c.asked || c.closing || c.place.Leaving()) {
+	if c.first == nil && (c.closing || f.draining) && c.lingerUntil == 0 && (c.hasRequested || c.closing || c.place.Leaving()) {
 		if !c.closing {
-			c.why = closedDraining
+			c.reason = closedDraining
 		}
-		c.shut()
+		c.lingeringClose()
 		return
 	}
 	if c.readable || len(c.partial) > 0 {
-		c.pump() // what was not taken while so much was due
+		c.processInput() // commands held back while too many replies were due
 		return
 	}
 	c.reportActivity()
 }
 
-// write writes b, and tells whether the client has taken all of it. What it
-// does not take now is held, by this connection alone; the others go on.
+// write writes b and reports whether the socket accepted all of it. The rest is held for this connection
+// alone; other connections are not delayed.
 func (c *client) write(b []byte) bool {
 	f := c.front
 	n, err := c.net.Write(b)
 	c.replyBytes -= n
-	f.loop.memory.give(n)
-	if c.stall != nil {
-		f.held -= n
+	f.loop.memory.release(n)
+	if c.stallEntry != nil {
+		f.stalledBytes -= n
 	}
 	switch {
 	case err == nil:
-	case errors.Is(err, reactor.ErrWait) && c.stall != nil:
+	case errors.Is(err, reactor.ErrWait) && c.stallEntry != nil:
 		c.unwritten = b[n:]
-		if n > 0 { // it does read, if slowly
-			c.writeBy = f.loop.Now() + writeTimeout
-			c.arm()
+		if n > 0 { // the client reads, if slowly
+			c.writeDeadline = f.loop.Now() + writeTimeout
+			c.resetTimer()
 		}
 		return false
 	case errors.Is(err, reactor.ErrWait):
 		c.unwritten = append([]byte(nil), b[n:]...)
-		c.writeBy = f.loop.Now() + writeTimeout
-		c.stall = f.stalled.PushBack(c)
-		f.held += c.replyBytes
-		c.arm()
-		c.bound()
+		c.writeDeadline = f.loop.Now() + writeTimeout
+		c.stallEntry = f.stalled.PushBack(c)
+		f.stalledBytes += c.replyBytes
+		c.resetTimer()
+		c.enforceReplyLimits()
 		return false
 	default:
 		c.close(closedWriteFailed, err)
@@ -203,24 +203,24 @@
 	return true
 }
 
-// owe takes note of an answer that is due.
-func (c *client) owe(n int) {
+// addReplyBytes accounts for a reply of n bytes that is due.
+func (c *client) addReplyBytes(n int) {
 	c.replyBytes += n
-	if c.stall != nil {
-		c.front.held += n
-		c.bound()
+	if c.stallEntry != nil {
+		c.front.stalledBytes += n
+		c.enforceReplyLimits()
 	}
 }
 
-// bound closes connections whose clients do not read, where they hold too much:
-// this one by its own bound, and the one that stalls for longest by that of all.
-// Their answers have failed, and are not kept for ever.
-func (c *client) bound() {
+// enforceReplyLimits closes connections whose clients do not read and that hold too many reply bytes: this one
+// if it exceeds its own limit, and those stalled for longest while all stalled ones together exceed theirs.
+// Their replies have failed and are not kept forever.
+func (c *client) enforceReplyLimits() {
 	f := c.front
-	if c.replyBytes > mostHeld {
+	if c.replyBytes > maxStalledReplyBytes {
 		c.close(closedUnreadAnswers, nil)
 	}
-	for int64(f.held) > f.loop.memory.most/heldPart && f.stalled.Len() > 0 {
+	for int64(f.stalledBytes) > f.loop.memory.limit/stalledMemoryDivisor && f.stalled.Len() > 0 {
 		f.stalled.Front().Value.(*client).close(closedUnreadAnswers, nil)
 	}
 }
--- a/internal/ingress/shortage.go
+++ b/internal/ingress/shortage.go
@@ -3,53 +3,54 @@
 import "time"
 
 const (
-	// passingShortage is how long a shortage may last that the process has no part in.
-	passingShortage = 500 * time.Millisecond
-	trialLeast      = 5 * time.Millisecond  // between two looks whether descriptors are short still
-	trialMost       = 80 * time.Millisecond // the same, at most: the time doubles
+	// transientShortage is how long a shortage may last before it counts as caused by this process, however few
+	// connections it holds.
+	transientShortage = 500 * time.Millisecond
+	minTrialInterval  = 5 * time.Millisecond  // first interval between checks whether descriptors are still short
+	maxTrialInterval  = 80 * time.Millisecond // upper bound of that interval, which doubles
 )
 
-// shortage judges failures for want of descriptors or memory: whether what the process itself holds is
-// short, and whether it is over.
+// shortage evaluates failures for lack of descriptors or memory: whether the connections that the process itself
+// holds cause the shortage, and whether it is over.
 type shortage struct {
-	half    int           // of the descriptors that the process may hold
-	since   time.Duration // since when no connection was to be had; 0 when one was
-	last    time.Duration // when one was last missed
-	held    int           // connections held at the last shortage of its own
-	trialAt time.Duration // not tried again before then
-	pause   time.Duration // how long that waits
+	halfLimit     int           // half of the descriptors that the process may hold
+	failingSince  time.Duration // when accepts or dials began to fail; 0 after a success
+	lastFailure   time.Duration // when the last one failed
+	heldAtFailure int           // connections held at the last shortage that the process caused
+	trialAt       time.Duration // no trial before then
+	trialInterval time.Duration // between trials
 }
 
-// own notes a failure with so many connections held. It tells whether it may be these that are too many: they are
-// many, or the shortage lasts.
-func (s *shortage) own(now time.Duration, held int) bool {
-	if s.since == 0 || now-s.last > passingShortage/2 {
-		s.since = now
+// recordFailure records a failure while so many connections are held. It reports whether these may be the cause:
+// they are many, or the shortage lasts.
+func (s *shortage) recordFailure(now time.Duration, held int) bool {
+	if s.failingSince == 0 || now-s.lastFailure > transientShortage/2 {
+		s.failingSince = now
 	}
-	s.last = now
-	if held < s.half && now-s.since < passingShortage {
+	s.lastFailure = now
+	if held < s.halfLimit && now-s.failingSince < transientShortage {
 		return false
 	}
-	s.held = held
-	s.pause = min(max(trialLeast, 2*s.pause), trialMost)
-	s.trialAt = now + s.pause
+	s.heldAtFailure = held
+	s.trialInterval = min(max(minTrialInterval, 2*s.trialInterval), maxTrialInterval)
+	s.trialAt = now + s.trialInterval
 	return true
 }
 
-// due tells whether a connection is to be tried beyond what a shortage has left: only that shows whether
-// it lasts.
-func (s *shortage) due(now time.Duration) bool { return now >= s.trialAt }
+// trialDue reports whether to try one connection beyond the places that a shortage has left: only a trial shows
+// whether the shortage lasts.
+func (s *shortage) trialDue(now time.Duration) bool { return now >= s.trialAt }
 
-// over notes a connection that was had. It tells whether so many held now show that the shortage was none of
-// the process's own: more than when it failed.
-func (s *shortage) over(held int) bool {
-	s.since = 0
-	if held <= s.held {
+// recordSuccess records a successful accept. It reports whether the number of connections held now shows that they
+// did not cause the shortage: it is higher than at the failure.
+func (s *shortage) recordSuccess(held int) bool {
+	s.failingSince = 0
+	if held <= s.heldAtFailure {
 		return false
 	}
-	s.trialAt, s.pause = 0, 0
+	s.trialAt, s.trialInterval = 0, 0
 	return true
 }
 
-// postpone puts the next trial off.
-func (s *shortage) postpone(now time.Duration) { s.trialAt = now + s.pause }
+// postponeTrial delays the next trial by the interval between trials.
+func (s *shortage) postponeTrial(now time.Duration) { s.trialAt = now + s.trialInterval }
