--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -10,23 +10,23 @@
 	"wickarch/admission"
 )
 
-func TestMarksOfTheFileGoBeforeThoseOfTheLimits(t *testing.T) {
-	own, faults := Parse("[door]\nplaces = 1000\nrest_least_ms = 75\nhigh = 900\n")
+func TestFileOverridesDefaultLimits(t *testing.T) {
+	options, faults := Parse("[door]\nplaces = 1000\nrest_least_ms = 75\nhigh = 900\n")
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	want := admission.Defaults(1000, 1000)
 	want.High, want.IdleMin = 900, 75*time.Millisecond
-	if got := own.Admission.Apply(admission.Defaults(211, 128)); got != want {
-		t.Errorf("marks %+v, want %+v", got, want)
+	if got := options.Admission.Apply(admission.Defaults(211, 128)); got != want {
+		t.Errorf("limits %+v, want %+v", got, want)
 	}
 	if got := (*Admission)(nil).Apply(admission.Defaults(211, 128)); got != admission.Defaults(211, 128) {
 		t.Errorf("without a file: %+v", got)
 	}
 }
 
-// Every fault is told, each with its line.
-func TestFaultsNameTheirLines(t *testing.T) {
+// Every fault is reported with its line.
+func TestFaultsHaveLines(t *testing.T) {
 	for text, want := range map[string][]string{
 		"[door]\nplaces = 10\n\nhigh = 11\n":          {"4: door.high"},
 		"[door]\n# more\nbatch = 0 # none\n":          {"3: door.batch"},
@@ -52,26 +52,26 @@
 	}
 }
 
-func TestLoadNamesTheFile(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "own.toml")
+func TestLoadErrorHasPath(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "options.toml")
 	if _, err := Load(path); err == nil {
-		t.Error("no error without a file")
+		t.Error("no error for a missing file")
 	}
 	if err := os.WriteFile(path, []byte("[door]\nplaces = 0\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err == nil || !strings.Contains(err.Error(), path+":2: door.places") {
-		t.Errorf("error %v, want file and line", err)
+		t.Errorf("error %v, want path and line", err)
 	}
 }
 
-// The example that is shipped must be right, and hold every key.
-func TestShippedFileIsRight(t *testing.T) {
-	own, err := Load("../../deploy/wickarch.toml")
+// The shipped example must be valid and hold every key.
+func TestShippedFileIsValid(t *testing.T) {
+	options, err := Load("../../deploy/wickarch.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if own.Admission == nil || own.Admission.Places == nil || own.Admission.PauseMS == nil {
+	if options.Admission == nil || options.Admission.Places == nil || options.Admission.PauseMS == nil {
 		t.Error("keys of [door] are missing")
 	}
 }
--- a/internal/ingress/figures_test.go
+++ b/internal/ingress/admin_test.go
@@ -17,7 +17,7 @@
 	"wickarch/internal/standin"
 )
 
-// adminCall makes a call at the second address.
+// adminCall makes a call to the admin address.
 func (r *rig) adminCall(method, path string) (int, string) {
 	r.Helper()
 	req, err := http.NewRequest(method, "http://"+r.server.admin.Addr()+path, nil)
@@ -54,8 +54,8 @@
 
 func withAdmin(cfg *Config) { cfg.Admin = "127.0.0.1:0" }
 
-// The second address tells which backends are used.
-func TestBackendsAreTold(t *testing.T) {
+// The admin address reports the state of each backend that accepts new requests.
+func TestAdminReportsBackends(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"), Member{ID: "s-2", HostPort: "127.0.0.1:1", Phase: PhaseDraining})
 	status, text := r.adminCall("GET", "/status/backends")
@@ -67,17 +67,16 @@
 	}
 }
 
-// Guards against ends that nobody can explain: each end of a connection and of an attempt is
-// counted by its reason.
+// Guards against connections and attempts that end without a counted reason.
 func TestEndsAreCountedByReason(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"))
 	c := r.dial()
 	c.send("Q.ASK", someCustomer, newID(), lookup)
-	wait(t, "the first", b.Got).Answer("one")
+	wait(t, "the first request", b.Got).Answer("one")
 	c.want("$3\r\none")
 	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
-	wait(t, "the second", b.Got).Reset()
+	wait(t, "the second request", b.Got).Reset()
 	c.want("-ERR failed")
 	c.write("nonsense\r\n")
 	c.line()
@@ -85,13 +84,14 @@
 	_, text := r.adminCall("GET", "/status/events")
 	for _, want := range []string{" malformed=1 ", " read-failed=1 ", "ended none=1 ", "retries=0 "} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not in %q", want, text)
+			t.Errorf("%q is missing from the events %q", want, text)
 		}
 	}
 }
 
-// Guards against attempts for requests that have ended, whoever asks for them: the rule is asked last, and tells.
-func TestNoAttemptBeginsForARequestThatHasEnded(t *testing.T) {
+// Guards against attempts for requests that have ended, whichever code path starts them: the lifecycle rules are
+// checked last, refuse the attempt and count the violation.
+func TestNoAttemptStartsForEndedRequest(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"))
 	c := r.dial()
@@ -110,45 +110,45 @@
 	c.send("Q.ASK", someCustomer, newID(), lookup)
 	second := wait(t, "the next request", b.Got)
 	if second.Args[0] != "Q.ASK" {
-		t.Errorf("an attempt began behind the end: %q", second.Args)
+		t.Errorf("an attempt started after the request had ended: %q", second.Args)
 	}
 	second.Answer("one")
 	c.want("$3\r\none")
 	if _, text := r.adminCall("GET", "/status/events"); !strings.Contains(text, " begin-after-end=1 ") {
-		t.Errorf("it is not counted: %q", text)
+		t.Errorf("the violation is not counted: %q", text)
 	}
 }
 
-// Guards against attempts for clients that have left, where the event that tells of it is late.
-func TestNothingIsWrittenForAClientThatHasLeftUnheard(t *testing.T) {
+// Guards against attempts for disconnected clients whose disconnect event has not been processed yet.
+func TestNothingIsWrittenForUnnoticedDisconnect(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("s-1"))
 	c := r.dial()
 	c.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "the attempt", b.Got)
-	r.onLoop(func(l *loop) { // no event is told meanwhile
+	r.onLoop(func(l *loop) { // no event is processed meanwhile
 		for _, open := range l.requests {
 			if a := open.attempts[0]; !l.MayWrite(a) {
-				t.Error("an attempt is forbidden though its client waits")
+				t.Error("an attempt may not be written though its client waits")
 			}
 			c.nc.Close()
-			for end := time.Now().Add(testTimeout); (!open.answer.Gone() || l.Now()-open.began < justRead) && time.Now().Before(end); {
+			for deadline := time.Now().Add(testTimeout); (!open.answer.Gone() || l.Now()-open.began < justRead) && time.Now().Before(deadline); {
 				time.Sleep(time.Millisecond)
 			}
 			if a := open.attempts[0]; l.MayWrite(a) {
-				t.Error("an attempt may be written though its client has left")
+				t.Error("an attempt may be written though its client has disconnected")
 			}
 		}
 	})
 }
 
-// The figures are held against what the backend got and the clients were told.
-func TestFiguresAreWhatPeersSaw(t *testing.T) {
+// The metrics must match what the backend received and the clients were answered.
+func TestMetricsMatchWhatPeersSaw(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"), Member{ID: "s-2", HostPort: "127.0.0.1:1", Phase: PhaseDraining})
 	answers, calls := map[string]int{}, 0
 	c := r.dial()
-	see := func(class string) {
+	countAnswer := func(class string) {
 		t.Helper()
 		if line := c.line(); strings.HasPrefix(line, "$") {
 			answers["success."+class]++
@@ -183,15 +183,15 @@
 		default:
 			got.Answer("yes")
 		}
-		see(class)
+		countAnswer(class)
 	}
-	// One whose client leaves is open no more.
-	gone := r.dial()
-	gone.send("Q.ASK", someCustomer, newID(), lookup)
+	// A request whose client disconnects is no longer open.
+	leaving := r.dial()
+	leaving.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "a command", b.Got)
 	calls++
-	gone.nc.Close()
-	r.eventually("the request is over", func(l *loop) bool { return l.figures.open == 0 })
+	leaving.nc.Close()
+	r.eventually("the end of the request", func(l *loop) bool { return l.figures.open == 0 })
 
 	f := r.metrics()
 	for _, class := range []string{"lookup", "payment"} {
@@ -209,13 +209,13 @@
 	}
 }
 
-// A standby answers no, keeps no connection, serves what comes all the same,
-// and is over with one call.
-func TestStandbyEmptiesTheIngressAndIsOver(t *testing.T) {
+// In standby the ingress reports that it is unavailable, keeps no connection, and still
+// serves requests that arrive. One call ends it.
+func TestStandbyDrainsUntilActive(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, withAdmin, b.member("s-1"))
 	if status, _ := r.adminCall("GET", "/status"); status != 200 {
-		t.Fatalf("status %d before", status)
+		t.Fatalf("status %d before standby", status)
 	}
 	idle, busy := r.dial(), r.dial()
 	idle.send("Q.ASK", someCustomer, newID(), lookup)
@@ -225,7 +225,7 @@
 	open := wait(t, "a command", b.Got)
 
 	if status, _ := r.adminCall("PUT", "/standby"); status != 200 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("status %d for /standby", status)
 	}
 	idle.wantEnd()
 	if status, _ := r.adminCall("GET", "/status"); status != 503 {
@@ -241,11 +241,11 @@
 	open.Answer("open")
 	busy.want("$4\r\nopen")
 	busy.wantEnd()
-	silent := r.dial() // one that says nothing is not kept either
+	silent := r.dial() // a connection without a command is not kept either
 	silent.wantEnd()
 
 	if status, _ := r.adminCall("PUT", "/active"); status != 200 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("status %d for /active", status)
 	}
 	again := r.dial()
 	again.send("PING")
@@ -253,45 +253,46 @@
 	again.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "a command", b.Got).Answer("again")
 	again.want("$5\r\nagain")
-	again.send("PING") // it is kept
+	again.send("PING") // the connection is kept
 	again.want("+PONG")
 }
 
-// withInheritedSocket gives a server a descriptor of a listening socket, as a start by the platform does.
-func withInheritedSocket(t *testing.T, held net.Listener) func(*Config) {
+// withInheritedSocket configures a server with a descriptor of a listening socket, as a start by the platform does.
+func withInheritedSocket(t *testing.T, listener net.Listener) func(*Config) {
 	t.Helper()
-	file, err := held.(*net.TCPListener).File()
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = file.Close() }()
-	fd, err := syscall.Dup(int(file.Fd())) // the server closes the one that it is given
+	fd, err := syscall.Dup(int(file.Fd())) // the server closes its descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
-	return func(cfg *Config) { cfg.Listen, cfg.InheritedListener = held.Addr().String(), reactor.Inherited(fd) }
+	return func(cfg *Config) { cfg.Listen, cfg.InheritedListener = listener.Addr().String(), reactor.Inherited(fd) }
 }
 
-// Of two processes with one socket and one folder the second takes no client,
-// though it says that it could, until the first has stopped.
-func TestOneProcessAtATimeTakesClients(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+// Guards against two processes of one ingress serving clients at once, which would fill its
+// shares of ceilings twice: with a shared socket and handover folder, the second process
+// reports ready but accepts no client until the first has stopped.
+func TestOneProcessAtATimeAcceptsClients(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer listener.Close()
 	b, dir := newBackend(t), t.TempDir()
-	begin := func() *rig {
-		inherited := withInheritedSocket(t, held)
+	start := func() *rig {
+		inherited := withInheritedSocket(t, listener)
 		d := newFakeDiscovery(t, b.member("s-1"))
 		d.Open()
 		return startRig(t, d, func(cfg *Config) { inherited(cfg); withAdmin(cfg); cfg.HandoverDir = dir })
 	}
-	takes := func(r *rig) {
-		r.eventually("it says yes", func(*loop) bool { return r.server.Takes() })
+	awaitReady := func(r *rig) {
+		r.eventually("the process to report ready", func(*loop) bool { return r.server.Takes() })
 	}
-	first := begin()
-	takes(first)
+	first := start()
+	awaitReady(first)
 	ping := func() *fakeClient {
 		c := first.dial()
 		c.send("PING")
@@ -299,87 +300,88 @@
 		return c
 	}
 	ping()
-	second := begin()
-	takes(second)
+	second := start()
+	awaitReady(second)
 	for range 50 {
 		ping()
 	}
 	if n := second.countClients(nil); n != 0 {
-		t.Fatalf("the second one has taken %d clients beside the first", n)
+		t.Fatalf("the second process has accepted %d clients while the first was running", n)
 	}
 	open := ping()
 	open.send("Q.ASK", someCustomer, newID(), lookup)
 	got := wait(t, "a command", b.Got)
 	first.stop()
-	second.eventually("it takes clients", func(*loop) bool { return !second.server.front.waits })
-	ping() // by the second, while the first still owes an answer
+	second.eventually("the second process to accept clients", func(*loop) bool { return !second.server.front.waits })
+	ping() // answered by the second process, while the first still has a request open
 	if n := second.countClients(nil); n != 1 {
-		t.Errorf("the second one has %d clients, want 1", n)
+		t.Errorf("the second process has %d clients, want 1", n)
 	}
 	got.Answer("yes")
 	open.want("$3\r\nyes")
 	open.wantEnd()
-	if err := wait(t, "the end", first.ended); err != nil {
+	if err := wait(t, "the first process to end", first.ended); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A listening socket that the platform holds outlives the process that took it.
+// A listening socket inherited from the platform stays open after the process ends, and can be
+// used by the next one.
 func TestInheritedSocketIsServedAndLeftOpen(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer listener.Close()
 	b := newBackend(t)
 	for range 2 {
-		r := newRig(t, withInheritedSocket(t, held), b.member("s-1"))
-		if r.server.Addr() != held.Addr().String() {
-			t.Fatalf("serves at %s, want %s", r.server.Addr(), held.Addr())
+		r := newRig(t, withInheritedSocket(t, listener), b.member("s-1"))
+		if r.server.Addr() != listener.Addr().String() {
+			t.Fatalf("serving at %s, want %s", r.server.Addr(), listener.Addr())
 		}
 		c := r.dial()
 		c.send("Q.ASK", someCustomer, newID(), lookup)
 		wait(t, "a command", b.Got).Answer("yes")
 		c.want("$3\r\nyes")
 		r.stop()
-		if err = wait(t, "the end", r.ended); err != nil {
+		if err = wait(t, "the ingress to end", r.ended); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err = held.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)); err != nil {
+	if err = listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Error(err)
 	}
-	c, err := standin.Dial(held.Addr().String(), testTimeout)
+	c, err := standin.Dial(listener.Addr().String(), testTimeout)
 	if err != nil {
 		t.Fatal("the socket is closed: ", err)
 	}
 	c.Close()
-	if _, err := held.Accept(); err != nil {
-		t.Fatal("the socket takes nothing more: ", err)
+	if _, err := listener.Accept(); err != nil {
+		t.Fatal("the socket no longer accepts connections: ", err)
 	}
 }
 
-// Whoever shares an inherited socket shares its O_NONBLOCK: os/exec takes it off for
-// each process that it hands the socket to. Nobody may wait for the next connection then.
-func TestInheritedSocketThatAnotherMakesBlockingHoldsUpNobody(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+// Processes that share an inherited socket share its O_NONBLOCK flag, and os/exec clears it for
+// each process it passes the socket to. The reactor must not block in accept then.
+func TestInheritedSocketMadeBlockingDoesNotBlockReactor(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { held.Close() })
+	t.Cleanup(func() { listener.Close() })
 	b := newBackend(t)
-	r := newRig(t, withInheritedSocket(t, held), b.member("s-1"))
-	raw, err := held.(*net.TCPListener).SyscallConn()
+	r := newRig(t, withInheritedSocket(t, listener), b.member("s-1"))
+	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { // whoever waits for a connection gets one, and waits for no other
+	t.Cleanup(func() { // releases an accept call that blocks
 		_ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), true) })
 		if c, refused := standin.Dial(r.server.Addr(), testTimeout); refused == nil {
 			c.Close()
 		}
 	})
-	for range 3 { // again and again
+	for range 3 {
 		if failed := raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), false) }); errors.Join(failed, err) != nil {
 			t.Fatal(failed, err)
 		}
@@ -390,7 +392,7 @@
 	}
 }
 
-func TestConfigurationNamesTheSecondAddressAndTheSocket(t *testing.T) {
+func TestLoadConfigReadsAdminAddressAndInheritedSocket(t *testing.T) {
 	path := t.TempDir() + "/config.json"
 	text := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","mgmt":"127.0.0.1:3","settings":%s}`, fmt.Sprintf(settings, 15_000))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -404,7 +406,7 @@
 	for _, bad := range []string{"0", "2", "x", "-1"} {
 		env["NODE_PASSED_SOCKET"] = bad
 		if _, err := LoadConfig(func(name string) string { return env[name] }); err == nil {
-			t.Errorf("NODE_PASSED_SOCKET=%s is taken", bad)
+			t.Errorf("NODE_PASSED_SOCKET=%s is accepted", bad)
 		}
 	}
 }
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// An unsafe request that may have run gets no second attempt and no refusal.
-func TestPaymentThatMayHaveRunFails(t *testing.T) {
+// Guards against running a payment twice: one that may have run gets no second attempt,
+// and is answered as failed, not as refused.
+func TestPaymentThatMayHaveRunIsNotRetried(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
 	for _, end := range []func(received){
 		received.Reset,
 		func(got received) { got.Conn.Close() },
 		func(got received) { got.Line("-ERR failed") },
-		// What can't be read ends at once, though the connection stays open.
+		// A malformed answer ends the attempt at once, though the connection stays open.
 		func(got received) { got.Line("$x") },
 		func(got received) { got.Line("*3\r\n$3000000000") },
 		func(got received) { got.Line("-BUSY \x01") },
@@ -34,8 +35,8 @@
 	wantNone(t, "a second attempt", two.Got)
 }
 
-// One that was turned away has not run, and goes to the other backend.
-func TestPaymentThatWasTurnedAwayGoesOn(t *testing.T) {
+// A payment refused by one backend has not run, and goes to the other.
+func TestRefusedPaymentIsRetried(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
 	c := r.dial()
@@ -53,7 +54,7 @@
 	c.want("$1\r\nv")
 }
 
-func TestPaymentGoesOnWhenTheConnectionIsRefused(t *testing.T) {
+func TestPaymentIsRetriedWhenConnectionIsRefused(t *testing.T) {
 	down, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -65,15 +66,15 @@
 	dead.HostPort = addr
 	r := newRig(t, nil, b.member("b"), dead)
 	c := r.dial()
-	for range 10 { // some of them try the dead one first
+	for range 10 { // some of them try the dead backend first
 		c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 		wait(t, "the request", b.Got).Answer("v")
 		c.want("$1\r\nv")
 	}
 }
 
-// awaitReusable waits until so many connections could carry a request.
+// awaitReusable waits until so many connections to backends can be used again.
 func (r *rig) awaitReusable(connections int) {
 	r.Helper()
-	r.eventually("the connections to have rested", func(l *loop) bool { return l.pool.Kept() == connections })
+	r.eventually("connections to become reusable", func(l *loop) bool { return l.pool.Kept() == connections })
 }
--- a/internal/ingress/inbox_test.go
+++ b/internal/ingress/inbox_test.go
@@ -11,26 +11,27 @@
 	"wickarch/choice"
 )
 
-// A run of changes calls the loop once and comes as one list; a whole list stays one of its own, in its place.
-func TestChangesOfOneRoundComeTogether(t *testing.T) {
+// Consecutive changes wake the loop once and are merged into one list; full lists are not merged and keep
+// their order.
+func TestChangesOfOneRoundAreMerged(t *testing.T) {
 	var b inbox
-	calls := 0
+	wakes := 0
 	for n := range 840 {
 		if b.put(MemberList{Revision: int64(n), Members: []Member{{ID: fmt.Sprint(n)}}}) {
-			calls++
+			wakes++
 		}
 	}
 	all := b.take()
-	if calls != 1 || len(all) != 1 || len(all[0].Members) != 840 || all[0].Revision != 839 || all[0].Complete {
-		t.Fatalf("%d calls for %d lists, the first of %d members at revision %d", calls, len(all), len(all[0].Members), all[0].Revision)
+	if wakes != 1 || len(all) != 1 || len(all[0].Members) != 840 || all[0].Revision != 839 || all[0].Complete {
+		t.Fatalf("%d wakes for %d lists, the first with %d members at revision %d", wakes, len(all), len(all[0].Members), all[0].Revision)
 	}
 	for n, m := range all[0].Members {
 		if m.ID != fmt.Sprint(n) {
-			t.Fatalf("member %d is %s", n, m.ID)
+			t.Fatalf("member %d has ID %s", n, m.ID)
 		}
 	}
 	if len(b.take()) != 0 || !b.put(MemberList{Revision: 1}) {
-		t.Error("once taken, the next list doesn't call")
+		t.Error("the inbox is not empty after take, or the next list does not wake the loop")
 	}
 	for n, complete := range []bool{false, true, true, false, false} {
 		b.put(MemberList{Revision: int64(n + 2), Complete: complete, Members: []Member{{ID: "x"}}})
@@ -44,11 +45,11 @@
 	}
 }
 
-// What the ingress knows and uses is the same, whether changes come one by one or as a run: members that drain,
-// go, come back, start anew, move, or take an address over.
-func TestRunOfChangesLeavesTheSame(t *testing.T) {
+// Guards against merging that changes the result: the backends known and used must be the same whether changes
+// are applied one by one or merged, for members that drain, go, return, restart, move, or reuse an address.
+func TestMergedChangesHaveSameResult(t *testing.T) {
 	for seed := range uint64(30) {
-		one, run := newInstallation(t, seed, 8, nil), newInstallation(t, seed, 8, nil)
+		single, merged := newInstallation(t, seed, 8, nil), newInstallation(t, seed, 8, nil)
 		rng := rand.New(rand.NewPCG(seed, 0))
 		revision := int64(1)
 		for round := range 10 {
@@ -61,10 +62,10 @@
 				if rng.IntN(12) == 0 {
 					l.Complete = true
 				}
-				one.do(func() { one.ingress.UpdateMembers(l) })
-				run.ingress.enqueueMembers(l)
+				single.do(func() { single.ingress.UpdateMembers(l) })
+				merged.ingress.enqueueMembers(l)
 			}
-			run.do(func() {})
+			merged.do(func() {})
 			state := func(i *installation) (all []string) {
 				known := i.ingress.loop.pool.Known()
 				for _, name := range slices.Sorted(maps.Keys(known)) {
@@ -75,11 +76,11 @@
 				for _, v := range view {
 					all = append(all, fmt.Sprint(v.ID, v.Used, v.Part))
 				}
-				used, of := i.ingress.loop.fleet.Size()
-				return append(all, fmt.Sprint(used, of))
+				used, total := i.ingress.loop.fleet.Size()
+				return append(all, fmt.Sprint(used, total))
 			}
-			if a, b := state(one), state(run); !slices.Equal(a, b) {
-				t.Fatalf("seed %d, round %d: %v one by one, %v as a run", seed, round, a, b)
+			if a, b := state(single), state(merged); !slices.Equal(a, b) {
+				t.Fatalf("seed %d, round %d: %v one by one, %v merged", seed, round, a, b)
 			}
 		}
 	}
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -13,7 +13,7 @@
 	"wickarch/internal/standin"
 )
 
-// testTimeout bounds every wait of the tests; none of them passes by waiting.
+// testTimeout bounds every wait in the tests; no test passes by reaching it.
 const testTimeout = 30 * time.Second
 
 const (
@@ -25,12 +25,12 @@
 
 var newID = standin.NewID
 
-// settings are of one plan that nobody exhausts; %d is the idle time of connections.
+// settings have one plan whose quota no test exhausts; %d is the idle timeout of backend connections.
 var settings = strings.ReplaceAll(standin.Settings, "%g", "1000")
 
 type received = standin.Received
 
-// fakeBackend hands each command to the test, which answers it.
+// fakeBackend passes each command to the test, which answers it.
 type fakeBackend struct{ *standin.Backend }
 
 func newBackend(t *testing.T) *fakeBackend {
@@ -55,7 +55,7 @@
 	return d
 }
 
-// rig is an ingress between fakes.
+// rig is an ingress between a fake discovery and fake backends.
 type rig struct {
 	*testing.T
 	server    *Server
@@ -98,31 +98,32 @@
 	go func() { r.ended <- s.Serve(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		s.sources.close() // Serve may wait for clients a good while yet
+		s.sources.close() // Serve may still wait for late clients
 		s.loop.Do(s.loop.Stop)
 	})
 	return r
 }
 
-// countClients are those that are connected, seen on the front's goroutine.
-func (r *rig) countClients(see func(*client)) (n int) {
+// countClients returns the number of connected clients and visits each, if visit is not
+// nil, on the reactor's goroutine.
+func (r *rig) countClients(visit func(*client)) (n int) {
 	r.server.loop.Do(func() {
 		n = len(r.server.front.clients)
 		for _, c := range r.server.front.clients {
-			if see != nil {
-				see(c)
+			if visit != nil {
+				visit(c)
 			}
 		}
 	})
 	return n
 }
 
-// onLoop runs f on the loop's goroutine and waits for it.
+// onLoop runs f on the reactor's goroutine and waits for it.
 func (r *rig) onLoop(f func(l *loop)) {
 	r.server.loop.Do(func() { f(r.server.loop) })
 }
 
-// fakeClient ends the test where a client's connection does not do what it should.
+// fakeClient is a client connection that fails the test on an unexpected answer or error.
 type fakeClient struct {
 	t  *testing.T
 	nc net.Conn
@@ -168,7 +169,7 @@
 	}
 }
 
-// wantEnd waits for the ingress to close the connection without another byte.
+// wantEnd waits until the ingress closes the connection without sending another byte.
 func (c *fakeClient) wantEnd() {
 	c.t.Helper()
 	if err := c.c.Ended(); err != nil {
@@ -181,7 +182,7 @@
 	select {
 	case v = <-ch:
 	case <-time.After(testTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return v
 }
@@ -190,7 +191,7 @@
 	t.Helper()
 	select {
 	case <-ch:
-		t.Fatalf("there is %s, want none", what)
+		t.Fatalf("got %s, want none", what)
 	default:
 	}
 }
--- a/internal/ingress/runtimeconfig_test.go
+++ b/internal/ingress/runtimeconfig_test.go
@@ -10,7 +10,7 @@
 	"wickarch/internal/standin"
 )
 
-// newVersion makes a newVersion of configuration from values by their keys.
+// newVersion creates a configuration version from values by key.
 func newVersion(t *testing.T, number uint64, values map[distribution.Key]any, before ...distribution.Old) *distribution.InUse {
 	t.Helper()
 	u := &distribution.InUse{Version: number, Settled: number - 1, Set: distribution.Set{}, Before: map[distribution.Key][]byte{}}
@@ -27,9 +27,9 @@
 	return u
 }
 
-// A version that names plans names all of them, for the requests that come after it; one that
-// names none leaves the platform's; limits bind where they are the lower ones.
-func TestVersionIsDecidedByFromTheNextRequest(t *testing.T) {
+// A version with plans replaces all plans from the next request on; one without keeps the
+// platform's. Limits apply where they are lower than the platform's.
+func TestVersionAppliesFromNextRequest(t *testing.T) {
 	b, err := standin.NewBackend(func(r standin.Received) { r.Answer("v") })
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	want := func(plan, answer string) {
 		t.Helper()
 		if got := try(plan); got != answer {
-			t.Errorf("a request under %s is answered %q, want %q", plan, got, answer)
+			t.Errorf("a request under plan %s is answered %q, want %q", plan, got, answer)
 		}
 	}
 	want("basic", served)
@@ -64,7 +64,7 @@
 	want("basic", unknown)
 	r.onLoop(func(l *loop) {
 		if l.cfg.Choice.MaxUnits != l.terms.base.MaxUnits {
-			t.Error("a limit that is not named has changed")
+			t.Error("a limit that the version does not set has changed")
 		}
 	})
 	put(newVersion(t, 2, map[distribution.Key]any{"plan/gold": gold, "plan/basic": gold, "limit/units": distribution.Limit{Value: 0.5}}))
@@ -75,10 +75,10 @@
 	var text string
 	r.onLoop(func(l *loop) { text = string(r.server.AppendFigures(nil)) })
 	if !strings.Contains(text, "config_version=3\n") || !strings.Contains(text, "config_settled=2\n") {
-		t.Errorf("figures: %s", text)
+		t.Errorf("metrics: %s", text)
 	}
 
-	// A new ceiling holds with that of a version that others may decide by.
+	// While other ingresses may still use an older version, its ceiling applies as well.
 	low := distribution.Plan{Price: 1, CeilingRate: 1e-6, CeilingBurst: 1e-3}
 	high := distribution.Plan{Price: 1, CeilingRate: 1e6, CeilingBurst: 1e6}
 	data, err := distribution.Encode(low)
@@ -93,8 +93,8 @@
 	want("capped", served)
 }
 
-// What this ingress can't use is told with resource and line, and changes nothing.
-func TestResourceThatCannotBeUsedHereIsNamed(t *testing.T) {
+// A resource that this ingress can't use is reported with key and line, and changes nothing.
+func TestUnusableResourceIsReported(t *testing.T) {
 	r := newRig(t, nil, Member{ID: "b", HostPort: "127.0.0.1:1", Phase: PhaseServing, Size: 1})
 	good := newVersion(t, 1, map[distribution.Key]any{"route/a": distribution.Route{Service: "s", Class: "lookup"}, "route/b": distribution.Route{Service: "s"}})
 	if err := r.server.CheckConfig(good.Set.List()); err != nil {
@@ -107,11 +107,11 @@
 	}
 	bad = newVersion(t, 1, map[distribution.Key]any{"plan/a": distribution.Plan{Rate: -1}})
 	if err := (Configurable{r.server}).Configure(bad); err == nil {
-		t.Error("a rate below 0 is decided by")
+		t.Error("a plan with a negative rate is accepted")
 	}
 	r.onLoop(func(l *loop) {
 		if _, known := l.cfg.plans["a"]; known || l.terms.version != 0 {
-			t.Error("a version that can't be used has left something")
+			t.Error("a refused version has changed the configuration")
 		}
 	})
 }
--- a/internal/ingress/watch_test.go
+++ b/internal/ingress/watch_test.go
@@ -14,13 +14,14 @@
 	"wickarch/internal/standin"
 )
 
-// scriptedDiscovery is a discovery whose list is told at once, and each of whose watches does as
-// the next of its steps says; the last one goes on for all that follow.
-func scriptedDiscovery(t *testing.T, list string, steps ...func(w io.Writer, asked *http.Request)) (d *discoveryClient, asked chan string, got chan MemberList) {
-	asked, got = make(chan string, 1000), make(chan MemberList, 1000)
-	var watches atomic.Int32 // one that was given up may still end while the next begins
+// scriptedDiscovery starts a discovery that answers list requests with the given list and
+// handles each watch by the next step; the last step handles all further watches. It returns
+// a client of it, the queries received and the lists delivered.
+func scriptedDiscovery(t *testing.T, list string, steps ...func(w io.Writer, req *http.Request)) (d *discoveryClient, queries chan string, got chan MemberList) {
+	queries, got = make(chan string, 1000), make(chan MemberList, 1000)
+	var watches atomic.Int32 // a cancelled watch may still be ending while the next one starts
 	s := standin.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
+		queries <- r.URL.RawQuery
 		if r.URL.Query().Get("stream") == "" {
 			_, _ = io.WriteString(w, list)
 			return
@@ -30,10 +31,10 @@
 	}))
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	d = newDiscoveryClient(s.Listener.Addr().String(), func(l MemberList) { got <- l })
-	return d, asked, got
+	return d, queries, got
 }
 
-// flushing writes through to the network.
+// flushing flushes each write to the network.
 type flushing struct {
 	io.Writer
 	c *http.ResponseController
@@ -44,7 +45,7 @@
 	return n, errors.Join(err, f.c.Flush())
 }
 
-func say(text string) func(io.Writer, *http.Request) {
+func sendAndHold(text string) func(io.Writer, *http.Request) {
 	return func(w io.Writer, r *http.Request) {
 		_, _ = io.WriteString(w, text)
 		<-r.Context().Done()
@@ -57,25 +58,27 @@
 	indented = "\n{\n  \"revision\": 8,\n\n  \"complete\": false,\n  \"members\": [\n    {\n      \"id\": \"a\",\n      \"phase\": \"DRAINING\"\n    }\n  ]\n}\n\n"
 )
 
-// want waits for the revisions that are handed on.
+// wantRevisions waits for the given revisions to be delivered, in order.
 func wantRevisions(t *testing.T, got chan MemberList, revisions ...int64) {
 	t.Helper()
 	for _, r := range revisions {
 		if l := wait(t, fmt.Sprint("revision ", r), got); l.Revision != r {
-			t.Fatalf("revision %d is handed on, want %d", l.Revision, r)
+			t.Fatalf("revision %d is delivered, want %d", l.Revision, r)
 		}
 	}
 }
 
-func TestListsMayComeIndentedOrManyAtOnce(t *testing.T) {
+// Guards against parsing a watch by lines: objects may be indented, share a line, and have
+// empty lines between them.
+func TestWatchObjectsMayBeIndentedOrConsecutive(t *testing.T) {
 	for name, text := range map[string]string{
-		"indented":        indented,
-		"one line":        change8 + "\n",
-		"no end of line":  change8,
-		"behind nothings": "\n\n\r\n" + change8 + "\n",
+		"indented":          indented,
+		"one line":          change8 + "\n",
+		"no newline":        change8,
+		"after empty lines": "\n\n\r\n" + change8 + "\n",
 	} {
 		list := strings.ReplaceAll(strings.ReplaceAll(listOf7, "{", "{\n"), ",", ",\n ")
-		d, _, got := scriptedDiscovery(t, list, say(text+strings.Replace(change8, "8", "9", 1)+indented[:3]))
+		d, _, got := scriptedDiscovery(t, list, sendAndHold(text+strings.Replace(change8, "8", "9", 1)+indented[:3]))
 		d.callTimeout, d.silenceTimeout = testTimeout, testTimeout
 		go d.run(t.Context(), nil)
 		t.Log(name)
@@ -83,10 +86,11 @@
 	}
 }
 
-// What a reset cuts in two was not told: the next watch asks after what was.
-func TestObjectCutInTwoIsAskedForAnew(t *testing.T) {
+// An object truncated by a reset was not delivered: the next watch must resume after the
+// last complete one.
+func TestTruncatedObjectIsRequestedAgain(t *testing.T) {
 	for cut := 1; cut < len(change8); cut += 9 {
-		d, asked, got := scriptedDiscovery(t, listOf7, func(w io.Writer, r *http.Request) {
+		d, queries, got := scriptedDiscovery(t, listOf7, func(w io.Writer, r *http.Request) {
 			_, _ = io.WriteString(w, change8[:cut])
 			nc, _, err := w.(flushing).c.Hijack()
 			if err != nil {
@@ -95,66 +99,67 @@
 			}
 			_ = nc.(*net.TCPConn).SetLinger(0)
 			nc.Close()
-		}, say(change8))
+		}, sendAndHold(change8))
 		d.callTimeout, d.silenceTimeout = testTimeout, testTimeout
 		go d.run(t.Context(), nil)
 		wantRevisions(t, got, 7, 8)
 		for _, want := range []string{"", "stream=1&index=7", "stream=1&index=7"} {
-			if q := wait(t, "a question", asked); q != want {
-				t.Errorf("cut at %d: asked %q, want %q", cut, q, want)
+			if q := wait(t, "a query", queries); q != want {
+				t.Errorf("cut at %d: query %q, want %q", cut, q, want)
 			}
 		}
-		wantNone(t, fmt.Sprintf("a further question, cut at %d", cut), asked)
+		wantNone(t, fmt.Sprintf("a further query, cut at %d", cut), queries)
 	}
 }
 
-// What is no list leaves the last one in force, and the whole is asked for anew:
-// it may have held a change.
-func TestBrokenListsLeaveTheLastInForce(t *testing.T) {
+// Invalid data leaves the last list in force, and the full list is requested again, as
+// the data may have held a change.
+func TestInvalidListLeavesLastInForce(t *testing.T) {
 	for name, text := range map[string]string{
-		"noise": "\x00\xff}{", "another shape": `[1,2]`, "a word": `"down"`, "a wrong kind": `{"revision":"x","members":[]}`,
-		"no members": `{"revision":9,"complete":true}`, "none at all": `null`, "another thing": `{"error":"later"}`,
-		"without end": `{"revision":8,"members":[` + strings.Repeat(`{"id":"a"},`, maxListBytes/10),
+		"malformed": "\x00\xff}{", "array": `[1,2]`, "string": `"down"`, "wrong field type": `{"revision":"x","members":[]}`,
+		"no members": `{"revision":9,"complete":true}`, "null": `null`, "other object": `{"error":"later"}`,
+		"over the size limit": `{"revision":8,"members":[` + strings.Repeat(`{"id":"a"},`, maxListBytes/10),
 	} {
-		d, asked, got := scriptedDiscovery(t, listOf7, say(text+"\n"), say(change8))
+		d, queries, got := scriptedDiscovery(t, listOf7, sendAndHold(text+"\n"), sendAndHold(change8))
 		d.callTimeout, d.silenceTimeout = testTimeout, testTimeout
 		go d.run(t.Context(), nil)
 		wantRevisions(t, got, 7, 7, 8)
 		for _, want := range []string{"", "stream=1&index=7", "", "stream=1&index=7"} {
-			if q := wait(t, "a question", asked); q != want {
-				t.Errorf("%s: asked %q, want %q", name, q, want)
+			if q := wait(t, "a query", queries); q != want {
+				t.Errorf("%s: query %q, want %q", name, q, want)
 			}
 		}
 	}
 }
 
-// What a silent watch misses counts as told 6 s after it fell silent. The one that
-// is begun in its place may be as silent; it must not take as long once more.
-func TestWatchThatDoesNotBeginIsTriedAgainSoon(t *testing.T) {
+// A change missed by a silent watch must be delivered within 6 s after the watch fell
+// silent. Its replacement may be silent as well and must not wait for the full silence
+// timeout again.
+func TestWatchThatDoesNotStartIsRetriedSoon(t *testing.T) {
 	for name, step := range map[string]func(io.Writer, *http.Request){
-		"no head":  func(_ io.Writer, r *http.Request) { <-r.Context().Done() },
-		"no body":  say(""),
-		"no list":  say("\n\n"),
-		"trickles": trickle(`{"revision":8,"members":[`, " "),
+		"no response head": func(_ io.Writer, r *http.Request) { <-r.Context().Done() },
+		"no body":          sendAndHold(""),
+		"no list":          sendAndHold("\n\n"),
+		"trickles":         trickle(`{"revision":8,"members":[`, " "),
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, _, got := scriptedDiscovery(t, listOf7, step, say(change8))
+			d, _, got := scriptedDiscovery(t, listOf7, step, sendAndHold(change8))
 			d.silenceTimeout = time.Hour
 			go d.run(t.Context(), nil)
 			wantRevisions(t, got, 7, 8)
 		})
 	}
 	if watchSilenceTimeout+2*listTimeout+retryInterval >= 6*time.Second {
-		t.Error("a watch that fell silent, and one in its place, take longer than what they miss may")
+		t.Error("a silent watch and its silent replacement together take longer than the 6 s for a change")
 	}
 }
 
-// A watch that says nothing but empty lines lives.
-func TestEmptyLinesTellThatAWatchLives(t *testing.T) {
+// Guards against replacing a live watch without changes: empty lines are its keep-alives.
+func TestEmptyLinesKeepWatchAlive(t *testing.T) {
 	over := make(chan struct{})
-	d, asked, got := scriptedDiscovery(t, listOf7, say(change8), func(w io.Writer, r *http.Request) {
+	d, queries, got := scriptedDiscovery(t, listOf7, sendAndHold(change8), func(w io.Writer, r *http.Request) {
 		_, _ = io.WriteString(w, strings.Replace(change8, "8", "9", 1))
-		for begun := time.Now(); time.Since(begun) < 1500*time.Millisecond; time.Sleep(5 * time.Millisecond) {
+		for start := time.Now(); time.Since(start) < 1500*time.Millisecond; time.Sleep(5 * time.Millisecond) {
 			_, _ = io.WriteString(w, "\n")
 		}
 		close(over)
@@ -162,14 +167,14 @@
 	})
 	d.silenceTimeout, d.callTimeout = time.Second, testTimeout
 	go d.run(t.Context(), nil)
-	wantRevisions(t, got, 7, 8, 9) // the first falls silent
-	wait(t, "the second to have lived longer than silence may be", over)
-	if len(asked) != 3 {
-		t.Errorf("asked %d times, want 3: the list and two watches", len(asked))
+	wantRevisions(t, got, 7, 8, 9) // the first watch falls silent
+	wait(t, "the second watch to outlive the silence timeout", over)
+	if len(queries) != 3 {
+		t.Errorf("%d queries, want 3: the list and two watches", len(queries))
 	}
 }
 
-// trickle says something, and then a little again and again.
+// trickle sends head, and then more every 5 ms.
 func trickle(head, more string) func(io.Writer, *http.Request) {
 	return func(w io.Writer, r *http.Request) {
 		for text := head; r.Context().Err() == nil; text = more {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Each address that is not host:port is a fault with the line of its key.
-func TestAddresses(t *testing.T) {
+// Each address that is not host:port is reported as a fault with the line of its key.
+func TestCheckAddresses(t *testing.T) {
 	var config struct {
 		Peers []string `toml:"peers"`
 	}
@@ -22,11 +22,11 @@
 	}
 }
 
-// A value that is left out is the usual one; one below 0 stays so, to be refused.
+// An omitted value becomes the default; a negative one is kept, for the caller to refuse.
 func TestMilliseconds(t *testing.T) {
 	for value, want := range map[int]time.Duration{0: time.Minute, 250: 250 * time.Millisecond, -1: -time.Millisecond} {
 		if got := Milliseconds(value, time.Minute); got != want {
-			t.Errorf("%d is %v, want %v", value, got, want)
+			t.Errorf("Milliseconds(%d) = %v, want %v", value, got, want)
 		}
 	}
 }
