--- a/internal/ingress/admin_test.go
+++ b/internal/ingress/admin_test.go
@@ -102,7 +102,7 @@
 			backend := open.attempts[0].Backend
 			l.Fail(id)
 			l.Send(id, backend, time.Second)
-			l.settle()
+			l.deliverAnswers()
 		}
 	})
 	c.want("-ERR failed")
@@ -132,7 +132,7 @@
 				t.Error("an attempt may not be written though its client waits")
 			}
 			c.nc.Close()
-			for deadline := time.Now().Add(testTimeout); (!open.answer.Gone() || l.Now()-open.began < justRead) && time.Now().Before(deadline); {
+			for deadline := time.Now().Add(testTimeout); (!open.replyTo.Disconnected() || l.Now()-open.takenAt < recentRead) && time.Now().Before(deadline); {
 				time.Sleep(time.Millisecond)
 			}
 			if a := open.attempts[0]; l.MayWrite(a) {
@@ -289,7 +289,7 @@
 		return startRig(t, d, func(cfg *Config) { inherited(cfg); withAdmin(cfg); cfg.HandoverDir = dir })
 	}
 	awaitReady := func(r *rig) {
-		r.eventually("the process to report ready", func(*loop) bool { return r.server.Takes() })
+		r.eventually("the process to report ready", func(*loop) bool { return r.server.TakesClients() })
 	}
 	first := start()
 	awaitReady(first)
@@ -312,7 +312,7 @@
 	open.send("Q.ASK", someCustomer, newID(), lookup)
 	got := wait(t, "a command", b.Got)
 	first.stop()
-	second.eventually("the second process to accept clients", func(*loop) bool { return !second.server.front.waits })
+	second.eventually("the second process to accept clients", func(*loop) bool { return !second.server.front.onHold })
 	ping() // answered by the second process, while the first still has a request open
 	if n := second.countClients(nil); n != 1 {
 		t.Errorf("the second process has %d clients, want 1", n)
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -76,5 +76,5 @@
 // awaitReusable waits until so many connections to backends can be used again.
 func (r *rig) awaitReusable(connections int) {
 	r.Helper()
-	r.eventually("connections to become reusable", func(l *loop) bool { return l.pool.Kept() == connections })
+	r.eventually("connections to become reusable", func(l *loop) bool { return l.pool.Reusable() == connections })
 }
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -53,7 +53,7 @@
 	limitAt, limitTo int      // where the value of d stands in the options
 	class, plan      int
 	customer         uint64
-	name             uint64 // the client's id, new with every try
+	requestID        uint64 // the client's id, new with every try
 	limit            time.Duration
 	units            float64
 	spread, first    int
@@ -84,7 +84,7 @@
 	if c.customer, err = parseHex(args[1]); err != nil || c.customer >= maxCustomer {
 		return nil, errors.New("bad customer")
 	}
-	if c.name, err = parseHex(args[2]); err != nil {
+	if c.requestID, err = parseHex(args[2]); err != nil {
 		return nil, errors.New("bad request id")
 	}
 	var seen option
@@ -114,7 +114,7 @@
 	switch {
 	case seen&optNeeded != optNeeded:
 		return nil, errors.New("class, plan, time limit, units or set is missing")
-	case ask != (cfg.Choice.Classes[c.class].Effect == choice.Free):
+	case ask != (cfg.Choice.Classes[c.class].Effect == choice.Idempotent):
 		return nil, errors.New("the command does not serve this class")
 	}
 	return c, nil
@@ -146,12 +146,12 @@
 			err = resp.ErrMalformed
 		}
 	case optSpread:
-		c.spread, err = resp.Count(value, 1, gateways)
+		c.spread, err = resp.Int(value, 1, gateways)
 	case optFirst:
-		c.first, err = resp.Count(value, 0, gateways-1)
+		c.first, err = resp.Int(value, 0, gateways-1)
 	case optRepeat:
 		var r int
-		r, err = resp.Count(value, 0, 1)
+		r, err = resp.Int(value, 0, 1)
 		c.repeat = r == 1
 	}
 	if err != nil {
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -132,7 +132,7 @@
 		for _, open := range l.requests {
 			l.answer(open, outcome{kind: failed})
 		}
-		l.settle()
+		l.deliverAnswers()
 	})
 	c.want("-ERR failed")
 	got := wait(t, "the next request", b.Got)
@@ -205,7 +205,7 @@
 		}
 		r := newRig(t, func(cfg *Config) {
 			cl := &cfg.Choice.Classes[1]
-			cl.Effect, cl.Group, cl.Window = choice.Guarded, choice.GroupZone, time.Hour
+			cl.Effect, cl.Group, cl.Window = choice.Deduplicated, choice.GroupZone, time.Hour
 			cfg.Choice.Probing = false
 		}, members...)
 		c := r.dial()
@@ -290,7 +290,7 @@
 				told = fmt.Sprintf(told, late.Addr)
 			}
 			r.discovery.Lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[%s{"id":"other","host_port":%q,"phase":"SERVING","size":1}]}`, told, other.Addr)
-			r.eventually("the change to be known", func(l *loop) bool { return l.pool.Known()["other"] > 0 })
+			r.eventually("the change to be known", func(l *loop) bool { return l.pool.BackendIDs()["other"] > 0 })
 			if told != "" {
 				late.Go() // it comes up at the system's next try, a second later
 			}
@@ -324,7 +324,7 @@
 			c.write(whole[:s.first])
 			r.eventually("the request to have come that far", func(l *loop) bool {
 				clients := r.server.front.clients
-				return len(clients) == 1 && (l.pool.Open() == 1 || s.first < len(whole) && len(clients[0].half) > 0)
+				return len(clients) == 1 && (l.pool.Open() == 1 || s.first < len(whole) && len(clients[0].partial) > 0)
 			})
 			r.stop()
 			r.eventually("the drain", func(*loop) bool { return r.server.front.draining })
--- a/internal/ingress/discovery_test.go
+++ b/internal/ingress/discovery_test.go
@@ -53,12 +53,12 @@
 		t.Errorf("the watch resumes from revision %s, want 8", index)
 	}
 	r.discovery.Lines <- fmt.Sprintf(`{"revision":9,"complete":true,"members":[{"id":"1","host_port":%q,"phase":"SERVING","size":1}]}`, one.Addr)
-	r.eventually("the removal of the missing backend", func(l *loop) bool { return len(l.pool.Known()) == 1 })
+	r.eventually("the removal of the missing backend", func(l *loop) bool { return len(l.pool.BackendIDs()) == 1 })
 	c.send("Q.DO", someCustomer, newID(), payment, "BODY")
 	wait(t, "the request at the first backend", one.Got).Answer("x")
 	c.want("$1\r\nx")
 	r.discovery.Lines <- `{"revision":10,"complete":false,"members":[{"id":"1","phase":"DELETED"}]}`
-	r.eventually("the removal of the deleted backend", func(l *loop) bool { return len(l.pool.Known()) == 0 })
+	r.eventually("the removal of the deleted backend", func(l *loop) bool { return len(l.pool.BackendIDs()) == 0 })
 }
 
 // A watch whose connection was cut off stays open and silent; it must be replaced.
@@ -116,7 +116,7 @@
 	silent := newFakeDiscovery(t) // never answers: the old address stays in force
 	r.server.Reload(Config{Discovery: silent.Addr()})
 	r.discovery.Lines <- fmt.Sprintf(`{"revision":99,"complete":false,"members":[{"id":"2","host_port":%q,"phase":"SERVING","size":1}]}`, two.Addr)
-	r.eventually("a change from the old address", func(l *loop) bool { return len(l.pool.Known()) == 2 })
+	r.eventually("a change from the old address", func(l *loop) bool { return len(l.pool.BackendIDs()) == 2 })
 
 	next := newFakeDiscovery(t, one.member("1"))
 	next.Open()
@@ -126,7 +126,7 @@
 			t.Errorf("the new watch starts at revision %s, want 7, that of its own list", index)
 		}
 	}
-	r.eventually("the new list to be in force", func(l *loop) bool { return len(l.pool.Known()) == 1 })
+	r.eventually("the new list to be in force", func(l *loop) bool { return len(l.pool.BackendIDs()) == 1 })
 	first.Answer("v")
 	c.want("$1\r\nv")
 	r.awaitReusable(1)
@@ -180,10 +180,10 @@
 	}
 	for range 2 { // the full list may still name the old backend
 		r.onLoop(func(l *loop) {
-			if len(l.pool.Known()) != 1 || l.pool.Known()["new"] <= 1 {
-				t.Errorf("the backends are %v, want only the new one, with an id of its own", l.pool.Known())
+			if len(l.pool.BackendIDs()) != 1 || l.pool.BackendIDs()["new"] <= 1 {
+				t.Errorf("the backends are %v, want only the new one, with an id of its own", l.pool.BackendIDs())
 			}
-			l.members(choice.Full, MemberList{Complete: true, Members: []Member{
+			l.updateMembers(choice.Full, MemberList{Complete: true, Members: []Member{
 				{ID: "new", HostPort: b.Addr, Phase: PhaseServing, Size: 1, UpSince: time.Now().UnixMilli()}, b.member("old")}})
 		})
 	}
--- a/internal/ingress/events.go
+++ b/internal/ingress/events.go
@@ -45,15 +45,15 @@
 	return false
 }
 
-var kindNames = [...]string{served: "served", refused: "refused", failed: "failed", known: "known"}
+var kindNames = [...]string{served: "served", refused: "refused", failed: "failed", duplicate: "known"}
 
-func (k kind) String() string { return kindNames[k] }
+func (k outcomeKind) String() string { return kindNames[k] }
 
 // eventLog counts closed connections and ended attempts by reason, and failed system calls.
 // With details set it also logs each of these and the result of each request.
 type eventLog struct {
 	connectionCloses [closeReasons]uint64
-	attemptEnds      [upstream.Causes]uint64
+	attemptEnds      [upstream.NumCauses]uint64
 	retries          uint64
 	acceptsFailed    uint64
 	watchesFailed    uint64
@@ -64,7 +64,7 @@
 // requestAccepted records a request that has been read completely.
 func (e *eventLog) requestAccepted(c *client, r *request) {
 	if e.details != nil {
-		e.details.Info("request accepted", "request", fmt.Sprintf("%016x", r.name), "connection", c.number, "class", r.class,
+		e.details.Info("request accepted", "request", fmt.Sprintf("%016x", r.requestID), "connection", c.number, "class", r.class,
 			"read_at", c.readAt, "deadline", r.deadline)
 	}
 }
@@ -75,7 +75,7 @@
 		e.retries++
 	}
 	if e.details != nil {
-		e.details.Info("attempt started", "request", fmt.Sprintf("%016x", r.name), "attempt", a.Number, "backend", a.Backend, "deadline", a.Deadline)
+		e.details.Info("attempt started", "request", fmt.Sprintf("%016x", r.requestID), "attempt", a.Number, "backend", a.Backend, "deadline", a.Deadline)
 	}
 }
 
@@ -83,22 +83,22 @@
 func (e *eventLog) attemptEnded(r *request, a *upstream.Attempt, reply upstream.Reply) {
 	e.attemptEnds[reply.Cause]++
 	if e.details != nil {
-		e.details.Info("attempt ended", "request", fmt.Sprintf("%016x", r.name), "attempt", a.Number, "backend", a.Backend,
-			"status", statusName(reply.Status), "cause", reply.Cause, "error", reply.Err, "over", r.life.Over())
+		e.details.Info("attempt ended", "request", fmt.Sprintf("%016x", r.requestID), "attempt", a.Number, "backend", a.Backend,
+			"status", statusName(reply.Status), "cause", reply.Cause, "error", reply.Err, "over", r.state.Finished())
 	}
 }
 
 // requestAnswered records the final answer of a request.
-func (e *eventLog) requestAnswered(r *request, k kind) {
+func (e *eventLog) requestAnswered(r *request, k outcomeKind) {
 	if e.details != nil {
-		e.details.Info("request answered", "request", fmt.Sprintf("%016x", r.name), "kind", k, "attempts", len(r.attempts))
+		e.details.Info("request answered", "request", fmt.Sprintf("%016x", r.requestID), "kind", k, "attempts", len(r.attempts))
 	}
 }
 
 // requestAbandoned records a request whose client has disconnected.
 func (e *eventLog) requestAbandoned(r *request) {
 	if e.details != nil {
-		e.details.Info("request abandoned", "request", fmt.Sprintf("%016x", r.name), "attempts", len(r.attempts), "out", r.life.Out())
+		e.details.Info("request abandoned", "request", fmt.Sprintf("%016x", r.requestID), "attempts", len(r.attempts), "out", r.state.InFlight())
 	}
 }
 
@@ -106,8 +106,8 @@
 func (e *eventLog) connectionClosed(c *client, why closeReason, err error) {
 	e.connectionCloses[why]++
 	if e.details != nil {
-		e.details.Info("connection closed", "connection", c.number, "reason", why, "error", err, "pending", c.pending, "half", len(c.half),
-			"unread", c.unread)
+		e.details.Info("connection closed", "connection", c.number, "reason", why, "error", err, "pending", c.pending, "half", len(c.partial),
+			"unread", c.replyBytes)
 	}
 }
 
--- a/internal/ingress/inbox_test.go
+++ b/internal/ingress/inbox_test.go
@@ -49,7 +49,7 @@
 // are applied one by one or merged, for members that drain, go, return, restart, move, or reuse an address.
 func TestMergedChangesHaveSameResult(t *testing.T) {
 	for seed := range uint64(30) {
-		single, merged := newInstallation(t, seed, 8, nil), newInstallation(t, seed, 8, nil)
+		single, merged := newSimulation(t, seed, 8, nil), newSimulation(t, seed, 8, nil)
 		rng := rand.New(rand.NewPCG(seed, 0))
 		revision := int64(1)
 		for round := range 10 {
@@ -66,15 +66,15 @@
 				merged.ingress.enqueueMembers(l)
 			}
 			merged.do(func() {})
-			state := func(i *installation) (all []string) {
-				known := i.ingress.loop.pool.Known()
+			state := func(i *simulation) (all []string) {
+				known := i.ingress.loop.pool.BackendIDs()
 				for _, name := range slices.Sorted(maps.Keys(known)) {
 					all = append(all, fmt.Sprint(name, "=", known[name]))
 				}
 				view := i.ingress.loop.gateway.View(i.net.Now())
 				slices.SortFunc(view, func(a, b choice.BackendView) int { return cmp.Compare(a.ID, b.ID) })
 				for _, v := range view {
-					all = append(all, fmt.Sprint(v.ID, v.Used, v.Part))
+					all = append(all, fmt.Sprint(v.ID, v.Used, v.PickWeight))
 				}
 				used, total := i.ingress.loop.fleet.Size()
 				return append(all, fmt.Sprint(used, total))
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -14,7 +14,7 @@
 	Calls                  uint64 // attempts written completely to backends
 }
 
-func (c *ClassCounters) count(k kind) {
+func (c *ClassCounters) count(k outcomeKind) {
 	switch k {
 	case served:
 		c.Success++
@@ -34,8 +34,8 @@
 // metricsPrefix is the prefix of each name, as the platform specifies it.
 const metricsPrefix = "edge_node."
 
-// AppendFigures appends the current values, one name=value per line.
-func (i *Ingress) AppendFigures(b []byte) []byte {
+// AppendMetrics appends the current values, one name=value per line.
+func (i *Ingress) AppendMetrics(b []byte) []byte {
 	l := i.loop
 	line := func(name, class string, v uint64) {
 		b = append(append(b, metricsPrefix...), name...)
@@ -53,8 +53,8 @@
 		line("backend_calls", name, c.Calls)
 	}
 	line("inflight", "", uint64(l.figures.open))
-	line("hosts_listed", "", uint64(l.pool.Listed()))
-	line("hosts_down", "", uint64(l.gateway.Avoided(l.Now())))
+	line("hosts_listed", "", uint64(l.pool.BackendCount()))
+	line("hosts_down", "", uint64(l.gateway.UnavailableBackends(l.Now())))
 	if t := l.terms; t != nil {
 		line("config_version", "", t.version)
 		line("config_settled", "", t.settled)
@@ -69,7 +69,7 @@
 func (i *Ingress) AppendBackends(b []byte) []byte {
 	l := i.loop
 	names := map[uint32]string{}
-	for name, id := range l.pool.Known() {
+	for name, id := range l.pool.BackendIDs() {
 		names[id] = name
 	}
 	for _, v := range l.gateway.View(l.Now()) {
@@ -77,20 +77,20 @@
 		switch {
 		case v.Ejected:
 			state = "ejected"
-		case v.Silent:
+		case v.Unresponsive:
 			state = "silent"
 		case v.Used:
 			state = "used"
 		}
 		b = fmt.Appendf(b, "%s state=%s part=%.2f warmth=%.2f latency=%.2f failures=%.2f out=%d\n",
-			names[v.ID], state, v.Part, v.Warmth, v.Latency, v.Failures, v.Out)
+			names[v.ID], state, v.PickWeight, v.Capacity, v.Latency, v.FailureRate, v.InFlight)
 	}
 	v := l.gateway.Limit()
-	b = fmt.Appendf(b, "limit room=%.1f prior=%.1f out=%d latency=%.2f\nrefused", v.Room, v.Prior, v.Out, v.Latency)
+	b = fmt.Appendf(b, "limit room=%.1f prior=%.1f out=%d latency=%.2f\nrefused", v.MaxInFlight, v.Baseline, v.InFlight, v.LatencyRatio)
 	for _, c := range choice.Causes() {
 		b = fmt.Appendf(b, " %s=%d", c, l.gateway.Refusals(c))
 	}
-	return fmt.Appendf(b, "\nreadings misread=%d\n", l.gateway.Misread())
+	return fmt.Appendf(b, "\nreadings misread=%d\n", l.gateway.InvalidReadings())
 }
 
 // AppendEvents appends counts of closed connections, ended attempts and failed system calls,
--- a/internal/ingress/runtimeconfig_test.go
+++ b/internal/ingress/runtimeconfig_test.go
@@ -73,7 +73,7 @@
 	want("basic", served)
 	want("gold", unknown)
 	var text string
-	r.onLoop(func(l *loop) { text = string(r.server.AppendFigures(nil)) })
+	r.onLoop(func(l *loop) { text = string(r.server.AppendMetrics(nil)) })
 	if !strings.Contains(text, "config_version=3\n") || !strings.Contains(text, "config_settled=2\n") {
 		t.Errorf("metrics: %s", text)
 	}
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -58,7 +58,7 @@
 	if m.Complete {
 		kind = choice.Full
 	}
-	i.loop.members(kind, m)
+	i.loop.updateMembers(kind, m)
 }
 
 // enqueueMembers queues an update from discovery. It may be called from any goroutine.
@@ -73,7 +73,7 @@
 }
 
 // DiscoveryQueried records that discovery was asked for the list, whether or not it answered.
-func (i *Ingress) DiscoveryQueried() { i.loop.open() }
+func (i *Ingress) DiscoveryQueried() { i.loop.markAsked() }
 
 // Drain closes each connection as soon as no request is open on it. New connections
 // are accepted until CloseListener.
@@ -95,8 +95,8 @@
 	i.front.finish()
 }
 
-// Takes reports whether this process is ready for clients.
-func (i *Ingress) Takes() bool { return i.loop.ready && !i.front.draining && i.front.ln != nil }
+// TakesClients reports whether this process is ready for clients.
+func (i *Ingress) TakesClients() bool { return i.loop.ready && !i.front.draining && i.front.ln != nil }
 
 // Standby drains the ingress until Active: each connection is closed as soon as no
 // request is open on it, and PING is answered with an error. Requests that arrive
@@ -114,8 +114,8 @@
 	}
 }
 
-// Starved records that a caller of the admin address waits for a descriptor.
-func (i *Ingress) Starved() { i.loop.Starved() }
+// OutOfDescriptors records that a caller of the admin address waits for a descriptor.
+func (i *Ingress) OutOfDescriptors() { i.loop.OutOfDescriptors() }
 
 // Usage is the resources that an ingress holds.
 type Usage struct {
@@ -131,13 +131,13 @@
 
 // AwaitHandover keeps the ingress from accepting clients until TakeOver, while another
 // process of the same ingress still serves them. It is called before the reactor runs.
-func (i *Ingress) AwaitHandover() { i.front.waits = true }
+func (i *Ingress) AwaitHandover() { i.front.onHold = true }
 
 // TakeOver ends AwaitHandover. This process's shares of customers' ceilings fill only
 // from now on, as the previous process may have spent those until now.
 func (i *Ingress) TakeOver() {
-	i.loop.gateway.Begin(i.loop.Now())
-	i.front.waits = false
+	i.loop.gateway.PredecessorStopped(i.loop.Now())
+	i.front.onHold = false
 }
 
 // Server is one running ingress on real sockets.
@@ -255,7 +255,7 @@
 	select {
 	case <-empty:
 	case <-time.After(longest + finalAnswerGrace):
-		s.loop.Do(func() { s.loop.violates(lifecycle.End(s.loop.figures.open), nil) })
+		s.loop.Do(func() { s.loop.recordViolation(lifecycle.CheckExit(s.loop.figures.open), nil) })
 	}
 	return nil
 }
