--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -92,7 +92,7 @@
 	CachedMembers     MemberList // from the configuration, used until discovery answers; may be out of date
 	Choice            choice.Config
 	Options           config.Options // beyond the platform's configuration; empty without an options file
-	Proof             int            // upstream.Config.Proof; 0 for its default
+	TrustThreshold    int            // upstream.Config.TrustThreshold; 0 for its default
 
 	classNames         []string
 	classes            map[string]int // name to index, as the next three
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -118,7 +118,7 @@
 	}
 	l.ids.span = longest + idsMargin
 	l.pool = upstream.New(upstream.Config{MaxConnections: cfg.Limits.maxBackendConns(), BackendIdleTimeout: cfg.backendIdleTimeout,
-		ConnectTimeout: cfg.connectTimeout, ReportFields: cfg.Choice.ReportFields, TrustThreshold: cfg.Proof}, on, l)
+		ConnectTimeout: cfg.connectTimeout, ReportFields: cfg.Choice.ReportFields, TrustThreshold: cfg.TrustThreshold}, on, l)
 	on.Add(l.pool)
 	var err error
 	decide := cfg.Choice
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -336,7 +336,7 @@
 	if err != nil {
 		panic(err) // the settings are ours
 	}
-	cfg.Proof = g.Proof
+	cfg.TrustThreshold = g.Proof
 	g.ending = false
 	g.node.Start(func(l *reactor.Loop) {
 		if g.ingress, err = ingress.New(cfg, l); err != nil {
