--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -16,16 +16,17 @@
 
 const (
 	// watchSilenceTimeout is 1.5 times the 2 s between the keep-alive lines of a
-	// watch. The ingress is held to a change 6 s after the watch fell silent, even if
-	// the change never arrives. A cut-off watch must be detected before that, with
-	// listTimeout left over in case its replacement does not start either.
+	// watch. The platform treats a change as known to the ingress 6 s after the watch
+	// fell silent, even if the change never arrives. A cut-off watch must be detected
+	// before that, with listTimeout left over in case its replacement does not start
+	// either.
 	watchSilenceTimeout = 3 * time.Second
 	retryInterval       = 250 * time.Millisecond // between the starts of two attempts
 	maxListBytes        = 4 << 20                // size limit of one list
 	listTimeout         = time.Second            // a discovery agent that has a list answers immediately
-	// fullListEvery is how many attempts in a row may yield nothing before the full
-	// list is requested again. Watches may keep failing while list requests succeed,
-	// and the other way round.
+	// Of fullListEvery attempts in a row that yield no data, the last one requests the
+	// full list. Watches may keep failing while list requests succeed, and the other
+	// way round.
 	fullListEvery = 3
 )
 
@@ -182,17 +183,17 @@
 // once, after the first attempt to fetch the list, successful or not.
 func (d *discoveryClient) run(ctx context.Context, onFirstAttempt func()) {
 	var revision int64
-	haveList, fruitless := false, 0 // fruitless: attempts in a row that yielded nothing
+	haveList, emptyAttempts := false, 0 // emptyAttempts: in a row, without any data
 	for ctx.Err() == nil {
 		start := time.Now()
 		var err error
-		if !haveList || fruitless%fullListEvery == fullListEvery-1 {
+		if !haveList || emptyAttempts%fullListEvery == fullListEvery-1 {
 			var l MemberList
 			if l, err = d.list(ctx); err == nil {
-				haveList, fruitless, revision = true, 0, l.Revision
+				haveList, emptyAttempts, revision = true, 0, l.Revision
 				d.deliver(l)
 			} else {
-				fruitless++
+				emptyAttempts++
 			}
 			d.report(ctx, err)
 			if onFirstAttempt != nil {
@@ -208,15 +209,16 @@
 			switch {
 			case errors.Is(err, errInvalidList):
 				// The unreadable data may have held a change, so fetch the full list next.
-				fruitless = fullListEvery - 1
+				emptyAttempts = fullListEvery - 1
 			case d.received > before:
-				fruitless = 0
+				emptyAttempts = 0
 			default:
-				fruitless++
+				emptyAttempts++
 			}
 		}
-		// The ingress is held to changes even while no watch is open: a watch that
-		// lasted is reopened at once; one that ended right away waits for the interval.
+		// The platform treats changes as known to the ingress even while no watch is
+		// open, so a watch that lasted is reopened at once. One that ended right away is
+		// reopened after retryInterval.
 		if wait := retryInterval - time.Since(start); wait > 0 {
 			select {
 			case <-ctx.Done():
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -168,7 +168,7 @@
 	if cfg.HandoverDir != "" {
 		// Without the lock, both processes accept clients for a moment.
 		if lock, err = handover.Open(cfg.HandoverDir); err != nil {
-			slog.Warn("clients are taken beside the process before", "error", err)
+			slog.Warn("handover lock failed; accepting clients beside the process before", "error", err)
 		} else {
 			i.AwaitHandover()
 		}
@@ -207,7 +207,7 @@
 		defer s.handover.Close()
 		go func() {
 			if err := s.handover.Acquire(); err != nil {
-				slog.Warn("clients are taken beside the process before", "error", err)
+				slog.Warn("handover lock failed; accepting clients beside the process before", "error", err)
 			}
 			s.loop.Post(s.TakeOver)
 		}()
