--- a/internal/checksum/checksum.go
+++ b/internal/checksum/checksum.go
@@ -1,5 +1,5 @@
-// Package checksum puts data behind its CRC-32C, so that what a disk gives back can be held
-// against what was written.
+// Package checksum prefixes data with its CRC-32C, so that data read from a disk can be
+// verified.
 package checksum
 
 import (
@@ -7,20 +7,20 @@
 	"hash/crc32"
 )
 
-// size is that of a checksum, in bytes.
+// size is the size of a checksum in bytes.
 const size = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Seal returns the data behind its checksum.
+// Seal returns the data prefixed with its checksum.
 func Seal(data []byte) []byte {
 	sealed := make([]byte, 0, size+len(data))
 	sealed = binary.BigEndian.AppendUint32(sealed, crc32.Checksum(data, castagnoli))
 	return append(sealed, data...)
 }
 
-// Open returns the part of what was sealed that is the data; false where the checksum does
-// not fit it.
+// Open returns the data that Seal has prefixed with its checksum; false if the checksum does
+// not match it.
 func Open(sealed []byte) (data []byte, ok bool) {
 	if len(sealed) < size {
 		return nil, false
--- a/internal/raftlog/raftlog.go
+++ b/internal/raftlog/raftlog.go
@@ -3,42 +3,42 @@
 
 import "fmt"
 
-// Silent is a raft.Logger that drops the library's log lines. Fatal and Panic panic with
-// what they were to log, so that a caller can recover and tell it.
+// Silent is a raft.Logger that discards the library's log messages. Fatal and Panic panic
+// with their message, so that a caller can recover and report it.
 type Silent struct{}
 
-// Debug drops a line.
+// Debug discards the message.
 func (Silent) Debug(...any) {}
 
-// Debugf drops a line.
+// Debugf discards the message.
 func (Silent) Debugf(string, ...any) {}
 
-// Info drops a line.
+// Info discards the message.
 func (Silent) Info(...any) {}
 
-// Infof drops a line.
+// Infof discards the message.
 func (Silent) Infof(string, ...any) {}
 
-// Warning drops a line.
+// Warning discards the message.
 func (Silent) Warning(...any) {}
 
-// Warningf drops a line.
+// Warningf discards the message.
 func (Silent) Warningf(string, ...any) {}
 
-// Error drops a line.
+// Error discards the message.
 func (Silent) Error(...any) {}
 
-// Errorf drops a line.
+// Errorf discards the message.
 func (Silent) Errorf(string, ...any) {}
 
-// Fatal panics.
+// Fatal panics with the message.
 func (Silent) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
-// Fatalf panics.
+// Fatalf panics with the message.
 func (Silent) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
 
-// Panic panics.
+// Panic panics with the message.
 func (Silent) Panic(v ...any) { panic(fmt.Sprint(v...)) }
 
-// Panicf panics.
+// Panicf panics with the message.
 func (Silent) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/raftlog_test.go
@@ -6,8 +6,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// The library takes it, and its fatal lines can be recovered.
-func TestSilentPanicsWithTheLine(t *testing.T) {
+// Silent is a raft.Logger, and the messages of its fatal calls can be recovered.
+func TestSilentPanicsWithTheMessage(t *testing.T) {
 	var log raft.Logger = Silent{}
 	for name, call := range map[string]func(){
 		"Fatal":  func() { log.Fatal("entry ", 7) },
@@ -17,8 +17,8 @@
 	} {
 		func() {
 			defer func() {
-				if told := recover(); told != "entry 7" {
-					t.Errorf("%s panics with %v", name, told)
+				if message := recover(); message != "entry 7" {
+					t.Errorf("%s panics with %v, want \"entry 7\"", name, message)
 				}
 			}()
 			call()
