--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -6,122 +6,123 @@
 	"time"
 )
 
-// AgentConfig is what one agent goes by.
+// AgentConfig configures the agent of one member.
 type AgentConfig struct {
 	Member         Member
-	Coordinators   int           // how many there are to ask
-	Version        string        // to run where nothing is remembered
+	Coordinators   int           // number of coordinators
+	Version        string        // version to run if none is stored
 	ReportInterval time.Duration // see Timing
 	BeginTimeout   time.Duration // see Timing
-	DrainTimeout   time.Duration // from standby to SIGTERM
-	StopTimeout    time.Duration // from SIGTERM to SIGKILL
-	StartTimeout   time.Duration // from the start to being ready
-	ProvePeriod    time.Duration // ready for so long without a break is proven
-	MaxStarts      int           // starts of a version before the one before is taken again
-	Backoff        time.Duration // before the second start, doubled for each further one
+	DrainTimeout   time.Duration // time from standby to SIGTERM
+	StopTimeout    time.Duration // time from SIGTERM to SIGKILL
+	StartTimeout   time.Duration // time from the start to being ready; then the program is killed
+	ProvePeriod    time.Duration // a program that stays ready for this long is proven
+	MaxStarts      int           // failed starts in a row of a version on trial before the prior version is started
+	Backoff        time.Duration // base delay after a failed start; doubled with each failure in a row, up to 32 times the base
 }
 
-// AgentState is what an agent keeps on its disk.
+// AgentState is what an agent persists on its disk.
 type AgentState struct {
 	SeenFence      uint64 `json:"seen"`  // see Report
 	Index          uint64 `json:"index"` // see Report
 	Term           uint64 `json:"term"`
 	Grant          *Grant `json:"grant,omitempty"`
-	Version        string `json:"version"`         // to run
-	Prior          string `json:"prior,omitempty"` // that ran before it
-	Trial          bool   `json:"trial,omitempty"` // it has not been proven yet; where it does not start, the one before is taken
-	RestartVersion string `json:"run,omitempty"`   // to be started when the program ends by itself; "" for the same again
+	Version        string `json:"version"`         // version to run
+	Prior          string `json:"prior,omitempty"` // version that ran before it
+	Trial          bool   `json:"trial,omitempty"` // Version is not proven yet; if it does not start, Prior is started instead
+	RestartVersion string `json:"run,omitempty"`   // version to start if the program exits on its own; "" for the same
 	Failed         string `json:"failed,omitempty"`
 }
 
-// Action is something that the shell of an agent has to do. One field is set.
+// Action is a side effect that an agent's caller has to perform. One kind is set.
 type Action struct {
-	Send         *Report // to the coordinator of the number To; Replied or Unanswered tells what came of it
+	Send         *Report // send to coordinator To; the outcome goes to Replied or Unanswered
 	To           int
-	Save         *AgentState // Must: where it fails, the actions behind it are dropped and SaveFailed is called
+	Save         *AgentState // persist; with SaveRequired, a failure drops the actions that follow and SaveFailed is called
 	SaveRequired bool
-	Launch       string // start the program of a version; Started or Exited tells what came of it
-	Standby      bool   // let clients go, take no new ones
+	Launch       string // start the program in this version; Exited reports a failure
+	Standby      bool   // drain clients and accept no new ones
 	Terminate    bool
 	Kill         bool
-	Log          string // for the log
+	Log          string // message to log
 }
 
-// doing is what an agent's program does.
-type doing int
+// programState is the state of a member's program as its agent tracks it.
+type programState int
 
 const (
-	serving   doing = iota
-	leaving         // told to let clients go
-	stopping        // told to end
-	away            // ended, and to stay so
-	launching       // to be started at Agent.next
-	starting        // started, not ready yet
-	proving         // ready, since Agent.since
+	serving       programState = iota
+	draining                   // standby was requested
+	stopping                   // termination was requested
+	detached                   // exited; stays down until undrained
+	launchPending              // will be started at Agent.launchAt
+	starting                   // started, not ready yet
+	proving                    // ready since Agent.stateSince, not proven yet
 )
 
-// Agent decides for one member. While no coordinator answers, one that serves goes
-// on serving, one that has begun to go out comes back under its grant, one that is
-// drained stays out, and nothing begins to go out.
+// Agent makes the decisions for one member. While no coordinator answers, a member in
+// service stays in service, one that has begun to leave returns under its grant, one that
+// is drained stays out, and no grant is begun.
 type Agent struct {
-	cfg    AgentConfig
-	mem    AgentState
-	now    time.Duration
-	does   doing
-	since  time.Duration // of what it does
-	next   time.Duration // start of the program, where it waits for that
-	starts int           // of this version, failed in a row
-	ready  bool
-	back   bool // a drain has been lifted
+	cfg          AgentConfig
+	persisted    AgentState
+	now          time.Duration
+	state        programState
+	stateSince   time.Duration // when the state was entered
+	launchAt     time.Duration // when the program is started, in state launchPending
+	failedStarts int           // failed starts of this version in a row
+	ready        bool
+	undrained    bool // the drain of the held grant was lifted
 
 	incarnation uint64
 	seq         uint64
 	stamp       Stamp
-	sent        time.Duration // when the report that is open was sent; -1 while none is
+	sentAt      time.Duration // when the report in flight was sent; -1 if none is
 	nextReport  time.Duration
 	coordinator int
-	figures     Stats
+	stats       Stats
 	deaths      uint64
-	undo        *AgentState // what was remembered before the save that is on
+	beforeSave  *AgentState // persisted state before the save in progress
 }
 
-// Running is a program that ran when its agent started.
+// Running describes a program that was already running when its agent started.
 type Running struct{ Version string }
 
-// NewAgent begins with what its disk remembers (a zero Memory for nothing) and the
-// program that runs, if one does. The incarnation is new with each start.
-func NewAgent(cfg AgentConfig, mem AgentState, running *Running, incarnation uint64, now time.Duration) *Agent {
-	a := &Agent{cfg: cfg, mem: mem, now: now, since: now, sent: -1, next: now, incarnation: incarnation, nextReport: now}
-	a.mem.Version = cmp.Or(a.mem.Version, cfg.Version)
+// NewAgent creates an agent from the state on its disk (zero if there is none) and the
+// program that is already running, if any. The incarnation differs at each start.
+func NewAgent(cfg AgentConfig, persisted AgentState, running *Running, incarnation uint64, now time.Duration) *Agent {
+	a := &Agent{cfg: cfg, persisted: persisted, now: now, stateSince: now, sentAt: -1, launchAt: now,
+		incarnation: incarnation, nextReport: now}
+	a.persisted.Version = cmp.Or(a.persisted.Version, cfg.Version)
 	a.coordinator = int(incarnation % uint64(max(1, cfg.Coordinators)))
-	g := a.mem.Grant
+	grant := a.persisted.Grant
 	switch {
-	case running != nil && g != nil && g.Stage == Out:
-		a.does = leaving
+	case running != nil && grant != nil && grant.Stage == Out:
+		a.state = draining
 	case running != nil:
-		// How it did while nobody looked is not known: it has to prove itself anew.
-		a.does = starting
-		if g == nil {
-			a.mem.Version = running.Version
+		// How the program did while no agent watched it is unknown: it must be proven again.
+		a.state = starting
+		if grant == nil {
+			a.persisted.Version = running.Version
 		}
-	case g != nil && g.Kind == Drain && g.Stage == Out:
-		a.does = away
+	case grant != nil && grant.Kind == Drain && grant.Stage == Out:
+		a.state = detached
 	default:
-		a.does = launching
+		a.state = launchPending
 	}
 	return a
 }
 
-// MemberState is what the member does, as reports tell it.
+// MemberState returns the member's state as it stands in reports.
 func (a *Agent) MemberState() ServiceState {
-	switch a.does {
+	switch a.state {
 	case serving:
 		if a.ready {
 			return InService
 		}
-	case leaving, stopping:
+	case draining, stopping:
 		return Draining
-	case away:
+	case detached:
 		return Detached
 	case proving:
 		if a.ready {
@@ -131,189 +132,194 @@
 	return Down
 }
 
-// PersistentState is what the agent remembers.
-func (a *Agent) PersistentState() AgentState { return a.mem }
+// PersistentState returns the state that the agent persists.
+func (a *Agent) PersistentState() AgentState { return a.persisted }
 
-// Next is when Tick has something to do.
+// Next returns when Tick is due next.
 func (a *Agent) Next() time.Duration {
-	at := a.now + a.cfg.ReportInterval
-	if a.sent < 0 {
-		at = min(at, a.nextReport)
+	next := a.now + a.cfg.ReportInterval
+	if a.sentAt < 0 {
+		next = min(next, a.nextReport)
 	}
-	switch a.does {
-	case leaving:
-		at = min(at, a.since+a.cfg.DrainTimeout)
+	switch a.state {
+	case draining:
+		next = min(next, a.stateSince+a.cfg.DrainTimeout)
 	case stopping:
-		at = min(at, a.since+a.cfg.StopTimeout)
-	case launching:
-		at = min(at, a.next)
+		next = min(next, a.stateSince+a.cfg.StopTimeout)
+	case launchPending:
+		next = min(next, a.launchAt)
 	case starting:
-		at = min(at, a.since+a.cfg.StartTimeout)
+		next = min(next, a.stateSince+a.cfg.StartTimeout)
 	case proving:
-		at = min(at, a.since+a.cfg.ProvePeriod)
+		next = min(next, a.stateSince+a.cfg.ProvePeriod)
 	}
-	return max(at, a.now)
+	return max(next, a.now)
 }
 
-func (a *Agent) set(d doing) {
-	a.does, a.since = d, a.now
+func (a *Agent) setState(next programState) {
+	a.state, a.stateSince = next, a.now
 }
 
-func (a *Agent) save(must bool) Action {
-	m := a.mem
-	if a.mem.Grant != nil {
-		g := *a.mem.Grant
-		m.Grant = &g
+func (a *Agent) save(required bool) Action {
+	state := a.persisted
+	if a.persisted.Grant != nil {
+		grant := *a.persisted.Grant
+		state.Grant = &grant
 	}
-	return Action{Save: &m, SaveRequired: must}
+	return Action{Save: &state, SaveRequired: required}
 }
 
-func note(format string, args ...any) Action { return Action{Log: fmt.Sprintf(format, args...)} }
+func logAction(format string, args ...any) Action { return Action{Log: fmt.Sprintf(format, args...)} }
 
-// Tick does what is due.
-func (a *Agent) Tick(now time.Duration) (do []Action) {
+// Tick makes the transitions that are due, and sends a report if one is due.
+func (a *Agent) Tick(now time.Duration) (actions []Action) {
 	a.now = max(a.now, now)
-	for range 4 { // one thing may lead to the next
-		n := len(do)
-		do = a.step(do)
-		if len(do) == n {
+	for range 4 { // one transition may make another one due
+		before := len(actions)
+		actions = a.step(actions)
+		if len(actions) == before {
 			break
 		}
 	}
-	if a.sent < 0 && a.now >= a.nextReport {
+	if a.sentAt < 0 && a.now >= a.nextReport {
 		a.seq++
-		a.sent = a.now
-		r := Report{Member: a.cfg.Member, Incarnation: a.incarnation, Seq: a.seq, Stamp: a.stamp, Index: a.mem.Index, IndexTerm: a.mem.Term, State: a.MemberState(),
-			Version: a.mem.Version, SeenFence: a.mem.SeenFence, Failed: a.mem.Failed, Stats: a.figures}
-		r.Stats.Deaths = a.deaths
-		if g := a.mem.Grant; g != nil {
-			held := *g
-			r.HeldGrant = &held
+		a.sentAt = a.now
+		report := Report{Member: a.cfg.Member, Incarnation: a.incarnation, Seq: a.seq, Stamp: a.stamp,
+			Index: a.persisted.Index, IndexTerm: a.persisted.Term, State: a.MemberState(),
+			Version: a.persisted.Version, SeenFence: a.persisted.SeenFence, Failed: a.persisted.Failed, Stats: a.stats}
+		report.Stats.Deaths = a.deaths
+		if g := a.persisted.Grant; g != nil {
+			grant := *g
+			report.HeldGrant = &grant
 		}
-		do = append(do, Action{Send: &r, To: a.coordinator})
+		actions = append(actions, Action{Send: &report, To: a.coordinator})
 	}
-	return do
+	return actions
 }
 
-func (a *Agent) step(do []Action) []Action {
-	switch spent := a.now - a.since; a.does {
-	case leaving:
-		if spent >= a.cfg.DrainTimeout {
-			a.set(stopping)
-			do = append(do, Action{Terminate: true})
+func (a *Agent) step(actions []Action) []Action {
+	switch elapsed := a.now - a.stateSince; a.state {
+	case draining:
+		if elapsed >= a.cfg.DrainTimeout {
+			a.setState(stopping)
+			actions = append(actions, Action{Terminate: true})
 		}
 	case stopping:
-		if spent >= a.cfg.StopTimeout {
-			a.set(stopping) // and again, if that does not end it
-			do = append(do, note("the program did not end in %v", a.cfg.StopTimeout), Action{Kill: true})
+		if elapsed >= a.cfg.StopTimeout {
+			a.setState(stopping) // restarts the timeout: the program is killed again until it exits
+			actions = append(actions, logAction("the program did not exit within %v; killing it", a.cfg.StopTimeout), Action{Kill: true})
 		}
-	case away:
-		if a.back {
-			do = a.launch(do)
+	case detached:
+		if a.undrained {
+			actions = a.launch(actions)
 		}
-	case launching:
-		if a.now >= a.next {
-			do = a.launch(do)
+	case launchPending:
+		if a.now >= a.launchAt {
+			actions = a.launch(actions)
 		}
 	case starting:
 		if a.ready {
-			a.set(proving)
-		} else if spent >= a.cfg.StartTimeout {
-			a.set(starting)
-			do = append(do, note("version %s is not ready after %v", a.mem.Version, a.cfg.StartTimeout), Action{Kill: true})
+			a.setState(proving)
+		} else if elapsed >= a.cfg.StartTimeout {
+			a.setState(starting)
+			actions = append(actions, logAction("version %s is not ready after %v; killing it", a.persisted.Version, a.cfg.StartTimeout),
+				Action{Kill: true})
 		}
 	case proving:
 		if !a.ready {
-			a.since = a.now
-		} else if spent >= a.cfg.ProvePeriod {
-			a.set(serving)
-			a.starts = 0
-			if a.mem.Grant != nil || a.mem.Trial {
-				a.mem.Grant, a.mem.Trial = nil, false
-				do = append(do, note("back and proven with version %s", a.mem.Version), a.save(false))
+			a.stateSince = a.now
+		} else if elapsed >= a.cfg.ProvePeriod {
+			a.setState(serving)
+			a.failedStarts = 0
+			if a.persisted.Grant != nil || a.persisted.Trial {
+				a.persisted.Grant, a.persisted.Trial = nil, false
+				actions = append(actions, logAction("back in service and proven with version %s", a.persisted.Version), a.save(false))
 			}
 		}
 	case serving:
 		if !a.ready {
-			a.set(proving) // it has to prove itself anew
+			a.setState(proving) // must be proven again
 		}
 	}
-	return do
+	return actions
 }
 
-// launch starts the program.
-func (a *Agent) launch(do []Action) []Action {
-	a.back = false
-	if g := a.mem.Grant; g != nil && g.Stage == Out {
-		g.Stage = Proving
-		do = append(do, a.save(false))
+// launch requests a start of the program.
+func (a *Agent) launch(actions []Action) []Action {
+	a.undrained = false
+	if grant := a.persisted.Grant; grant != nil && grant.Stage == Out {
+		grant.Stage = Proving
+		actions = append(actions, a.save(false))
 	}
-	if a.mem.RestartVersion != "" && a.mem.Grant == nil && a.mem.RestartVersion != a.mem.Version && a.starts == 0 {
-		// It is down by itself: to come back with another version takes no more room.
-		a.mem.Version, a.mem.Prior, a.mem.Trial, a.mem.Failed = a.mem.RestartVersion, a.mem.Version, true, ""
-		do = append(do, note("version %s is started in the place of %s", a.mem.Version, a.mem.Prior), a.save(false))
+	if a.persisted.RestartVersion != "" && a.persisted.Grant == nil && a.persisted.RestartVersion != a.persisted.Version &&
+		a.failedStarts == 0 {
+		// The program exited on its own: to return with another version takes no more of the budgets.
+		a.persisted.Version, a.persisted.Prior, a.persisted.Trial, a.persisted.Failed = a.persisted.RestartVersion, a.persisted.Version, true, ""
+		actions = append(actions, logAction("starting version %s in place of %s", a.persisted.Version, a.persisted.Prior), a.save(false))
 	}
 	a.ready = false
-	a.set(starting)
-	return append(do, Action{Launch: a.mem.Version})
+	a.setState(starting)
+	return append(actions, Action{Launch: a.persisted.Version})
 }
 
-// Ready tells whether the program says that it is ready, and what it has done.
-func (a *Agent) Ready(now time.Duration, ready bool, f Stats) []Action {
+// Ready passes in whether the program is ready, and its stats.
+func (a *Agent) Ready(now time.Duration, ready bool, stats Stats) []Action {
 	a.now = max(a.now, now)
-	if ready = ready && a.does != launching && a.does != away; ready && !a.ready && a.does == proving {
-		a.since = a.now // and not since it was last seen unready
+	if ready = ready && a.state != launchPending && a.state != detached; ready && !a.ready && a.state == proving {
+		a.stateSince = a.now // not since it was last seen unready
 	}
 	a.ready = ready
-	if f.BootID != 0 {
-		a.figures = f
+	if stats.BootID != 0 {
+		a.stats = stats
 	}
 	return a.Tick(now)
 }
 
-// Exited tells that the program has ended, or did not start.
-func (a *Agent) Exited(now time.Duration, why string) (do []Action) {
+// Exited notes that the program has exited, or failed to start.
+func (a *Agent) Exited(now time.Duration, reason string) (actions []Action) {
 	a.now = max(a.now, now)
 	a.ready = false
-	switch a.does {
-	case leaving, stopping:
-		if g := a.mem.Grant; g != nil && g.Kind == Drain && !a.back {
-			a.set(away)
-			return append(do, note("out, as ordered"))
+	switch a.state {
+	case draining, stopping:
+		if grant := a.persisted.Grant; grant != nil && grant.Kind == Drain && !a.undrained {
+			a.setState(detached)
+			return append(actions, logAction("drained; staying out of service"))
 		}
-		a.next = a.now
-	case away, launching:
-		return do
+		a.launchAt = a.now
+	case detached, launchPending:
+		return actions
 	case serving:
 		a.deaths++
-		do = append(do, note("the program ended unasked: %s", why))
-		a.next = a.now
-	default: // it started, and did not prove itself
+		actions = append(actions, logAction("the program exited unexpectedly: %s", reason))
+		a.launchAt = a.now
+	default: // it started, and was not proven
 		a.deaths++
-		a.starts++
-		do = append(do, note("version %s ended before it was proven (%d in a row): %s", a.mem.Version, a.starts, why))
-		if a.starts >= a.cfg.MaxStarts && a.mem.Trial {
-			a.mem.Failed = clip(fmt.Sprintf("version %s ended %d times before it was proven: %s", a.mem.Version, a.starts, why))
-			// What it had serves better than nothing; and if that does not start either, both are tried in turn.
-			if a.mem.Prior != "" && a.mem.Prior != a.mem.Version {
-				a.mem.Version, a.mem.Prior, a.starts = a.mem.Prior, a.mem.Version, 0
-				do = append(do, note("version %s is started again", a.mem.Version), a.save(false))
+		a.failedStarts++
+		actions = append(actions, logAction("version %s exited before it was proven (%d times in a row): %s",
+			a.persisted.Version, a.failedStarts, reason))
+		if a.failedStarts >= a.cfg.MaxStarts && a.persisted.Trial {
+			a.persisted.Failed = truncate(fmt.Sprintf("version %s exited %d times before it was proven: %s",
+				a.persisted.Version, a.failedStarts, reason))
+			// The prior version is better than no service; if it does not start either, the two alternate.
+			if a.persisted.Prior != "" && a.persisted.Prior != a.persisted.Version {
+				a.persisted.Version, a.persisted.Prior, a.failedStarts = a.persisted.Prior, a.persisted.Version, 0
+				actions = append(actions, logAction("reverting to version %s", a.persisted.Version), a.save(false))
 			}
 		}
-		a.next = a.now + a.cfg.Backoff<<min(a.starts, 5)
+		a.launchAt = a.now + a.cfg.Backoff<<min(a.failedStarts, 5)
 	}
-	a.set(launching)
-	return do
+	a.setState(launchPending)
+	return actions
 }
 
-// Unanswered tells that no answer came to a report in time, or that who got it does not lead.
+// Unanswered notes that a report got no answer in time, or reached a coordinator that does not lead.
 // hint is the number of the one that does, from 0; -1 if unknown.
 func (a *Agent) Unanswered(now time.Duration, seq uint64, hint int) {
 	a.now = max(a.now, now)
-	if seq != a.seq || a.sent < 0 {
+	if seq != a.seq || a.sentAt < 0 {
 		return
 	}
-	a.sent = -1
+	a.sentAt = -1
 	a.nextReport = a.now + a.cfg.ReportInterval/4
 	if hint >= 0 && hint < a.cfg.Coordinators && hint != a.coordinator {
 		a.coordinator = hint
@@ -322,103 +328,106 @@
 	a.coordinator = (a.coordinator + 1) % max(1, a.cfg.Coordinators)
 }
 
-// Replied takes the answer to a report.
-func (a *Agent) Replied(now time.Duration, seq uint64, r Reply) (do []Action) {
+// Replied handles the answer to a report.
+func (a *Agent) Replied(now time.Duration, seq uint64, reply Reply) (actions []Action) {
 	a.now = max(a.now, now)
-	if seq != a.seq || a.sent < 0 {
-		return nil // another report has been sent since; its answer counts
+	if seq != a.seq || a.sentAt < 0 {
+		return nil // another report has been sent since; only its answer counts
 	}
-	asked := a.sent
-	a.sent = -1
-	a.nextReport = max(a.now, asked+a.cfg.ReportInterval)
-	a.stamp = r.Stamp
-	if r.Reset || r.Term > a.mem.Term || r.Term == a.mem.Term && r.Index > a.mem.Index {
-		a.mem.Index, a.mem.Term = r.Index, r.Term // kept on disk with the next change
+	askedAt := a.sentAt
+	a.sentAt = -1
+	a.nextReport = max(a.now, askedAt+a.cfg.ReportInterval)
+	a.stamp = reply.Stamp
+	if reply.Reset || reply.Term > a.persisted.Term || reply.Term == a.persisted.Term && reply.Index > a.persisted.Index {
+		a.persisted.Index, a.persisted.Term = reply.Index, reply.Term // persisted with the next save
 	}
-	if r.VoidFence > a.mem.SeenFence && (a.mem.Grant == nil || a.mem.Grant.Fence != r.VoidFence) {
-		a.undo = a.before()
-		a.mem.SeenFence = r.VoidFence
-		return append(do, a.save(true))
+	if reply.VoidFence > a.persisted.SeenFence && (a.persisted.Grant == nil || a.persisted.Grant.Fence != reply.VoidFence) {
+		a.beforeSave = a.copyPersisted()
+		a.persisted.SeenFence = reply.VoidFence
+		return append(actions, a.save(true))
 	}
-	o := r.Order
-	if o == nil {
-		if a.mem.Grant == nil {
-			a.mem.RestartVersion = r.RestartVersion
+	order := reply.Order
+	if order == nil {
+		if a.persisted.Grant == nil {
+			a.persisted.RestartVersion = reply.RestartVersion
 		}
-		return do
+		return actions
 	}
-	if g := a.mem.Grant; g != nil {
-		if g.Fence == o.Fence {
-			do = a.again(do, o)
+	if grant := a.persisted.Grant; grant != nil {
+		if grant.Fence == order.Fence {
+			actions = a.updateOrder(actions, order)
 		}
-		return do
+		return actions
 	}
 	switch {
-	case o.Fence <= a.mem.SeenFence || a.does != serving || !a.ready:
-		return do
-	case a.now-asked > a.cfg.BeginTimeout:
-		return append(do, note("grant %d came too late to begin", o.Fence)) // the coordinators void it, or hand it out again
+	case order.Fence <= a.persisted.SeenFence || a.state != serving || !a.ready:
+		return actions
+	case a.now-askedAt > a.cfg.BeginTimeout:
+		return append(actions, logAction("grant %d arrived too late to begin", order.Fence)) // the coordinators void it, or offer it again
 	}
-	a.undo = a.before()
-	a.mem.SeenFence, a.mem.Prior, a.mem.Failed, a.mem.Trial, a.mem.RestartVersion = o.Fence, a.mem.Version, "", true, ""
-	a.mem.Grant = &Grant{Fence: o.Fence, Kind: o.Kind, Stage: Out, Version: cmp.Or(o.Version, a.mem.Version)}
-	a.mem.Version = a.mem.Grant.Version
-	a.back, a.starts = o.Return, 0
-	do = append(do, a.save(true), note("going out by grant %d (%s), to come back with version %s", o.Fence, o.Kind, a.mem.Version), Action{Standby: true})
-	a.set(leaving)
-	return do
+	a.beforeSave = a.copyPersisted()
+	a.persisted.SeenFence, a.persisted.Prior, a.persisted.Failed, a.persisted.Trial, a.persisted.RestartVersion =
+		order.Fence, a.persisted.Version, "", true, ""
+	a.persisted.Grant = &Grant{Fence: order.Fence, Kind: order.Kind, Stage: Out, Version: cmp.Or(order.Version, a.persisted.Version)}
+	a.persisted.Version = a.persisted.Grant.Version
+	a.undrained, a.failedStarts = order.Return, 0
+	actions = append(actions, a.save(true),
+		logAction("leaving service under grant %d (%s), to return with version %s", order.Fence, order.Kind, a.persisted.Version),
+		Action{Standby: true})
+	a.setState(draining)
+	return actions
 }
 
-// again takes an order for the grant that it holds.
-func (a *Agent) again(do []Action, o *Order) []Action {
-	a.back = a.back || o.Return
-	if o.Return && a.does == away {
-		return a.step(do)
+// updateOrder handles an order for the grant that the member holds already.
+func (a *Agent) updateOrder(actions []Action, order *Order) []Action {
+	a.undrained = a.undrained || order.Return
+	if order.Return && a.state == detached {
+		return a.step(actions)
 	}
-	g := a.mem.Grant
-	if o.Version == "" || o.Version == g.Version {
-		return do
+	grant := a.persisted.Grant
+	if order.Version == "" || order.Version == grant.Version {
+		return actions
 	}
-	if a.mem.Version != o.Version {
-		a.mem.Prior = a.mem.Version
+	if a.persisted.Version != order.Version {
+		a.persisted.Prior = a.persisted.Version
 	}
-	g.Version, a.mem.Version, a.mem.Failed, a.mem.Trial, a.starts = o.Version, o.Version, "", true, 0
-	do = append(do, a.save(false), note("to come back with version %s instead", o.Version))
-	switch a.does {
+	grant.Version, a.persisted.Version, a.persisted.Failed, a.persisted.Trial, a.failedStarts = order.Version, order.Version, "", true, 0
+	actions = append(actions, a.save(false), logAction("returning with version %s instead", order.Version))
+	switch a.state {
 	case starting, proving, serving:
-		g.Stage = Out
-		a.set(stopping)
-		return append(do, Action{Terminate: true})
-	case launching:
-		a.next = a.now
+		grant.Stage = Out
+		a.setState(stopping)
+		return append(actions, Action{Terminate: true})
+	case launchPending:
+		a.launchAt = a.now
 	}
-	return do
+	return actions
 }
 
-func (a *Agent) before() *AgentState {
-	m := a.mem
-	return &m
+func (a *Agent) copyPersisted() *AgentState {
+	state := a.persisted
+	return &state
 }
 
-// SaveFailed tells that what had to be saved was not, as when the disk is full: the
-// grant is not begun.
+// SaveFailed notes that a required save failed, as on a full disk: the change is undone
+// and the grant is not begun.
 func (a *Agent) SaveFailed(now time.Duration, err error) []Action {
 	a.now = max(a.now, now)
-	if a.undo == nil {
+	if a.beforeSave == nil {
 		return nil
 	}
-	a.mem, a.undo = *a.undo, nil
-	if a.does == leaving {
-		a.set(serving)
+	a.persisted, a.beforeSave = *a.beforeSave, nil
+	if a.state == draining {
+		a.setState(serving)
 	}
-	return []Action{note("nothing is begun, as it could not be kept: %v", err)}
+	return []Action{logAction("grant not begun, as the state could not be saved: %v", err)}
 }
 
-// Version is what the program should run.
-func (a *Agent) Version() string { return a.mem.Version }
+// Version returns the version that the program should run.
+func (a *Agent) Version() string { return a.persisted.Version }
 
-// Coordinator is the number of the coordinator that the next report goes to.
+// Coordinator returns the number of the coordinator that the next report goes to.
 func (a *Agent) Coordinator() int { return a.coordinator }
 
-// SetCoordinator has the next report go to a coordinator.
+// SetCoordinator makes the next report go to a coordinator.
 func (a *Agent) SetCoordinator(coordinator int) { a.coordinator = coordinator }
--- a/rollout/errors.go
+++ b/rollout/errors.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Fault is an error that says what an operator can do.
+// Fault is an error with advice for the operator.
 type Fault interface {
 	error
 	Remedy() string
 }
 
-// RemoteError is an error in the form that crosses a link or stands in the log.
+// RemoteError is an error in the form that is sent over a link or stored in the log.
 type RemoteError struct {
 	Kind   string `json:"kind"` // the type's name
 	Text   string `json:"text"`
 	Advice string `json:"remedy"`
 }
 
-// ToRemoteError converts an error to the form that can cross a link; nil stays nil.
+// ToRemoteError converts an error to the form that is sent and stored; nil stays nil.
 func ToRemoteError(err error) *RemoteError {
 	if err == nil {
 		return nil
@@ -39,31 +39,32 @@
 
 func (e *RemoteError) Error() string { return e.Text }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *RemoteError) Remedy() string { return e.Advice }
 
-// Undecided tells that it can't be told whether an order has been taken.
+// Undecided reports that it is unknown whether an order was applied.
 type Undecided struct{ Why string }
 
-func (e *Undecided) Error() string { return "it is not known whether the order was taken: " + e.Why }
+func (e *Undecided) Error() string { return "it is unknown whether the order was applied: " + e.Why }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *Undecided) Remedy() string {
-	return "send it again under the same request name (the command does so by itself): it counts once"
+	return "send it again with the same request name (the command does so by itself): it is applied only once"
 }
 
-// Faults lists one of each error of this package, for the page that tells them
-// and the test that walks them.
+// Faults returns a value of each error type of this package, for the test that compares
+// them with the operators' page.
 func Faults() []Fault {
 	return []Fault{&OverBudget{}, &NoMajority{}, &NotLeader{}, &GateFailed{}, &TooFew{}, &Stalled{}, &HaltedByOperator{}, &Lost{},
-		&CannotStart{}, &TwoAgents{}, &LogWentBack{}, &StaleOrder{}, &Unknown{}, &Overlap{}, &BadRequest{}, &NotFresh{}, &Full{}, &EndedAlready{}, &Undecided{}}
+		&CannotStart{}, &TwoAgents{}, &LogWentBack{}, &StaleOrder{}, &Unknown{}, &Overlap{}, &BadRequest{}, &NotFresh{}, &Full{},
+		&EndedAlready{}, &Undecided{}}
 }
 
-// OverBudget tells that a budget has no room.
+// OverBudget reports that a budget is used up.
 type OverBudget struct {
 	Budget, Group, Member string
 	Out, MaxOut           int
-	Weight, Allowed       float64 // in the members' unit; Allowed is 0 without a bound in share
+	Weight, Allowed       float64 // in the unit of Member.Weight; Allowed is 0 if the budget does not limit the share
 }
 
 func (e *OverBudget) Error() string {
@@ -81,29 +82,29 @@
 	return s
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *OverBudget) Remedy() string {
-	return "wait until a member is back and proven, bring back what is lost, or raise the budget in the coordinators' file; status names who is out"
+	return "wait until a member is back and proven, restore lost members, or raise the budget in the coordinators' file; status lists the members that are out"
 }
 
-// NoMajority tells that a coordinator has no majority behind it.
+// NoMajority reports that a coordinator is not confirmed by a majority.
 type NoMajority struct {
-	SinceConfirmed time.Duration // how long ago one was confirmed; negative for never
+	SinceConfirmed time.Duration // time since a majority last confirmed it; negative for never
 }
 
 func (e *NoMajority) Error() string {
 	if e.SinceConfirmed < 0 {
-		return "no majority of coordinators has been heard"
+		return "no majority of coordinators has answered yet"
 	}
 	return fmt.Sprintf("no majority of coordinators for %v", e.SinceConfirmed.Round(100*time.Millisecond))
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *NoMajority) Remedy() string {
-	return "start the coordinators that are down or mend the links between them; nothing new goes out until then, and what is out comes back by itself"
+	return "start the coordinators that are down or repair the links between them; no further member goes out until then, and those that are out come back by themselves"
 }
 
-// NotLeader tells who leads.
+// NotLeader reports that another coordinator leads, or none does; Leader is 0 then.
 type NotLeader struct{ Leader uint64 }
 
 func (e *NotLeader) Error() string {
@@ -113,16 +114,16 @@
 	return fmt.Sprintf("coordinator %d leads", e.Leader)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *NotLeader) Remedy() string {
-	return "ask the coordinator that leads; if none does for more than some seconds, see to their majority"
+	return "ask the coordinator that leads; if none does for more than a few seconds, check that a majority of them runs"
 }
 
-// GateFailed tells that the changed part does worse than the unchanged part.
+// GateFailed reports that the changed members do worse than the unchanged ones.
 type GateFailed struct {
 	Rollout, Metric, Class string
 	Changed, Unchanged     float64
-	P, Bound               float64 // chance of such a difference with a good release, and the bound that it is under
+	P, Bound               float64 // p-value of the difference, and the significance bound that it is below
 }
 
 func (e *GateFailed) Error() string {
@@ -130,15 +131,16 @@
 	if e.Class != "" {
 		s += " of " + e.Class
 	}
-	return fmt.Sprintf("%s is %.4g where changed and %.4g where not (p %.2g, bound %.2g)", s, e.Changed, e.Unchanged, e.P, e.Bound)
+	return fmt.Sprintf("%s is %.4g on changed members and %.4g on unchanged ones (p %.2g, bound %.2g)",
+		s, e.Changed, e.Unchanged, e.P, e.Bound)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *GateFailed) Remedy() string {
-	return "go back (rollout back), or, if you know the cause to be another, resume; the figure is told by class and member in status"
+	return "roll back (rollout back), or resume if the cause is known to be another; status shows the metric by class and member"
 }
 
-// TooFew tells that a gate had too few requests to judge by until its time was up.
+// TooFew reports that a gate timed out with too few requests for a verdict.
 type TooFew struct {
 	Rollout   string
 	Got, Want uint64
@@ -146,45 +148,45 @@
 }
 
 func (e *TooFew) Error() string {
-	return fmt.Sprintf("gate: %d requests where changed after %v, %d are wanted", e.Got, e.Waited.Round(time.Second), e.Want)
+	return fmt.Sprintf("gate: %d requests on changed members after %v, %d are required", e.Got, e.Waited.Round(time.Second), e.Want)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *TooFew) Remedy() string {
-	return "resume when there is traffic, or start the release anew with a gate that wants fewer requests or waits longer"
+	return "resume when there is traffic, or start the release again with a gate that requires fewer requests or waits longer"
 }
 
-// Stalled tells that a wave made no progress in its time.
+// Stalled reports that a rollout made no progress within its gate's stall timeout.
 type Stalled struct {
 	Rollout    string
 	Waited     time.Duration
-	WaitingFor []string // members, each with what is waited for
+	WaitingFor []string // members, each with the reason
 }
 
 func (e *Stalled) Error() string {
 	return fmt.Sprintf("no progress for %v; waiting for %s", e.Waited.Round(time.Second), strings.Join(e.WaitingFor, ", "))
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *Stalled) Remedy() string {
-	return "see to the members named: start their agents, lift their drains, or forget those that are gone for good; then resume or go back"
+	return "check the members named: start their agents, lift their drains, or forget those that will not return; then resume or roll back"
 }
 
-// HaltedByOperator tells that somebody halted a rollout.
+// HaltedByOperator reports that an operator halted a rollout.
 type HaltedByOperator struct{ By, Why string }
 
 func (e *HaltedByOperator) Error() string {
 	return fmt.Sprintf("halted by %s: %s", e.By, e.Why)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *HaltedByOperator) Remedy() string {
-	return "ask who halted it; then resume or go back"
+	return "ask who halted it; then resume or roll back"
 }
 
-// Lost tells that losses passed a budget for longer than a rollout bears.
+// Lost reports that lost members exceeded a budget for longer than Timing.OverBudgetTimeout.
 type Lost struct {
-	OverBudget  string // the budget, as OverBudget words it
+	OverBudget  string // text of the OverBudget error
 	LostMembers []string
 	Waited      time.Duration
 }
@@ -193,127 +195,128 @@
 	return fmt.Sprintf("%s for %v, with %s lost", e.OverBudget, e.Waited.Round(time.Second), strings.Join(e.LostMembers, ", "))
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *Lost) Remedy() string {
-	return "bring the lost members back, or forget those that are gone for good; then resume or go back"
+	return "restore the lost members, or forget those that will not return; then resume or roll back"
 }
 
-// CannotStart tells that a member does not start a version.
+// CannotStart reports that a member fails to start a version.
 type CannotStart struct{ Member, Version, Why string }
 
 func (e *CannotStart) Error() string {
-	return fmt.Sprintf("%s does not start version %s: %s", e.Member, e.Version, e.Why)
+	return fmt.Sprintf("%s fails to start version %s: %s", e.Member, e.Version, e.Why)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *CannotStart) Remedy() string {
-	return "read the member's log; go back, or mend the build and put it in place, upon which its agent tries it again by itself"
+	return "read the member's log; roll back, or fix the build and install it, after which the agent tries it again by itself"
 }
 
-// TwoAgents tells that two agents report under one name.
+// TwoAgents reports that two agents use one member's name.
 type TwoAgents struct{ Member string }
 
 func (e *TwoAgents) Error() string {
 	return fmt.Sprintf("two agents report as %s", e.Member)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *TwoAgents) Remedy() string {
-	return "stop one of the two agents or give it a name of its own; the member counts as out until only one reports"
+	return "stop one of the two agents or give it another name; the member counts as out until only one reports"
 }
 
-// LogWentBack tells that the coordinators have forgotten what a member was told.
+// LogWentBack reports that the coordinators' log lacks entries that a member was notified of.
 type LogWentBack struct {
 	Member                  string
-	NotifiedIndex, LogIndex uint64 // log positions
+	NotifiedIndex, LogIndex uint64 // indexes in the log
 }
 
 func (e *LogWentBack) Error() string {
-	return fmt.Sprintf("the log is at %d, and %s was told of %d: a coordinator runs on an older disk", e.LogIndex, e.Member, e.NotifiedIndex)
+	return fmt.Sprintf("the log is at index %d, but %s was notified of index %d: a coordinator runs on an older disk",
+		e.LogIndex, e.Member, e.NotifiedIndex)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *LogWentBack) Remedy() string {
-	return "find the coordinator that was given an older disk and replace it by a new one; look at status whether rollouts and halts are as you left them, order again what is missing, then lift the stop"
+	return "find the coordinator that was given an older disk and replace it by a new one; check in status whether rollouts and halts are as you left them, order again what is missing, then lift the stop"
 }
 
-// StaleOrder tells that an order meant something that is no longer so.
+// StaleOrder reports that the state that an order refers to has changed.
 type StaleOrder struct{ What string }
 
 func (e *StaleOrder) Error() string { return "the order came too late: " + e.What }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *StaleOrder) Remedy() string {
-	return "look at status: somebody or something else was faster; order again if you still want it"
+	return "check status: the state changed before the order arrived; send the order again if it is still wanted"
 }
 
-// Unknown tells that nothing goes by a name.
+// Unknown reports a name that does not exist.
 type Unknown struct{ Kind, Name string }
 
 func (e *Unknown) Error() string { return fmt.Sprintf("there is no %s %q", e.Kind, e.Name) }
 
-// Remedy says what an operator can do.
-func (e *Unknown) Remedy() string { return "look at status for the names" }
+// Remedy implements Fault.
+func (e *Unknown) Remedy() string { return "look up the names in status" }
 
-// Overlap tells that a rollout would change members that another one changes.
+// Overlap reports that a rollout would change members that another one changes.
 type Overlap struct{ With string }
 
 func (e *Overlap) Error() string {
 	return fmt.Sprintf("rollout %s changes the same members", e.With)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *Overlap) Remedy() string {
-	return "start it with --after and the other's name, or end the other by going back or by letting it finish"
+	return "start it with --after and the other rollout's name, or end the other one by rolling it back or letting it finish"
 }
 
-// BadRequest tells what is wrong with what was sent.
+// BadRequest reports an invalid request.
 type BadRequest struct{ What string }
 
-func (e *BadRequest) Error() string { return "what was sent is wrong: " + e.What }
+func (e *BadRequest) Error() string { return "invalid request: " + e.What }
 
-// Remedy says what an operator can do.
-func (e *BadRequest) Remedy() string { return "mend what is named and send it again" }
+// Remedy implements Fault.
+func (e *BadRequest) Remedy() string { return "correct what the message names and send it again" }
 
-// NotFresh tells that a member has not been heard lately, or that the leader knows too little yet.
+// NotFresh reports that a member's last report is too old, or that the leader has had too few reports yet.
 type NotFresh struct {
 	Member      string
-	SinceReport time.Duration // ago; negative for never by this leader
+	SinceReport time.Duration // negative if it never reported to this leader
 }
 
 func (e *NotFresh) Error() string {
 	if e.SinceReport < 0 {
-		return fmt.Sprintf("%s has not been heard by the coordinator that leads", e.Member)
+		return fmt.Sprintf("%s has not reported to the coordinator that leads", e.Member)
 	}
 	return fmt.Sprintf("%s was last heard %v ago", e.Member, e.SinceReport.Round(100*time.Millisecond))
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *NotFresh) Remedy() string {
-	return "see whether the member, its agent and the link to the coordinators are up; it counts as out until it is heard"
+	return "check that the member, its agent and the link to the coordinators are up; it counts as out until it reports"
 }
 
-// Full tells that a bound on what is kept was reached.
+// Full reports that a limit on stored items is reached.
 type Full struct {
 	What string
 	Max  int
 }
 
 func (e *Full) Error() string {
-	return fmt.Sprintf("there are %d %s, and no more are kept", e.Max, e.What)
+	return fmt.Sprintf("there are %d %s already, which is the limit", e.Max, e.What)
 }
 
-// Remedy says what an operator can do.
-func (e *Full) Remedy() string { return "forget members that are gone, or end rollouts that are open" }
+// Remedy implements Fault.
+func (e *Full) Remedy() string { return "forget members that will not return, or end open rollouts" }
 
-// EndedAlready tells that a rollout is over.
+// EndedAlready reports that a rollout has already ended.
 type EndedAlready struct{ Rollout, Phase string }
 
 func (e *EndedAlready) Error() string {
 	return fmt.Sprintf("rollout %s has ended: %s", e.Rollout, e.Phase)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements Fault.
 func (e *EndedAlready) Remedy() string {
-	return "start a new rollout, to the earlier version if you want that back"
+	return "start a new rollout, with the earlier version to return to it"
 }
--- a/rollout/faults_test.go
+++ b/rollout/faults_test.go
@@ -18,7 +18,7 @@
 	"wickarch/rollout/replica"
 )
 
-// faults are a package's errors, as interfaces that are alike make them.
+// faults converts a package's list of errors to rollout.Fault.
 func faults[F rollout.Fault](list []F) (all []rollout.Fault) {
 	for _, f := range list {
 		all = append(all, f)
@@ -26,8 +26,8 @@
 	return all
 }
 
-// Every error type of the packages on rollouts and on configuration says what an operator can do,
-// stands in the operators' page of its subject, and is in its package's list.
+// Every error type of the packages on rollouts and on configuration has a remedy, is described
+// in the operators' page of its subject, and is in its package's list.
 func TestEveryErrorHasARemedy(t *testing.T) {
 	for _, subject := range []struct {
 		page   string
@@ -36,7 +36,8 @@
 	}{
 		{"rollouts", [][]rollout.Fault{rollout.Faults(), replica.Faults(), coordinator.Faults(), agent.Faults(), rolloutlink.Faults()},
 			[]string{".", "replica", "../internal/coordinator", "../internal/agent", "../internal/rolloutlink"}},
-		{"distribution", [][]rollout.Fault{faults(distribution.Faults()), faults(follower.Faults())}, []string{"../distribution", "../internal/follower"}},
+		{"distribution", [][]rollout.Fault{faults(distribution.Faults()), faults(follower.Faults())},
+			[]string{"../distribution", "../internal/follower"}},
 	} {
 		t.Run(subject.page, func(t *testing.T) { remedies(t, subject.page, subject.faults, subject.dirs) })
 	}
@@ -47,13 +48,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listed := map[string]bool{"RemoteError": true} // one that has crossed a link: it carries the other's words
+	listed := map[string]bool{"RemoteError": true} // the form of an error from another process: it has that one's remedy
 	for _, list := range faults {
 		for _, f := range list {
 			remote := rollout.ToRemoteError(f)
 			listed[remote.Kind] = true
 			if remote.Text == "" || len(remote.Advice) < 10 {
-				t.Errorf("%s: %q, %q", remote.Kind, remote.Text, remote.Advice)
+				t.Errorf("%s: text %q or remedy %q is missing or too short", remote.Kind, remote.Text, remote.Advice)
 			}
 			if !strings.Contains(string(page), "`"+remote.Kind+"`") {
 				t.Errorf("%s is not in the operators' page", remote.Kind)
@@ -83,7 +84,7 @@
 					of = star.X
 				}
 				if kind := of.(*ast.Ident).Name; !listed[kind] {
-					t.Errorf("%s: %s is an error that no list of faults has", name, kind)
+					t.Errorf("%s: error type %s is not in its package's Faults", name, kind)
 				}
 			}
 		}
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -10,17 +10,17 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Gate is what a release is judged by.
+// Gate holds the criteria that a release must meet.
 type Gate struct {
-	Soak             time.Duration `json:"soak"`     // that each wave serves, whole and proven, at least
-	MinRequests      uint64        `json:"requests"` // wanted where changed, to judge by
-	StallTimeout     time.Duration `json:"patience"` // without progress, then it halts
-	Alpha            float64       `json:"alpha"`    // chance that a good release is halted by its figures, over all its waves
-	Margin           float64       `json:"margin"`   // of the share refused or failed: a smaller difference does not matter
-	MaxLatencyFactor float64       `json:"slower"`   // factor of the mean latency: a smaller one does not matter
+	Soak             time.Duration `json:"soak"`     // minimum time that a wave is in service, complete and proven, before the next one
+	MinRequests      uint64        `json:"requests"` // requests on changed members that a verdict requires
+	StallTimeout     time.Duration `json:"patience"` // time without progress after which the rollout halts
+	Alpha            float64       `json:"alpha"`    // probability that a good release is halted by its stats, over all its waves
+	Margin           float64       `json:"margin"`   // tolerated increase of the share refused or failed
+	MaxLatencyFactor float64       `json:"slower"`   // tolerated increase of the mean latency, as a factor above 1
 }
 
-// DefaultGate is the gate that an order starts from.
+// DefaultGate returns the default criteria.
 func DefaultGate() Gate {
 	return Gate{Soak: time.Minute, MinRequests: 500, StallTimeout: 15 * time.Minute, Alpha: 0.01, Margin: 0.02, MaxLatencyFactor: 1.5}
 }
@@ -28,74 +28,74 @@
 func (g Gate) check() error {
 	switch {
 	case g.Soak <= 0 || g.StallTimeout <= g.Soak:
-		return &BadRequest{"a gate's soak is above 0, and its patience above the soak"}
+		return &BadRequest{"a gate's soak must be above 0, and its patience above the soak"}
 	case !(g.Alpha > 0 && g.Alpha < 0.5) || !(g.Margin > 0 && g.Margin < 1) || !(g.MaxLatencyFactor > 1):
-		return &BadRequest{"a gate's alpha is above 0 and below 0.5, margin between 0 and 1, slower above 1"}
+		return &BadRequest{"a gate's alpha must be above 0 and below 0.5, margin between 0 and 1, slower above 1"}
 	}
 	return nil
 }
 
-// Count is what became of requests of one class.
+// Count holds the outcomes of the requests of one class.
 type Count struct {
 	Served  uint64 `json:"s"`
 	Refused uint64 `json:"r"`
 	Failed  uint64 `json:"f"`
 }
 
-// Stats are what a member's program has done since it started.
+// Stats are the counters of a member's program since it started.
 type Stats struct {
-	BootID          uint64           `json:"boot"` // another one after each start
+	BootID          uint64           `json:"boot"` // differs after each start of the program
 	Classes         map[string]Count `json:"classes,omitempty"`
-	InFlightSeconds float64          `json:"open"`   // requests open, added up over time, in request seconds
-	Deaths          uint64           `json:"deaths"` // of the program, unasked, since the agent started
+	InFlightSeconds float64          `json:"open"`   // requests in flight, integrated over time, in request seconds
+	Deaths          uint64           `json:"deaths"` // unexpected exits of the program since the agent started
 }
 
 const (
-	mostClasses    = 32
-	mostStrata     = 8 // zones that are judged apart
-	leastUnchanged = 3
-	leastForRate   = 20 // requests of a member, below which its latency is not taken
+	maxClasses         = 32
+	maxStrata          = 8 // zones that are compared separately
+	minUnchanged       = 3
+	minLatencyRequests = 20 // requests below which a member's latency is ignored
 )
 
-// sample is a member's figures at a time.
+// sample is a member's stats at one time.
 type sample struct {
-	at time.Duration
-	f  Stats
+	at    time.Duration
+	stats Stats
 }
 
-// track is what the leader keeps of one member's figures: two samples to count
-// from, the newer of which takes over from the older, so that the window slides.
-type track struct {
-	changed    bool
-	zone       string
-	older, mid sample
-	last       sample
-	mayCompare bool // it serves, and is proven
+// statsWindow is a sliding window over one member's stats: counts are relative to start,
+// which nextStart replaces when the window moves on.
+type statsWindow struct {
+	changed          bool
+	zone             string
+	start, nextStart sample
+	last             sample
+	comparable       bool // the member is ready, proven or not
 }
 
-// record takes in figures. A start of the program begins the count anew.
-func (t *track) record(now time.Duration, f Stats, changed, serves bool) {
-	if len(f.Classes) > mostClasses {
+// record adds a sample. A start of the program resets the window.
+func (t *statsWindow) record(now time.Duration, f Stats, changed, serves bool) {
+	if len(f.Classes) > maxClasses {
 		f.Classes = nil
 	}
-	if t.last.f.BootID != f.BootID || t.changed != changed || !t.mayCompare || t.last.at == 0 {
+	if t.last.stats.BootID != f.BootID || t.changed != changed || !t.comparable || t.last.at == 0 {
 		from := f
 		if t.last.at > 0 && t.changed == changed {
-			from.Deaths = min(f.Deaths, t.older.f.Deaths) // a death stays in the window in which it came
+			from.Deaths = min(f.Deaths, t.start.stats.Deaths) // a death stays in the window in which it occurred
 		}
-		t.older, t.mid = sample{now, from}, sample{now, from}
+		t.start, t.nextStart = sample{now, from}, sample{now, from}
 	}
-	t.changed, t.mayCompare = changed, serves
+	t.changed, t.comparable = changed, serves
 	t.last = sample{now, f}
 }
 
-// delta is what was done in the window.
+// delta holds the counts of a window.
 type delta struct {
-	zone    string
-	classes map[string]Count
-	open    float64
-	deaths  uint64
-	span    time.Duration
+	zone            string
+	classes         map[string]Count
+	inFlightSeconds float64
+	deaths          uint64
+	duration        time.Duration
 }
 
 func (d delta) requests() (n uint64) {
@@ -105,70 +105,71 @@
 	return n
 }
 
-func (t *track) delta() delta {
-	d := delta{zone: t.zone, classes: map[string]Count{}, span: t.last.at - t.older.at}
-	for name, c := range t.last.f.Classes {
-		o := t.older.f.Classes[name]
-		d.classes[name] = Count{less(c.Served, o.Served), less(c.Refused, o.Refused), less(c.Failed, o.Failed)}
+func (t *statsWindow) delta() delta {
+	d := delta{zone: t.zone, classes: map[string]Count{}, duration: t.last.at - t.start.at}
+	for name, c := range t.last.stats.Classes {
+		o := t.start.stats.Classes[name]
+		d.classes[name] = Count{saturatingSub(c.Served, o.Served), saturatingSub(c.Refused, o.Refused), saturatingSub(c.Failed, o.Failed)}
 	}
-	d.open = t.last.f.InFlightSeconds - t.older.f.InFlightSeconds
-	d.deaths = less(t.last.f.Deaths, t.older.f.Deaths)
+	d.inFlightSeconds = t.last.stats.InFlightSeconds - t.start.stats.InFlightSeconds
+	d.deaths = saturatingSub(t.last.stats.Deaths, t.start.stats.Deaths)
 	return d
 }
 
-// less subtracts counts of which the first should not be the smaller one.
-func less(a, b uint64) uint64 {
+// saturatingSub returns a - b, or 0 if b is larger.
+func saturatingSub(a, b uint64) uint64 {
 	if a < b {
 		return 0
 	}
 	return a - b
 }
 
-// judge compares the changed part with the unchanged part.
-type judge struct {
-	gate    Gate
-	rollout string
-	waves   int
-	looks   int
-	nextAt  uint64 // requests at the last look
-	died    uint64 // and deaths
-	last    Verdict
+// gateEvaluator compares the changed members of a rollout with the unchanged ones.
+type gateEvaluator struct {
+	gate         Gate
+	rollout      string
+	waves        int
+	evaluations  int
+	lastRequests uint64 // requests at the last evaluation
+	lastDeaths   uint64 // deaths at the last evaluation
+	lastVerdict  Verdict
 }
 
-// Verdict is what a gate says.
+// Verdict is the result of a gate's evaluation.
 type Verdict struct {
-	Failure              Fault   // what it fails by; nil
-	Insufficient         Fault   // what it has too little of to tell; nil
-	Requests             uint64  // requests where changed
-	NoBaseline           bool    // too few unchanged members are left to compare figures with
-	DetectableDifference float64 // the smallest difference of shares that it would halt by now, in the class with most requests
+	Failure              Fault   // criterion that is not met, or nil
+	Insufficient         Fault   // data that is still missing, or nil
+	Requests             uint64  // requests on changed members
+	NoBaseline           bool    // too few unchanged members are left for a comparison of stats
+	DetectableDifference float64 // the smallest difference in shares that would halt it now, in the class with the most requests
 }
 
-// look judges once. Each look spends a part of the gate's alpha, so that all
-// looks of all waves together halt a good release with that chance at most
-// (a union bound, the k-th look having 6/(pi k)^2 of it).
-func (j *judge) look(changed, unchanged []delta) (v Verdict) {
+// evaluate judges once. Each evaluation spends a part of the gate's alpha, so that all
+// evaluations of all waves together halt a good release with probability alpha at most
+// (a union bound, the k-th evaluation having 6/(pi k)^2 of it).
+func (j *gateEvaluator) evaluate(changed, unchanged []delta) (v Verdict) {
 	for _, d := range changed {
 		v.Requests += d.requests()
 	}
-	// What is not at the same time is no comparison: a day's changes would be put down to
-	// the release. With hardly any unchanged member left only deaths and starts are judged.
-	v.NoBaseline = len(unchanged) < leastUnchanged
+	// Only members observed at the same time are compared: otherwise changes over the day would be
+	// attributed to the release. With hardly any unchanged member left, only deaths and starts are judged.
+	v.NoBaseline = len(unchanged) < minUnchanged
 	if v.Requests < j.gate.MinRequests {
 		v.Insufficient = &TooFew{Rollout: j.rollout, Got: v.Requests, Want: j.gate.MinRequests}
 	}
-	died := uint64(0)
+	deathCount := uint64(0)
 	for _, d := range changed {
-		died += d.deaths
+		deathCount += d.deaths
 	}
-	// Looks that come as the requests grow by a quarter are few, so that each may spend much.
-	if grown := 4*v.Requests >= 5*j.nextAt || v.Requests < j.nextAt/2; v.Requests < j.gate.MinRequests/4 && died == 0 || !grown && died <= j.died {
-		v.Failure, v.DetectableDifference = j.last.Failure, j.last.DetectableDifference
+	// An evaluation only when requests have grown by a quarter keeps them few, so that each may spend more of alpha.
+	if grown := 4*v.Requests >= 5*j.lastRequests || v.Requests < j.lastRequests/2; v.Requests < j.gate.MinRequests/4 && deathCount == 0 ||
+		!grown && deathCount <= j.lastDeaths {
+		v.Failure, v.DetectableDifference = j.lastVerdict.Failure, j.lastVerdict.DetectableDifference
 		return v
 	}
-	defer func() { j.last = v }()
-	j.nextAt, j.died = v.Requests, died
-	j.looks++
+	defer func() { j.lastVerdict = v }()
+	j.lastRequests, j.lastDeaths = v.Requests, deathCount
+	j.evaluations++
 	zones := map[string]bool{}
 	classes := map[string]bool{}
 	for _, d := range changed {
@@ -177,29 +178,29 @@
 			classes[c] = true
 		}
 	}
-	most := uint64(0)
+	largest := uint64(0)
 	strata := []string{""}
-	if len(zones) > 1 && len(zones) <= mostStrata {
+	if len(zones) > 1 && len(zones) <= maxStrata {
 		strata = append(strata, slices.Sorted(maps.Keys(zones))...)
 	}
 	tests := float64(len(strata) * (2*len(classes) + 2))
-	bound := j.gate.Alpha / float64(max(1, j.waves)) * 6 / math.Pow(math.Pi*float64(j.looks), 2) / tests
-	try := func(figure, class string, c, u, p float64) {
+	bound := j.gate.Alpha / float64(max(1, j.waves)) * 6 / math.Pow(math.Pi*float64(j.evaluations), 2) / tests
+	check := func(figure, class string, c, u, p float64) {
 		if p < bound && v.Failure == nil {
 			v.Failure = &GateFailed{Rollout: j.rollout, Metric: figure, Class: class, Changed: c, Unchanged: u, P: p, Bound: bound}
 		}
 	}
 	for _, zone := range strata {
-		in := func(list []delta) []delta {
+		inZone := func(list []delta) []delta {
 			if zone == "" {
 				return list
 			}
 			return slices.DeleteFunc(slices.Clone(list), func(d delta) bool { return d.zone != zone })
 		}
-		c, u := in(changed), in(unchanged)
-		at := ""
+		c, u := inZone(changed), inZone(unchanged)
+		suffix := ""
 		if zone != "" {
-			at = " in " + zone
+			suffix = " in " + zone
 		}
 		for _, class := range slices.Sorted(maps.Keys(classes)) {
 			if v.NoBaseline {
@@ -209,29 +210,29 @@
 				name string
 				of   func(Count) uint64
 			}{{"share refused", func(c Count) uint64 { return c.Refused }}, {"share failed", func(c Count) uint64 { return c.Failed }}} {
-				pc, pu, p, se, df := shares(c, u, class, f.of, j.gate.Margin)
-				if n := asked(c, class); zone == "" && n > most && se > 0 {
-					most = n
+				pc, pu, p, se, df := compareShares(c, u, class, f.of, j.gate.Margin)
+				if n := countRequests(c, class); zone == "" && n > largest && se > 0 {
+					largest = n
 					v.DetectableDifference = j.gate.Margin + se*distuv.StudentsT{Sigma: 1, Nu: max(1, df)}.Quantile(1-bound)
 				}
-				try(f.name+at, class, pc, pu, p)
+				check(f.name+suffix, class, pc, pu, p)
 			}
 		}
 		if !v.NoBaseline {
-			lc, lu, p := latencies(c, u, j.gate.MaxLatencyFactor)
-			try("mean latency in seconds"+at, "", lc, lu, p)
+			lc, lu, p := compareLatencies(c, u, j.gate.MaxLatencyFactor)
+			check("mean latency in seconds"+suffix, "", lc, lu, p)
 		}
-		dc, du, p := deaths(c, u)
-		try("deaths"+at, "", dc, du, p)
+		dc, du, p := compareDeaths(c, u)
+		check("deaths"+suffix, "", dc, du, p)
 	}
 	return v
 }
 
-// shares tests whether the share of requests that ended badly is larger where
-// changed by more than the margin. Members differ by themselves (uneven quotas):
+// compareShares tests whether the share of requests with a bad outcome is larger on
+// changed members by more than the margin. Members differ in any case (uneven quotas):
 // the variance is that of a quasi-binomial whose dispersion is estimated within both
-// parts (McCullagh and Nelder, 1989, 4.5), by Student's t.
-func shares(changed, unchanged []delta, class string, bad func(Count) uint64, margin float64) (pc, pu, p, se, df float64) {
+// groups (McCullagh and Nelder, 1989, 4.5), and the test is Student's t.
+func compareShares(changed, unchanged []delta, class string, bad func(Count) uint64, margin float64) (pc, pu, p, se, df float64) {
 	sum := func(list []delta) (n, b float64) {
 		for _, d := range list {
 			c := d.classes[class]
@@ -246,7 +247,7 @@
 		return 0, 0, 1, 0, 0
 	}
 	pc, pu = bc/nc, bu/nu
-	// The difference is tested against the margin. Half a request more keeps the variance above 0.
+	// The difference is tested against the margin. Half a request at least, below, keeps the variance above 0.
 	q := pu + margin
 	v := q * (1 - q)
 	phi := 0.0
@@ -265,14 +266,13 @@
 	if df >= 3 {
 		phi = max(1, phi/df)
 	} else {
-		phi, df = 2, 3 // too few to tell how they differ: a guess on the careful side
+		phi, df = 2, 3 // too few members to estimate the dispersion: conservative values
 	}
 	se = math.Sqrt(phi * v * (1/nc + 1/nu))
-	return pc, pu, tail((pc-pu-margin)/se, df), se, df
+	return pc, pu, upperTail((pc-pu-margin)/se, df), se, df
 }
 
-// asked counts the requests of a class.
-func asked(list []delta, class string) (n uint64) {
+func countRequests(list []delta, class string) (n uint64) {
 	for _, d := range list {
 		c := d.classes[class]
 		n += c.Served + c.Refused + c.Failed
@@ -280,13 +280,13 @@
 	return n
 }
 
-// latencies tests whether the mean latency of members, as requests open over
-// requests ended (Little's law), is larger where changed by more than a factor.
-func latencies(changed, unchanged []delta, factor float64) (c, u, p float64) {
+// compareLatencies tests whether the mean latency of members (request seconds in flight per
+// request ended, by Little's law) is larger on changed members by more than a factor.
+func compareLatencies(changed, unchanged []delta, factor float64) (c, u, p float64) {
 	logs := func(list []delta) (l []float64) {
 		for _, d := range list {
-			if n := d.requests(); n >= leastForRate && d.open > 0 {
-				l = append(l, math.Log(d.open/float64(n)))
+			if n := d.requests(); n >= minLatencyRequests && d.inFlightSeconds > 0 {
+				l = append(l, math.Log(d.inFlightSeconds/float64(n)))
 			}
 		}
 		return l
@@ -308,19 +308,19 @@
 	mu, vu := mean(lu)
 	df := float64(len(lc) + len(lu) - 2)
 	v := (vc*float64(len(lc)-1) + vu*float64(len(lu)-1)) / df
-	// Members that are alike by chance do not make the next one alike: 5% at least.
+	// Standard deviation of 5% at least: a few members that happen to be alike say little about the others.
 	v = max(v, 0.05*0.05)
 	t := (mc - mu - math.Log(factor)) / math.Sqrt(v*(1/float64(len(lc))+1/float64(len(lu))))
-	return math.Exp(mc), math.Exp(mu), tail(t, df)
+	return math.Exp(mc), math.Exp(mu), upperTail(t, df)
 }
 
-// deaths tests whether programs die more often where changed: of all deaths, the
-// changed part's are binomial by its part of the time.
-func deaths(changed, unchanged []delta) (c, u, p float64) {
+// compareDeaths tests whether programs die more often on changed members: of all deaths,
+// theirs are binomial with their share of the observed time.
+func compareDeaths(changed, unchanged []delta) (c, u, p float64) {
 	sum := func(list []delta) (n uint64, t float64) {
 		for _, d := range list {
 			n += d.deaths
-			t += d.span.Seconds()
+			t += d.duration.Seconds()
 		}
 		return n, t
 	}
@@ -333,14 +333,14 @@
 	return float64(nc), float64(nu), 1 - b.CDF(float64(nc)-1)
 }
 
-func tail(t, df float64) float64 {
+func upperTail(t, df float64) float64 {
 	if t <= 0 {
 		return 1
 	}
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: max(1, df)}.Survival(t)
 }
 
-// String words a verdict.
+// String describes the verdict.
 func (v Verdict) String() string {
 	switch {
 	case v.Failure != nil:
@@ -349,10 +349,11 @@
 		return v.Insufficient.Error()
 	}
 	if v.NoBaseline {
-		return fmt.Sprintf("%d requests; too few unchanged members are left to compare with: deaths and starts are judged", v.Requests)
+		return fmt.Sprintf("%d requests; too few unchanged members are left to compare with: only deaths and starts are judged", v.Requests)
 	}
 	if v.DetectableDifference > 0 {
-		return fmt.Sprintf("good so far by %d requests; %.0f%% more refused or failed would be seen", v.Requests, 100*v.DetectableDifference)
+		return fmt.Sprintf("no regression in %d requests; %.0f%% more refused or failed would be detected",
+			v.Requests, 100*v.DetectableDifference)
 	}
-	return fmt.Sprintf("good so far by %d requests", v.Requests)
+	return fmt.Sprintf("no regression in %d requests", v.Requests)
 }
--- a/rollout/leader.go
+++ b/rollout/leader.go
@@ -9,149 +9,150 @@
 	"time"
 )
 
-// Config is what all coordinators decide by.
+// Config holds the settings that all coordinators share.
 type Config struct {
 	Budgets []Budget
 	Timing
 }
 
-// Timing holds the times of coordinators and agents.
+// Timing holds the timing settings of coordinators and agents.
 type Timing struct {
-	ReportInterval    time.Duration // agents report so often
-	MaxStaleness      time.Duration // what was heard longer ago counts for nothing, and its member as out
-	LearnPeriod       time.Duration // a new leader grants nothing before: who is there has told it by then
-	BeginTimeout      time.Duration // an agent begins to go out so long after it asked at most
-	OverBudgetTimeout time.Duration // losses may pass a budget for so long before rollouts halt
-	WatchInterval     time.Duration // a leader writes so often how long it has watched a rollout
+	ReportInterval    time.Duration // interval between an agent's reports
+	MaxStaleness      time.Duration // an older report is ignored, and its member counts as out
+	LearnPeriod       time.Duration // a new leader grants nothing for this long: every live agent has reported by then
+	BeginTimeout      time.Duration // maximum time from the report that asked for a grant to its begin at the agent
+	OverBudgetTimeout time.Duration // losses may exceed a budget for this long before rollouts halt
+	WatchInterval     time.Duration // interval at which a leader logs for how long it has watched a rollout
 }
 
-// DefaultTiming suits a fleet on one site.
+// DefaultTiming returns timing for a fleet on one site.
 func DefaultTiming() Timing {
 	return Timing{ReportInterval: time.Second, MaxStaleness: 4 * time.Second, LearnPeriod: 5 * time.Second, BeginTimeout: 4 * time.Second,
 		OverBudgetTimeout: 15 * time.Second, WatchInterval: 10 * time.Second}
 }
 
-// Check finds times that do not go together.
+// Check reports settings that do not fit each other.
 func (t Timing) Check() error {
 	switch {
 	case t.ReportInterval <= 0 || t.WatchInterval <= 0 || t.OverBudgetTimeout <= 0:
-		return &BadRequest{"report, watch and bear are above 0"}
+		return &BadRequest{"report, watch and bear must be above 0"}
 	case t.MaxStaleness < 3*t.ReportInterval:
-		return &BadRequest{"fresh is three times report at least: one lost report must not make a member count as out"}
+		return &BadRequest{"fresh must be at least three times report: one lost report must not make a member count as out"}
 	case t.LearnPeriod < 2*t.ReportInterval:
-		return &BadRequest{"learn is twice report at least, so that every agent has been heard by then"}
+		return &BadRequest{"learn must be at least twice report, so that every agent has reported by then"}
 	case t.BeginTimeout < 2*t.ReportInterval || t.BeginTimeout > t.MaxStaleness:
-		return &BadRequest{"begin lies between twice report and fresh"}
+		return &BadRequest{"begin must lie between twice report and fresh"}
 	}
 	return nil
 }
 
-// ServiceState is what an agent tells of its member.
+// ServiceState is a member's state as its agent reports it.
 type ServiceState string
 
-// What a member does.
+// The states of a member.
 const (
-	InService ServiceState = "serves"   // in service, and proven
-	Draining  ServiceState = "leaves"   // draining
-	Down      ServiceState = "down"     // its program does not run, or is not ready
+	InService ServiceState = "serves"   // in service and proven
+	Draining  ServiceState = "leaves"   // letting its clients go
+	Down      ServiceState = "down"     // its program does not run or is not ready
 	Unproven  ServiceState = "proves"   // ready, not proven yet
-	Detached  ServiceState = "detached" // out by a drain, as ordered
+	Detached  ServiceState = "detached" // drained and stopped, as ordered
 )
 
-// Stamp is a leader's time, which agents send back: what comes with it was sent
-// after it. So a leader tells how old a report is by its own clock alone.
+// Stamp is a time of the leader's clock that agents echo: a report with it was sent
+// after it. So a leader bounds the age of a report by its own clock alone.
 type Stamp struct {
 	Term uint64        `json:"term"`
 	At   time.Duration `json:"at"`
 }
 
-// Report is what an agent tells.
+// Report is what an agent sends to the leader.
 type Report struct {
 	Member      Member       `json:"member"`
-	Incarnation uint64       `json:"incarnation"` // of the agent, another one after each of its starts
-	Seq         uint64       `json:"seq"`         // counts its reports
+	Incarnation uint64       `json:"incarnation"` // of the agent; differs after each of its starts
+	Seq         uint64       `json:"seq"`         // number of the report
 	Stamp       Stamp        `json:"stamp"`       // of the last reply
-	Index       uint64       `json:"index"`       // the highest log position it was told
-	IndexTerm   uint64       `json:"index_term"`  // and the term of the entry there
+	Index       uint64       `json:"index"`       // the highest log index that the member was notified of
+	IndexTerm   uint64       `json:"index_term"`  // the term of the entry at Index
 	State       ServiceState `json:"does"`
-	Version     string       `json:"version"` // of the program that runs, or would
+	Version     string       `json:"version"` // of the program that runs, or is to be started
 	HeldGrant   *Grant       `json:"holds,omitempty"`
-	SeenFence   uint64       `json:"seen"` // it begins no grant with a fence up to this
+	SeenFence   uint64       `json:"seen"` // the member begins no grant with a fence up to this one
 	Failed      string       `json:"failed,omitempty"`
 	Stats       Stats        `json:"figures"`
 }
 
-// Reply is what the leader answers.
+// Reply is the leader's answer to a report.
 type Reply struct {
 	Stamp          Stamp  `json:"stamp"`
 	Index          uint64 `json:"index"`
 	Term           uint64 `json:"term"`            // of the entry at Index
-	Reset          bool   `json:"reset,omitempty"` // the log is another one than the member was told of; this one counts
+	Reset          bool   `json:"reset,omitempty"` // the log differs from the one that the member was notified of; this one is valid
 	Order          *Order `json:"order,omitempty"`
-	VoidFence      uint64 `json:"void,omitempty"` // a fence not to begin
-	RestartVersion string `json:"run,omitempty"`  // the version to start should the program end by itself; "" for the same
+	VoidFence      uint64 `json:"void,omitempty"` // fence of a grant that must not be begun
+	RestartVersion string `json:"run,omitempty"`  // version to start if the program exits on its own; "" for the same
 	Denied         string `json:"denied,omitempty"`
 	Halted         string `json:"halted,omitempty"`
 }
 
-// Order is a grant as its member gets it.
+// Order is a grant as it is sent to its member.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Kind    Kind   `json:"kind"`
-	Version string `json:"version"` // "" for the one it has
-	Return  bool   `json:"return"`  // a drain that has been lifted
+	Version string `json:"version"` // "" for the current one
+	Return  bool   `json:"return"`  // the drain was lifted: the member comes back
 }
 
-// hearing is what a leader has heard of one member.
-type hearing struct {
-	report   Report
-	stamp    time.Duration // it was so at this time or later; -1 for never
-	earlier  []uint64      // incarnations before this one
-	conflict time.Duration // two agents were heard; until then
+// memberContact is what a leader knows of one member from its reports.
+type memberContact struct {
+	report              Report
+	asOf                time.Duration // the report was sent at this time or later; -1 for never
+	earlierIncarnations []uint64      // previous incarnations
+	conflictUntil       time.Duration // two agents reported under this name; valid until then
 }
 
-// Leader is what a coordinator decides while it leads.
+// Leader makes the decisions of a coordinator while it leads.
 type Leader struct {
-	cfg       Config
-	state     *State
-	term      uint64
-	since     time.Duration
-	confirmed time.Duration // a majority held it for the leader at this time; -1 for never
-	heard     map[string]*hearing
-	pending   map[string]bool // entries on their way into the log
-	tracks    map[string]*track
-	watches   map[string]*watch
-	passed    time.Duration // since when losses pass a budget; -1 while none does
-	denied    map[string]error
-	now       time.Duration
-}
-
-// watch is what a leader keeps of one rollout.
-type watch struct {
-	judge
-	wave     int
-	turned   Phase
-	whole    time.Duration // since when all of the wave have been changed and proven; -1 while not
-	nextLook time.Duration
-	nextTold time.Duration
-	verdict  Verdict
-	waits    []string
-	done, of int
-
-	order []string // the members that it is for; see Leader.order
-	crew  uint64   // of the state, when order was made
-}
-
-// NewLeader begins a term, with all entries of earlier terms applied to state.
+	cfg             Config
+	state           *State
+	term            uint64
+	since           time.Duration
+	confirmedAt     time.Duration // when a majority last confirmed it as leader; -1 for never
+	contacts        map[string]*memberContact
+	pending         map[string]bool // keys of the entries proposed and not applied yet
+	windows         map[string]*statsWindow
+	monitors        map[string]*rolloutMonitor
+	overBudgetSince time.Duration // since when losses exceed a budget; -1 if they do not
+	denied          map[string]error
+	now             time.Duration
+}
+
+// rolloutMonitor is what a leader tracks of one rollout.
+type rolloutMonitor struct {
+	gateEvaluator
+	wave           int
+	phase          Phase
+	completeSince  time.Duration // since when all members of the wave are changed and proven; -1 if they are not
+	nextEvaluation time.Duration
+	nextWatchEntry time.Duration
+	verdict        Verdict
+	waitingFor     []string
+	done, total    int
+
+	order             []string // the rollout's members; see Leader.memberOrder
+	membershipVersion uint64   // of the state from which order was computed
+}
+
+// NewLeader starts a term as leader. All entries of earlier terms must be applied to state.
 func NewLeader(cfg Config, state *State, term uint64, now time.Duration) *Leader {
-	return &Leader{cfg: cfg, state: state, term: term, since: now, confirmed: -1, heard: map[string]*hearing{}, pending: map[string]bool{},
-		tracks: map[string]*track{}, watches: map[string]*watch{}, passed: -1, denied: map[string]error{}, now: now}
+	return &Leader{cfg: cfg, state: state, term: term, since: now, confirmedAt: -1, contacts: map[string]*memberContact{},
+		pending: map[string]bool{}, windows: map[string]*statsWindow{}, monitors: map[string]*rolloutMonitor{},
+		overBudgetSince: -1, denied: map[string]error{}, now: now}
 }
 
-// Confirmed tells that a majority held this coordinator for the leader at a time.
-func (l *Leader) Confirmed(at time.Duration) { l.confirmed = max(l.confirmed, at) }
+// Confirmed notes that a majority confirmed this coordinator as leader at a time.
+func (l *Leader) Confirmed(at time.Duration) { l.confirmedAt = max(l.confirmedAt, at) }
 
-// key names what an entry is about, so that it is on its way once.
+// key identifies the subject of an entry, so that only one entry of a key is pending.
 func (e Entry) key() string {
 	switch {
 	case e.Join != nil:
@@ -176,7 +177,7 @@
 	return ""
 }
 
-// add puts an entry on its way, unless one like it is.
+// add appends an entry to be proposed, unless one of its key is pending.
 func (l *Leader) add(to []Entry, e Entry) []Entry {
 	if k := e.key(); !l.pending[k] {
 		l.pending[k] = true
@@ -185,17 +186,17 @@
 	return to
 }
 
-// Applied tells that an entry of this term has been applied, or was dropped.
+// Applied notes that an entry of this term was applied or dropped.
 func (l *Leader) Applied(e Entry) { delete(l.pending, e.key()) }
 
-// sure tells whether this leader may act on what it believes: nil, or why not.
-func (l *Leader) sure(now time.Duration) error {
-	if l.confirmed < 0 || now-l.confirmed > l.cfg.MaxStaleness {
-		heard := time.Duration(-1)
-		if l.confirmed >= 0 {
-			heard = now - l.confirmed
+// checkAuthority returns nil if this leader may act on what it knows, else the reason.
+func (l *Leader) checkAuthority(now time.Duration) error {
+	if l.confirmedAt < 0 || now-l.confirmedAt > l.cfg.MaxStaleness {
+		sinceConfirmed := time.Duration(-1)
+		if l.confirmedAt >= 0 {
+			sinceConfirmed = now - l.confirmedAt
 		}
-		return &NoMajority{heard}
+		return &NoMajority{sinceConfirmed}
 	}
 	if now-l.since < l.cfg.LearnPeriod {
 		return &NotFresh{Member: "the fleet", SinceReport: -1}
@@ -203,127 +204,133 @@
 	return nil
 }
 
-// gone tells whether a member counts as out, and why.
-func (l *Leader) gone(name string) (why string) {
-	seat, h := l.state.Members[name], l.heard[name]
+// outReason returns why a member counts as out; "" if it does not.
+func (l *Leader) outReason(name string) (reason string) {
+	record, contact := l.state.Members[name], l.contacts[name]
 	switch {
-	case seat != nil && seat.Grant != nil:
-		return fmt.Sprintf("%s by grant %d (%s)", seat.Grant.Stage, seat.Grant.Fence, seat.Grant.Kind)
+	case record != nil && record.Grant != nil:
+		return fmt.Sprintf("%s by grant %d (%s)", record.Grant.Stage, record.Grant.Fence, record.Grant.Kind)
 	case l.pending["grant "+name]:
-		return "a grant is on its way"
-	case h == nil || h.stamp < 0:
+		return "a grant is pending"
+	case contact == nil || contact.asOf < 0:
 		return (&NotFresh{name, -1}).Error()
-	case l.now-h.stamp > l.cfg.MaxStaleness:
-		return (&NotFresh{name, l.now - h.stamp}).Error()
-	case h.conflict > l.now:
+	case l.now-contact.asOf > l.cfg.MaxStaleness:
+		return (&NotFresh{name, l.now - contact.asOf}).Error()
+	case contact.conflictUntil > l.now:
 		return (&TwoAgents{name}).Error()
-	case h.report.State != InService:
-		return "without a grant, " + string(h.report.State)
+	case contact.report.State != InService:
+		return "without a grant, " + string(contact.report.State)
 	}
 	return ""
 }
 
 func (l *Leader) ledger() *Ledger {
-	return NewLedger(l.cfg.Budgets, l.state.MemberList(), func(name string) bool { return l.gone(name) != "" })
+	return NewLedger(l.cfg.Budgets, l.state.MemberList(), func(name string) bool { return l.outReason(name) != "" })
 }
 
-// Report takes what an agent tells, and answers it. The entries are to be proposed.
-func (l *Leader) Report(now time.Duration, r Report) (reply Reply, add []Entry, err error) {
+// Report handles an agent's report. The caller proposes the entries.
+func (l *Leader) Report(now time.Duration, report Report) (reply Reply, entries []Entry, err error) {
 	l.now = max(l.now, now)
-	if err := r.Member.check(); err != nil {
+	if err := report.Member.check(); err != nil {
 		return reply, nil, err
 	}
 	reply = Reply{Stamp: Stamp{l.term, now}, Index: l.state.Index, Term: l.state.termAt(l.state.Index)}
 	if l.state.Stop != nil {
 		reply.Halted = l.state.Stop.Text
 	}
-	name := r.Member.Name
-	seat := l.state.Members[name]
-	if seat == nil || seat.Member != r.Member || seat.Grant == nil && r.State == InService && seat.Version != r.Version {
-		joined := MemberRecord{Member: r.Member, Version: r.Version}
-		if seat != nil {
-			joined.Failed = seat.Failed
+	name := report.Member.Name
+	record := l.state.Members[name]
+	if record == nil || record.Member != report.Member || record.Grant == nil && report.State == InService &&
+		record.Version != report.Version {
+		joining := MemberRecord{Member: report.Member, Version: report.Version}
+		if record != nil {
+			joining.Failed = record.Failed
 		} else if len(l.state.Members) >= MaxMembers {
 			return reply, nil, &Full{"members", MaxMembers}
 		}
-		add = l.add(add, Entry{Join: &joined})
+		entries = l.add(entries, Entry{Join: &joining})
 	}
-	h := l.hear(r)
-	if seat == nil || h.report.Seq != r.Seq || h.report.Incarnation != r.Incarnation {
-		return reply, add, nil // not in the log yet, or overtaken by a later report
+	contact := l.recordReport(report)
+	if record == nil || contact.report.Seq != report.Seq || contact.report.Incarnation != report.Incarnation {
+		return reply, entries, nil // the member is not in the log yet, or a later report came first
 	}
-	// The log was further, or another one, or had granted more, than it has now.
-	was := l.state.termAt(r.Index)
-	if r.Index > l.state.Index || was != 0 && r.IndexTerm != 0 && was != r.IndexTerm || r.SeenFence > l.state.Fence || r.HeldGrant != nil && r.HeldGrant.Fence > l.state.Fence {
-		a := AdoptEntry{Member: name, NotifiedIndex: r.Index, Term: r.IndexTerm}
-		if r.HeldGrant != nil {
-			a.Grant = *r.HeldGrant
+	// The member knows of entries or fences that this log does not hold: the log has lost entries.
+	termHere := l.state.termAt(report.Index)
+	if report.Index > l.state.Index || termHere != 0 && report.IndexTerm != 0 && termHere != report.IndexTerm ||
+		report.SeenFence > l.state.Fence || report.HeldGrant != nil && report.HeldGrant.Fence > l.state.Fence {
+		adopt := AdoptEntry{Member: name, NotifiedIndex: report.Index, Term: report.IndexTerm}
+		if report.HeldGrant != nil {
+			adopt.Grant = *report.HeldGrant
 		}
-		a.Grant.Fence = max(a.Grant.Fence, r.SeenFence)
-		if r.HeldGrant == nil {
-			a.Grant.Stage, a.Grant.Kind = Proving, Release
+		adopt.Grant.Fence = max(adopt.Grant.Fence, report.SeenFence)
+		if report.HeldGrant == nil {
+			adopt.Grant.Stage, adopt.Grant.Kind = Proving, Release
 		}
-		known := seat.Grant != nil && seat.Grant.Fence >= a.Grant.Fence || r.HeldGrant == nil && a.Grant.Fence <= l.state.Fence
-		if !known || !l.state.LostPosition.covers(r.IndexTerm, r.Index) {
-			return reply, l.add(add, Entry{Adopt: &a}), nil
+		known := record.Grant != nil && record.Grant.Fence >= adopt.Grant.Fence || report.HeldGrant == nil && adopt.Grant.Fence <= l.state.Fence
+		if !known || !l.state.LostPosition.atOrAfter(report.IndexTerm, report.Index) {
+			return reply, l.add(entries, Entry{Adopt: &adopt}), nil
 		}
-		reply.Reset = true // all that it knows stands in this log, and operators were told
+		reply.Reset = true // all that the member knows is in this log again, and operators were notified
 	}
-	l.figures(r)
-	g := seat.Grant
-	fresh := h.stamp >= 0 && now-h.stamp <= l.cfg.MaxStaleness
+	l.recordStats(report)
+	grant := record.Grant
+	fresh := contact.asOf >= 0 && now-contact.asOf <= l.cfg.MaxStaleness
 	switch {
-	case g == nil:
-		for _, ro := range l.state.Rollouts {
-			if v := ro.Prior[name]; ro.Phase == RollingBack && l.state.Active(ro) && v != "" && v != r.Version && l.sure(now) == nil {
+	case grant == nil:
+		for _, rollout := range l.state.Rollouts {
+			if v := rollout.Prior[name]; rollout.Phase == RollingBack && l.state.Active(rollout) && v != "" && v != report.Version &&
+				l.checkAuthority(now) == nil {
 				reply.RestartVersion = v
 			}
 		}
-		return reply, add, nil
-	case r.HeldGrant != nil && r.HeldGrant.Fence == g.Fence:
-		if stage := stageOf(r.State); stage != g.Stage || clip(r.Failed) != seat.Failed {
-			add = l.add(add, Entry{Stage: &StageEntry{name, g.Fence, stage, clip(r.Failed)}})
-		}
-		// Who is out gets its order again: it may come back with another version, or at all.
-		reply.Order = &Order{g.Fence, g.Kind, g.Version, g.Kind == Drain && seat.Drain == ""}
-	case r.SeenFence >= g.Fence && r.State == InService && fresh:
-		add = l.add(add, Entry{Release: &ReleaseEntry{name, g.Fence, r.Version, clip(r.Failed)}})
-	case r.SeenFence < g.Fence && r.HeldGrant == nil:
-		reply.VoidFence, reply.Order, reply.Denied = l.hand(now, seat, h, fresh)
-	}
-	return reply, add, nil
-}
-
-// hand decides whether a member may begin the grant that the log has for it. Here,
-// and not when the grant came into the log, it is granted: what has been lost since
-// counts, and so does that others may lead by now.
-func (l *Leader) hand(now time.Duration, seat *MemberRecord, h *hearing, fresh bool) (void uint64, o *Order, denied string) {
-	g := seat.Grant
-	if err := l.sure(now); err != nil {
+		return reply, entries, nil
+	case report.HeldGrant != nil && report.HeldGrant.Fence == grant.Fence:
+		if stage := stageOf(report.State); stage != grant.Stage || truncate(report.Failed) != record.Failed {
+			entries = l.add(entries, Entry{Stage: &StageEntry{name, grant.Fence, stage, truncate(report.Failed)}})
+		}
+		// A member that is out gets its order again: its version may have changed, or its drain may have been lifted.
+		reply.Order = &Order{grant.Fence, grant.Kind, grant.Version, grant.Kind == Drain && record.Drain == ""}
+	case report.SeenFence >= grant.Fence && report.State == InService && fresh:
+		entries = l.add(entries, Entry{Release: &ReleaseEntry{name, grant.Fence, report.Version, truncate(report.Failed)}})
+	case report.SeenFence < grant.Fence && report.HeldGrant == nil:
+		reply.VoidFence, reply.Order, reply.Denied = l.offerGrant(now, record, contact, fresh)
+	}
+	return reply, entries, nil
+}
+
+// offerGrant decides whether a member may begin the grant that the log holds for it. The
+// decision is made here and not when the grant is logged: members lost since then count,
+// and another coordinator may lead by now.
+func (l *Leader) offerGrant(now time.Duration, record *MemberRecord, contact *memberContact, fresh bool) (
+	voidFence uint64, order *Order, denied string,
+) {
+	grant := record.Grant
+	if err := l.checkAuthority(now); err != nil {
 		return 0, nil, err.Error()
 	}
 	if !fresh {
-		return 0, nil, (&NotFresh{seat.Name, now - h.stamp}).Error()
+		return 0, nil, (&NotFresh{record.Name, now - contact.asOf}).Error()
 	}
-	if h.conflict > now {
-		return 0, nil, (&TwoAgents{seat.Name}).Error()
+	if contact.conflictUntil > now {
+		return 0, nil, (&TwoAgents{record.Name}).Error()
 	}
-	if h.report.State != InService {
-		return 0, nil, "the member does not serve"
+	if contact.report.State != InService {
+		return 0, nil, "the member is not in service"
 	}
-	if g.Kind == Drain && seat.Drain == "" || g.Kind == Release && !l.state.Active(l.state.Rollout(g.Rollout)) || l.state.Stop != nil {
-		return g.Fence, nil, "halted, or no longer wanted"
+	if grant.Kind == Drain && record.Drain == "" || grant.Kind == Release && !l.state.Active(l.state.Rollout(grant.Rollout)) ||
+		l.state.Stop != nil {
+		return grant.Fence, nil, "the rollout is halted or the grant is no longer wanted"
 	}
-	if g.Kind == Release && g.Version == h.report.Version {
-		return g.Fence, nil, "it has the version already"
+	if grant.Kind == Release && grant.Version == contact.report.Version {
+		return grant.Fence, nil, "the member runs the version already"
 	}
-	if err := l.ledger().Fits(seat.Member, true); err != nil {
-		return g.Fence, nil, err.Error()
+	if err := l.ledger().Fits(record.Member, true); err != nil {
+		return grant.Fence, nil, err.Error()
 	}
-	return 0, &Order{g.Fence, g.Kind, g.Version, false}, ""
+	return 0, &Order{grant.Fence, grant.Kind, grant.Version, false}, ""
 }
 
-func clip(s string) string { return s[:min(len(s), 300)] }
+func truncate(s string) string { return s[:min(len(s), 300)] }
 
 func stageOf(d ServiceState) Stage {
 	if d == Unproven || d == InService {
@@ -332,83 +339,83 @@
 	return Out
 }
 
-// hear notes a report.
-func (l *Leader) hear(r Report) *hearing {
-	h := l.heard[r.Member.Name]
-	if h == nil {
-		if len(l.heard) > 2*MaxMembers {
-			return &hearing{stamp: -1}
+// recordReport stores a report as the member's last one, unless a later one came first.
+func (l *Leader) recordReport(r Report) *memberContact {
+	contact := l.contacts[r.Member.Name]
+	if contact == nil {
+		if len(l.contacts) > 2*MaxMembers {
+			return &memberContact{asOf: -1}
 		}
-		h = &hearing{stamp: -1, report: r}
-		l.heard[r.Member.Name] = h
+		contact = &memberContact{asOf: -1, report: r}
+		l.contacts[r.Member.Name] = contact
 	}
 	switch {
-	case h.report.Incarnation != r.Incarnation:
-		if slices.Contains(h.earlier, r.Incarnation) {
-			h.conflict = l.now + 4*l.cfg.MaxStaleness // one that was thought to be over
+	case contact.report.Incarnation != r.Incarnation:
+		if slices.Contains(contact.earlierIncarnations, r.Incarnation) {
+			contact.conflictUntil = l.now + 4*l.cfg.MaxStaleness // a previous incarnation still reports
 		}
-		if h.earlier = append(h.earlier, h.report.Incarnation); len(h.earlier) > 4 {
-			h.earlier = h.earlier[1:]
+		if contact.earlierIncarnations = append(contact.earlierIncarnations, contact.report.Incarnation); len(contact.earlierIncarnations) > 4 {
+			contact.earlierIncarnations = contact.earlierIncarnations[1:]
 		}
-	case r.Seq < h.report.Seq:
-		return h // overtaken
+	case r.Seq < contact.report.Seq:
+		return contact // a later report came first
 	}
-	h.report = r
+	contact.report = r
 	if r.Stamp.Term == l.term && r.Stamp.At <= l.now {
-		h.stamp = max(h.stamp, r.Stamp.At)
+		contact.asOf = max(contact.asOf, r.Stamp.At)
 	}
-	return h
+	return contact
 }
 
-// figures notes what a member's program has done.
-func (l *Leader) figures(r Report) {
-	t := l.tracks[r.Member.Name]
-	if t == nil {
-		t = &track{zone: r.Member.Zone}
-		l.tracks[r.Member.Name] = t
+// recordStats adds a report's stats to the member's window.
+func (l *Leader) recordStats(r Report) {
+	window := l.windows[r.Member.Name]
+	if window == nil {
+		window = &statsWindow{zone: r.Member.Zone}
+		l.windows[r.Member.Name] = window
 	}
 	changed := false
-	for _, ro := range l.state.Rollouts {
-		if ro.Phase == InProgress && ro.covers(r.Member) {
-			changed = ro.Version == r.Version
+	for _, rollout := range l.state.Rollouts {
+		if rollout.Phase == InProgress && rollout.covers(r.Member) {
+			changed = rollout.Version == r.Version
 		}
 	}
-	t.record(l.now, r.Stats, changed, r.State == InService || r.State == Unproven)
+	window.record(l.now, r.Stats, changed, r.State == InService || r.State == Unproven)
 }
 
-// Tick decides what time alone brings: grants, waves, halts.
-func (l *Leader) Tick(now time.Duration) (add []Entry) {
+// Tick makes the decisions that depend on time: grants, waves, halts.
+func (l *Leader) Tick(now time.Duration) (entries []Entry) {
 	l.now = max(l.now, now)
-	if l.sure(now) != nil {
-		l.passed = -1
+	if l.checkAuthority(now) != nil {
+		l.overBudgetSince = -1
 		return nil
 	}
 	ledger := l.ledger()
-	lost := l.losses(ledger)
+	lost := l.excessLosses(ledger)
 	for _, r := range l.state.Rollouts {
 		if l.state.Active(r) {
-			add = l.watch(add, r, lost)
+			entries = l.monitor(entries, r, lost)
 		}
 	}
 	clear(l.denied)
 	if l.state.Stop != nil {
-		return add
+		return entries
 	}
-	give := func(seat *MemberRecord, g GrantEntry) {
-		if l.gone(seat.Name) != "" {
+	grant := func(record *MemberRecord, g GrantEntry) {
+		if l.outReason(record.Name) != "" {
 			return
 		}
-		if err := ledger.Fits(seat.Member, false); err != nil {
-			l.denied[seat.Name] = err
+		if err := ledger.Fits(record.Member, false); err != nil {
+			l.denied[record.Name] = err
 			return
 		}
-		ledger.Take(seat.Member)
-		add = l.add(add, Entry{Grant: &g})
+		ledger.Take(record.Member)
+		entries = l.add(entries, Entry{Grant: &g})
 	}
-	// Drains by hand first, then those that go back, then those that go on.
+	// Operators' drains first, then rollbacks, then rollouts in progress.
 	for _, name := range l.state.MemberNames() {
-		if seat := l.state.Members[name]; seat.Drain != "" && seat.Grant == nil {
-			give(seat, GrantEntry{Member: name, Kind: Drain})
+		if record := l.state.Members[name]; record.Drain != "" && record.Grant == nil {
+			grant(record, GrantEntry{Member: name, Kind: Drain})
 		}
 	}
 	for _, phase := range []Phase{RollingBack, InProgress} {
@@ -416,210 +423,212 @@
 			if r.Phase != phase || !l.state.Active(r) || l.pending["halt "+r.ID] {
 				continue
 			}
-			for _, name := range l.todo(r) {
-				if seat := l.state.Members[name]; seat.Grant == nil && seat.Drain == "" {
-					give(seat, GrantEntry{Member: name, Kind: Release, Version: r.target(name), Rollout: r.ID})
+			for _, name := range l.remaining(r) {
+				if record := l.state.Members[name]; record.Grant == nil && record.Drain == "" {
+					grant(record, GrantEntry{Member: name, Kind: Release, Version: r.targetVersion(name), Rollout: r.ID})
 				}
 			}
 		}
 	}
-	return add
+	return entries
 }
 
-// losses tells by which budget those that are lost are too many, for how long
-// they have been so, and who they are.
-func (l *Leader) losses(ledger *Ledger) *Lost {
+// excessLosses returns a budget that losses have exceeded for OverBudgetTimeout or longer,
+// for how long, and the lost members; nil if there is none.
+func (l *Leader) excessLosses(ledger *Ledger) *Lost {
 	over := ledger.Exceeded()
 	if len(over) == 0 {
-		l.passed = -1
+		l.overBudgetSince = -1
 		return nil
 	}
-	if l.passed < 0 {
-		l.passed = l.now
+	if l.overBudgetSince < 0 {
+		l.overBudgetSince = l.now
 	}
-	if l.now-l.passed < l.cfg.OverBudgetTimeout {
+	if l.now-l.overBudgetSince < l.cfg.OverBudgetTimeout {
 		return nil
 	}
-	lost := &Lost{OverBudget: over[0].Error(), Waited: l.now - l.passed}
+	lost := &Lost{OverBudget: over[0].Error(), Waited: l.now - l.overBudgetSince}
 	for _, name := range l.state.MemberNames() {
-		if l.state.Members[name].Grant == nil && l.gone(name) != "" && len(lost.LostMembers) < 20 {
+		if l.state.Members[name].Grant == nil && l.outReason(name) != "" && len(lost.LostMembers) < 20 {
 			lost.LostMembers = append(lost.LostMembers, name)
 		}
 	}
 	return lost
 }
 
-// order sorts the members that a rollout is for: by a hash of their names, so that
-// the first few are spread, and with ByZone a zone at a time.
-func (l *Leader) order(r *Rollout) []string {
-	w := l.watches[r.ID]
-	if w != nil && w.order != nil && w.crew == l.state.crew {
-		return w.order
+// memberOrder sorts the members of a rollout by a hash of their names, so that the first
+// few are spread over the fleet, and with ByZone one zone at a time.
+func (l *Leader) memberOrder(r *Rollout) []string {
+	mon := l.monitors[r.ID]
+	if mon != nil && mon.order != nil && mon.membershipVersion == l.state.membershipVersion {
+		return mon.order
 	}
-	type placed struct {
+	type position struct {
 		zone string
 		hash uint64
 		name string
 	}
-	var list []placed
-	for name, seat := range l.state.Members {
-		if !r.covers(seat.Member) {
+	var list []position
+	for name, record := range l.state.Members {
+		if !r.covers(record.Member) {
 			continue
 		}
-		h := fnv.New64a()
-		h.Write([]byte(r.ID + "\x00" + name))
-		p := placed{hash: h.Sum64(), name: name}
+		hasher := fnv.New64a()
+		hasher.Write([]byte(r.ID + "\x00" + name))
+		pos := position{hash: hasher.Sum64(), name: name}
 		if r.ByZone {
-			p.zone = seat.Zone
+			pos.zone = record.Zone
 		}
-		list = append(list, p)
+		list = append(list, pos)
 	}
-	slices.SortFunc(list, func(a, b placed) int {
+	slices.SortFunc(list, func(a, b position) int {
 		return cmp.Or(strings.Compare(a.zone, b.zone), cmp.Compare(a.hash, b.hash), strings.Compare(a.name, b.name))
 	})
 	names := make([]string, len(list))
-	for i, p := range list {
-		names[i] = p.name
+	for i, pos := range list {
+		names[i] = pos.name
 	}
-	if w != nil {
-		w.order, w.crew = names, l.state.crew
+	if mon != nil {
+		mon.order, mon.membershipVersion = names, l.state.membershipVersion
 	}
 	return names
 }
 
-// todo lists the members that the rollout, as far as its waves are, has still to change.
-func (l *Leader) todo(r *Rollout) (names []string) {
-	all := l.order(r)
+// remaining lists the members that the rollout still has to change, up to its current wave.
+func (l *Leader) remaining(r *Rollout) (names []string) {
+	all := l.memberOrder(r)
 	if r.Phase == InProgress {
-		all = all[:size(r.Waves[min(r.Wave, len(r.Waves)-1)], len(all))]
+		all = all[:waveSize(r.Waves[min(r.Wave, len(r.Waves)-1)], len(all))]
 	}
 	for _, name := range all {
-		want := r.target(name)
-		if want != "" && l.state.Members[name].Version != want {
+		target := r.targetVersion(name)
+		if target != "" && l.state.Members[name].Version != target {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// watch looks at one rollout: whether its wave is whole, what its gate says, and
-// whether it stands still.
-func (l *Leader) watch(add []Entry, r *Rollout, lost *Lost) []Entry {
-	w := l.watches[r.ID]
-	if w == nil || w.wave != r.Wave || w.turned != r.Phase {
-		w = &watch{judge: judge{gate: r.Gate, rollout: r.ID, waves: len(r.Waves)}, wave: r.Wave, turned: r.Phase, whole: -1, nextTold: l.now + l.cfg.WatchInterval}
-		l.watches[r.ID] = w
-		for _, name := range l.order(r) { // figures count from here on
-			if t := l.tracks[name]; t != nil {
-				t.older, t.mid = t.last, t.last
+// monitor checks one rollout: whether its wave is complete, what its gate says, and
+// whether it has stalled.
+func (l *Leader) monitor(entries []Entry, r *Rollout, lost *Lost) []Entry {
+	mon := l.monitors[r.ID]
+	if mon == nil || mon.wave != r.Wave || mon.phase != r.Phase {
+		mon = &rolloutMonitor{gateEvaluator: gateEvaluator{gate: r.Gate, rollout: r.ID, waves: len(r.Waves)},
+			wave: r.Wave, phase: r.Phase, completeSince: -1, nextWatchEntry: l.now + l.cfg.WatchInterval}
+		l.monitors[r.ID] = mon
+		for _, name := range l.memberOrder(r) { // stats count from here on
+			if window := l.windows[name]; window != nil {
+				window.start, window.nextStart = window.last, window.last
 			}
 		}
 	}
-	todo := map[string]bool{}
-	for _, name := range l.todo(r) {
-		todo[name] = true
+	remaining := map[string]bool{}
+	for _, name := range l.remaining(r) {
+		remaining[name] = true
 	}
-	w.waits = nil
-	busy := false // by a grant of this rollout
+	mon.waitingFor = nil
+	granted := false // a member holds a grant of this rollout
 	var changed, unchanged []delta
-	of := l.order(r)
-	w.of, w.done = len(of), 0
+	members := l.memberOrder(r)
+	mon.total, mon.done = len(members), 0
 	if r.Phase == RollingBack {
-		w.of = len(r.Prior)
-	}
-	inWave := size(r.Waves[min(r.Wave, len(r.Waves)-1)], len(of))
-	for i, name := range of {
-		seat := l.state.Members[name]
-		mine := seat.Grant != nil && seat.Grant.Rollout == r.ID
-		busy = busy || mine
-		why := l.gone(name)
-		if seat.Version == r.target(name) && !mine {
-			w.done++
-		}
-		if t := l.tracks[name]; t != nil && t.mayCompare && why == "" {
-			if t.changed {
-				changed = append(changed, t.delta())
+		mon.total = len(r.Prior)
+	}
+	inWave := waveSize(r.Waves[min(r.Wave, len(r.Waves)-1)], len(members))
+	for i, name := range members {
+		record := l.state.Members[name]
+		ownGrant := record.Grant != nil && record.Grant.Rollout == r.ID
+		granted = granted || ownGrant
+		reason := l.outReason(name)
+		if record.Version == r.targetVersion(name) && !ownGrant {
+			mon.done++
+		}
+		if window := l.windows[name]; window != nil && window.comparable && reason == "" {
+			if window.changed {
+				changed = append(changed, window.delta())
 			} else {
-				unchanged = append(unchanged, t.delta())
+				unchanged = append(unchanged, window.delta())
 			}
 		}
 		switch {
-		case todo[name] || mine:
+		case remaining[name] || ownGrant:
 			switch {
-			case seat.Failed != "":
-				why = (&CannotStart{name, cmp.Or(r.target(name), seat.Version), seat.Failed}).Error()
-			case seat.Drain != "":
-				why = "drained by " + seat.Drain
-			case why == "" && l.denied[name] != nil:
-				why = l.denied[name].Error()
+			case record.Failed != "":
+				reason = (&CannotStart{name, cmp.Or(r.targetVersion(name), record.Version), record.Failed}).Error()
+			case record.Drain != "":
+				reason = "drained by " + record.Drain
+			case reason == "" && l.denied[name] != nil:
+				reason = l.denied[name].Error()
 			}
-			if len(w.waits) < 20 {
-				w.waits = append(w.waits, strings.TrimSuffix(name+": "+why, ": "))
+			if len(mon.waitingFor) < 20 {
+				mon.waitingFor = append(mon.waitingFor, strings.TrimSuffix(name+": "+reason, ": "))
 			}
-		case r.Phase == InProgress && i < inWave && why != "":
-			if len(w.waits) < 20 {
-				w.waits = append(w.waits, name+": "+why) // changed, but not proven to serve
+		case r.Phase == InProgress && i < inWave && reason != "":
+			if len(mon.waitingFor) < 20 {
+				mon.waitingFor = append(mon.waitingFor, name+": "+reason) // changed, but not in service
 			}
 		}
-		if seat.Failed != "" && r.Phase == InProgress && (mine || todo[name]) {
-			add = l.add(add, Entry{Halt: NewHaltEntry(r.ID, &CannotStart{name, r.Version, seat.Failed})})
+		if record.Failed != "" && r.Phase == InProgress && (ownGrant || remaining[name]) {
+			entries = l.add(entries, Entry{Halt: NewHaltEntry(r.ID, &CannotStart{name, r.Version, record.Failed})})
 		}
 	}
-	if l.now >= w.nextTold {
-		w.nextTold = l.now + l.cfg.WatchInterval
-		add = l.add(add, Entry{Watch: &WatchEntry{r.ID, l.cfg.WatchInterval}})
+	if l.now >= mon.nextWatchEntry {
+		mon.nextWatchEntry = l.now + l.cfg.WatchInterval
+		entries = l.add(entries, Entry{Watch: &WatchEntry{r.ID, l.cfg.WatchInterval}})
 	}
 	if r.Phase == RollingBack {
-		if len(todo) == 0 && !busy {
-			return l.add(add, Entry{RolledBack: r.ID})
+		if len(remaining) == 0 && !granted {
+			return l.add(entries, Entry{RolledBack: r.ID})
 		}
 		if r.Idle > r.Gate.StallTimeout {
-			add = l.add(add, Entry{Halt: NewHaltEntry(r.ID, &Stalled{r.ID, r.Idle, w.waits})})
+			entries = l.add(entries, Entry{Halt: NewHaltEntry(r.ID, &Stalled{r.ID, r.Idle, mon.waitingFor})})
 		}
-		return add
+		return entries
 	}
 	if lost != nil {
-		return l.add(add, Entry{Halt: NewHaltEntry(r.ID, lost)})
+		return l.add(entries, Entry{Halt: NewHaltEntry(r.ID, lost)})
 	}
-	if len(w.waits) > 0 {
-		w.whole = -1
-	} else if w.whole < 0 {
-		w.whole = l.now
+	if len(mon.waitingFor) > 0 {
+		mon.completeSince = -1
+	} else if mon.completeSince < 0 {
+		mon.completeSince = l.now
 	}
-	if len(changed) > 0 && l.now >= w.nextLook {
-		w.nextLook = l.now + max(r.Gate.Soak/8, l.cfg.ReportInterval)
-		w.verdict = w.look(changed, unchanged)
-		if w.verdict.Insufficient == nil {
-			l.slide(r)
+	if len(changed) > 0 && l.now >= mon.nextEvaluation {
+		mon.nextEvaluation = l.now + max(r.Gate.Soak/8, l.cfg.ReportInterval)
+		mon.verdict = mon.evaluate(changed, unchanged)
+		if mon.verdict.Insufficient == nil {
+			l.slideWindows(r)
 		}
 	}
 	switch {
-	case w.verdict.Failure != nil:
-		add = l.add(add, Entry{Halt: NewHaltEntry(r.ID, w.verdict.Failure)})
-	case w.whole >= 0 && l.now-w.whole >= r.Gate.Soak && w.verdict.Insufficient == nil && w.nextLook > w.whole:
-		add = l.add(add, Entry{Advance: &AdvanceEntry{r.ID, r.Wave}})
+	case mon.verdict.Failure != nil:
+		entries = l.add(entries, Entry{Halt: NewHaltEntry(r.ID, mon.verdict.Failure)})
+	case mon.completeSince >= 0 && l.now-mon.completeSince >= r.Gate.Soak && mon.verdict.Insufficient == nil &&
+		mon.nextEvaluation > mon.completeSince:
+		entries = l.add(entries, Entry{Advance: &AdvanceEntry{r.ID, r.Wave}})
 	case r.Idle > r.Gate.StallTimeout:
-		var f Fault = &Stalled{r.ID, r.Idle, w.waits}
-		if few, ok := w.verdict.Insufficient.(*TooFew); ok && len(w.waits) == 0 {
+		var fault Fault = &Stalled{r.ID, r.Idle, mon.waitingFor}
+		if few, ok := mon.verdict.Insufficient.(*TooFew); ok && len(mon.waitingFor) == 0 {
 			few.Waited = r.Idle
-			f = few
+			fault = few
 		}
-		add = l.add(add, Entry{Halt: NewHaltEntry(r.ID, f)})
+		entries = l.add(entries, Entry{Halt: NewHaltEntry(r.ID, fault)})
 	}
-	return add
+	return entries
 }
 
-// slide moves the windows on from which figures are counted, once there is enough
-// in them: what a member does now must not drown in what it did long ago.
-func (l *Leader) slide(r *Rollout) {
-	for _, name := range l.order(r) {
-		if t := l.tracks[name]; t != nil && t.last.at-t.mid.at >= r.Gate.Soak/2 {
-			t.older, t.mid = t.mid, t.last
+// slideWindows moves the stats windows on once they hold enough, so that a member's current
+// behavior is not hidden by its past.
+func (l *Leader) slideWindows(r *Rollout) {
+	for _, name := range l.memberOrder(r) {
+		if window := l.windows[name]; window != nil && window.last.at-window.nextStart.at >= r.Gate.Soak/2 {
+			window.start, window.nextStart = window.nextStart, window.last
 		}
 	}
 }
 
-// MemberStatus is how a member stands.
+// MemberStatus is the status of a member.
 type MemberStatus struct {
 	Member
 	Version string       `json:"version"`
@@ -631,7 +640,7 @@
 	Grant   *Grant       `json:"grant,omitempty"`
 }
 
-// Progress tells how far a rollout has come.
+// Progress is the status of a rollout.
 type Progress struct {
 	ID         string        `json:"id"`
 	Version    string        `json:"version"`
@@ -639,16 +648,16 @@
 	Halt       *Halt         `json:"halt,omitempty"`
 	Wave       int           `json:"wave"` // from 1
 	Waves      int           `json:"waves"`
-	Done       int           `json:"done"` // members that have what they should have
+	Done       int           `json:"done"` // members that have their target version
 	Total      int           `json:"of"`
 	Gate       string        `json:"gate,omitempty"`
 	WaitingFor []string      `json:"waits,omitempty"`
 	Idle       time.Duration `json:"idle"`
 	Watched    time.Duration `json:"watched"`
-	TimeLeft   time.Duration `json:"left"` // a guess by the pace so far; 0 for none
+	TimeLeft   time.Duration `json:"left"` // estimate by the pace so far; 0 for none
 }
 
-// Status is how all stands, as the leader knows it.
+// Status is the status of the fleet as the leader knows it.
 type Status struct {
 	Index         uint64         `json:"index"`
 	Term          uint64         `json:"term"`
@@ -659,37 +668,38 @@
 	Members       []MemberStatus `json:"members"`
 }
 
-// Status tells how all stands.
+// Status returns the status of the fleet.
 func (l *Leader) Status(now time.Duration) Status {
 	l.now = max(l.now, now)
-	s := Status{Index: l.state.Index, Term: l.term, Stop: l.state.Stop, Budgets: l.ledger().Usage()}
-	if err := l.sure(now); err != nil {
-		s.GrantsBlocked = err.Error()
+	status := Status{Index: l.state.Index, Term: l.term, Stop: l.state.Stop, Budgets: l.ledger().Usage()}
+	if err := l.checkAuthority(now); err != nil {
+		status.GrantsBlocked = err.Error()
 	}
 	for _, r := range l.state.Rollouts {
-		rs := Progress{ID: r.ID, Version: r.Version, Phase: r.Phase, Halt: r.Halt, Wave: min(r.Wave+1, len(r.Waves)), Waves: len(r.Waves),
+		progress := Progress{ID: r.ID, Version: r.Version, Phase: r.Phase, Halt: r.Halt, Wave: min(r.Wave+1, len(r.Waves)), Waves: len(r.Waves),
 			Idle: r.Idle, Watched: r.Watched}
-		if w := l.watches[r.ID]; w != nil && !r.Phase.Ended() {
-			rs.Done, rs.Total, rs.WaitingFor = w.done, w.of, w.waits
+		if mon := l.monitors[r.ID]; mon != nil && !r.Phase.Ended() {
+			progress.Done, progress.Total, progress.WaitingFor = mon.done, mon.total, mon.waitingFor
 			if r.Phase == InProgress {
-				rs.Gate = w.verdict.String()
+				progress.Gate = mon.verdict.String()
 			}
-			if w.done > 0 && r.Watched > 0 {
-				rs.TimeLeft = time.Duration(float64(r.Watched) * float64(w.of-w.done) / float64(w.done))
+			if mon.done > 0 && r.Watched > 0 {
+				progress.TimeLeft = time.Duration(float64(r.Watched) * float64(mon.total-mon.done) / float64(mon.done))
 			}
 		}
-		s.Rollouts = append(s.Rollouts, rs)
+		status.Rollouts = append(status.Rollouts, progress)
 	}
 	for _, name := range l.state.MemberNames() {
-		seat := l.state.Members[name]
-		m := MemberStatus{Member: seat.Member, Version: seat.Version, Out: l.gone(name), Failed: seat.Failed, Drain: seat.Drain, Grant: seat.Grant}
-		if h := l.heard[name]; h != nil {
-			m.State = h.report.State
+		record := l.state.Members[name]
+		member := MemberStatus{Member: record.Member, Version: record.Version, Out: l.outReason(name),
+			Failed: record.Failed, Drain: record.Drain, Grant: record.Grant}
+		if contact := l.contacts[name]; contact != nil {
+			member.State = contact.report.State
 		}
 		if err := l.denied[name]; err != nil {
-			m.Denied = err.Error()
+			member.Denied = err.Error()
 		}
-		s.Members = append(s.Members, m)
+		status.Members = append(status.Members, member)
 	}
-	return s
+	return status
 }
--- a/rollout/member.go
+++ b/rollout/member.go
@@ -1,15 +1,15 @@
-// Package rollout decides who of a fleet may go out of service, when a release
-// goes on, when it halts and how it goes back. It has no I/O, no goroutine and no
-// clock: events and times come in, entries of a replicated log, replies and
-// actions go out, and the same events give the same decisions.
+// Package rollout decides which members of a fleet may go out of service, when a
+// release proceeds, when it halts and how it is rolled back. It has no I/O, no
+// goroutine and no clock: events and times are passed in, entries for a replicated
+// log, replies and actions are returned, and the same events give the same decisions.
 //
-// Its parts: State is what the log says, the same at every coordinator. Leader is
-// what the coordinator that leads decides by State and by what it hears. Agent is
-// what the agent beside one member does. Replica joins State and Leader to the
-// raft library.
+// State is the result of applying the log, the same at every coordinator. Leader
+// decides at the coordinator that leads, from State and the agents' reports. Agent
+// decides for the member that it runs beside. Package replica joins State and Leader
+// to the raft library.
 //
-// All times are durations since some zero of the process's own monotonic clock.
-// No two clocks are ever compared.
+// All times are durations since an arbitrary zero of the process's own monotonic clock.
+// The clocks of two processes are never compared.
 package rollout
 
 import (
@@ -19,31 +19,31 @@
 	"strings"
 )
 
-// Member is one thing that can be taken out of service: an ingress or a backend.
+// Member is an instance that can be taken out of service: an ingress or a backend.
 type Member struct {
 	Name   string  `json:"name"`
 	Role   string  `json:"role"`
 	Zone   string  `json:"zone,omitempty"`
 	Cell   string  `json:"cell,omitempty"`
-	Weight float64 `json:"weight"` // what it can carry, in any unit that its role shares
+	Weight float64 `json:"weight"` // capacity, in a unit that is the same for all members of the role
 }
 
-// Budget bounds how many members may be out at once.
+// Budget limits how many members may be out of service at once.
 type Budget struct {
 	Name    string  `json:"name" toml:"name"`
 	Role    string  `json:"role,omitempty" toml:"role"` // "" for every role
 	Zone    string  `json:"zone,omitempty" toml:"zone"` // "" for every zone
 	Cell    string  `json:"cell,omitempty" toml:"cell"`
-	GroupBy string  `json:"each,omitempty" toml:"each"`   // "zone" or "cell": a budget of its own for each one
-	MaxOut  int     `json:"most,omitempty" toml:"most"`   // members; 0 for no bound in number
-	Share   float64 `json:"share,omitempty" toml:"share"` // of the weights' sum; 0 for no bound in share
-	// ExpectedMembers is how many members there are, in each group. Who has never been heard stands in
-	// no log and would count for nothing: as many as are missing count as out. 0 for
-	// however many there are.
+	GroupBy string  `json:"each,omitempty" toml:"each"`   // "zone" or "cell": a separate limit for each one
+	MaxOut  int     `json:"most,omitempty" toml:"most"`   // members out; 0 for no limit on their number
+	Share   float64 `json:"share,omitempty" toml:"share"` // of the total weight, out; 0 for no limit on the share
+	// ExpectedMembers is the number of members in each group. A member that has never reported
+	// is not in the log and would not be counted: as many as are missing count as out. 0 for
+	// the number of members in the log.
 	ExpectedMembers int `json:"of,omitempty" toml:"of"`
 }
 
-// group tells whether the budget covers a member, and in which group of it.
+// group returns the budget's group that a member belongs to; false if the budget does not cover it.
 func (b Budget) group(m Member) (string, bool) {
 	if b.Role != "" && b.Role != m.Role || b.Zone != "" && b.Zone != m.Zone || b.Cell != "" && b.Cell != m.Cell {
 		return "", false
@@ -57,85 +57,86 @@
 	return "", true
 }
 
-// tally is what one group of one budget holds.
-type tally struct {
-	out               int
-	weight, all       float64
-	members           int
-	lightest, weighty float64
+// groupUsage is the usage of one group of one budget.
+type groupUsage struct {
+	out                    int
+	outWeight, totalWeight float64
+	members                int
+	minWeight, maxWeight   float64
 }
 
 // Ledger counts members against budgets.
 type Ledger struct {
 	budgets []Budget
-	groups  []map[string]*tally // by the budget's number
+	groups  []map[string]*groupUsage // by the budget's index
 }
 
-// NewLedger makes the ledger of members, where out tells who counts as out.
+// NewLedger returns the ledger of members; out tells which of them count as out.
 func NewLedger(budgets []Budget, members []Member, out func(name string) bool) *Ledger {
-	l := &Ledger{budgets: budgets, groups: make([]map[string]*tally, len(budgets))}
+	l := &Ledger{budgets: budgets, groups: make([]map[string]*groupUsage, len(budgets))}
 	for i := range budgets {
-		l.groups[i] = map[string]*tally{}
+		l.groups[i] = map[string]*groupUsage{}
 	}
 	for _, m := range members {
-		gone := out(m.Name)
+		isOut := out(m.Name)
 		for i, b := range budgets {
-			g, ok := b.group(m)
+			groupName, ok := b.group(m)
 			if !ok {
 				continue
 			}
-			t := l.groups[i][g]
-			if t == nil {
-				t = &tally{}
-				l.groups[i][g] = t
+			usage := l.groups[i][groupName]
+			if usage == nil {
+				usage = &groupUsage{}
+				l.groups[i][groupName] = usage
 			}
-			if t.members == 0 {
-				t.lightest = m.Weight
+			if usage.members == 0 {
+				usage.minWeight = m.Weight
 			}
-			t.lightest, t.weighty = min(t.lightest, m.Weight), max(t.weighty, m.Weight)
-			t.members++
-			t.all += m.Weight
-			if gone {
-				t.out++
-				t.weight += m.Weight
+			usage.minWeight, usage.maxWeight = min(usage.minWeight, m.Weight), max(usage.maxWeight, m.Weight)
+			usage.members++
+			usage.totalWeight += m.Weight
+			if isOut {
+				usage.out++
+				usage.outWeight += m.Weight
 			}
 		}
 	}
 	for i, b := range budgets {
-		for _, t := range l.groups[i] {
-			if missing := b.ExpectedMembers - t.members; missing > 0 {
-				t.out += missing
-				t.weight += float64(missing) * t.weighty // on the careful side both
-				t.all += float64(missing) * t.lightest
+		for _, usage := range l.groups[i] {
+			if missing := b.ExpectedMembers - usage.members; missing > 0 {
+				usage.out += missing
+				usage.outWeight += float64(missing) * usage.maxWeight // both err on the safe side
+				usage.totalWeight += float64(missing) * usage.minWeight
 			}
 		}
 	}
 	return l
 }
 
-// over tells by how much a group would pass its budget with more out.
-func (b Budget) over(t *tally, more int, weight float64) bool {
-	return b.MaxOut > 0 && t.out+more > b.MaxOut || b.Share > 0 && t.weight+weight > b.Share*t.all+1e-9
+// exceeds reports whether a group would exceed its budget with more members and weight out.
+func (b Budget) exceeds(t *groupUsage, more int, weight float64) bool {
+	return b.MaxOut > 0 && t.out+more > b.MaxOut || b.Share > 0 && t.outWeight+weight > b.Share*t.totalWeight+1e-9
 }
 
-// Fits tells whether one more member may be out; nil if so, else *OverBudget. A
-// member that counts as out already is asked for with counted.
+// Fits returns nil if one more member may be out, else *OverBudget. counted is set for a
+// member that counts as out already.
 func (l *Ledger) Fits(m Member, counted bool) error {
 	more, weight := 1, m.Weight
 	if counted {
 		more, weight = 0, 0
 	}
 	for i, b := range l.budgets {
-		g, ok := b.group(m)
+		groupName, ok := b.group(m)
 		if !ok {
 			continue
 		}
-		t := l.groups[i][g]
-		if t == nil {
-			t = &tally{all: m.Weight}
+		usage := l.groups[i][groupName]
+		if usage == nil {
+			usage = &groupUsage{totalWeight: m.Weight}
 		}
-		if b.over(t, more, weight) {
-			return &OverBudget{Budget: b.Name, Group: g, Member: m.Name, Out: t.out, MaxOut: b.MaxOut, Weight: t.weight, Allowed: b.Share * t.all}
+		if b.exceeds(usage, more, weight) {
+			return &OverBudget{Budget: b.Name, Group: groupName, Member: m.Name, Out: usage.out, MaxOut: b.MaxOut,
+				Weight: usage.outWeight, Allowed: b.Share * usage.totalWeight}
 		}
 	}
 	return nil
@@ -147,18 +148,19 @@
 		if g, ok := b.group(m); ok {
 			if t := l.groups[i][g]; t != nil {
 				t.out++
-				t.weight += m.Weight
+				t.outWeight += m.Weight
 			}
 		}
 	}
 }
 
-// Exceeded lists the groups that hold more than their budget allows.
+// Exceeded lists the groups that have more out than their budget allows.
 func (l *Ledger) Exceeded() (over []*OverBudget) {
 	for i, b := range l.budgets {
 		for g, t := range l.groups[i] {
-			if b.over(t, 0, 0) {
-				over = append(over, &OverBudget{Budget: b.Name, Group: g, Out: t.out, MaxOut: b.MaxOut, Weight: t.weight, Allowed: b.Share * t.all})
+			if b.exceeds(t, 0, 0) {
+				over = append(over, &OverBudget{Budget: b.Name, Group: g, Out: t.out, MaxOut: b.MaxOut,
+					Weight: t.outWeight, Allowed: b.Share * t.totalWeight})
 			}
 		}
 	}
@@ -168,7 +170,7 @@
 	return over
 }
 
-// BudgetUsage is what one group of a budget holds, for people to read.
+// BudgetUsage is the usage of one group of a budget, for status output.
 type BudgetUsage struct {
 	Budget  string  `json:"budget"`
 	Group   string  `json:"group,omitempty"`
@@ -179,13 +181,13 @@
 	Members int     `json:"of"`
 }
 
-// Usage lists all groups.
+// Usage lists the usage of all groups.
 func (l *Ledger) Usage() (use []BudgetUsage) {
 	for i, b := range l.budgets {
 		for g, t := range l.groups[i] {
 			w := 0.0
-			if t.all > 0 {
-				w = t.weight / t.all
+			if t.totalWeight > 0 {
+				w = t.outWeight / t.totalWeight
 			}
 			use = append(use, BudgetUsage{b.Name, g, t.out, b.MaxOut, w, b.Share, t.members})
 		}
@@ -196,30 +198,32 @@
 	return use
 }
 
-// check finds what is wrong with a member as an agent tells it.
+// check validates a member as an agent reports it.
 func (m Member) check() error {
 	for what, v := range map[string]string{"name": m.Name, "role": m.Role} {
-		if v == "" || len(v) > mostName {
-			return &BadRequest{fmt.Sprintf("a member's %s has 1 to %d characters, not %d", what, mostName, len(v))}
+		if v == "" || len(v) > maxNameLength {
+			return &BadRequest{fmt.Sprintf("a member's %s must have 1 to %d characters, not %d", what, maxNameLength, len(v))}
 		}
 	}
-	if len(m.Zone) > mostName || len(m.Cell) > mostName || !(m.Weight > 0 && m.Weight < 1e12) {
-		return &BadRequest{fmt.Sprintf("member %s: zone and cell have up to %d characters, and weight is above 0", m.Name, mostName)}
+	if len(m.Zone) > maxNameLength || len(m.Cell) > maxNameLength || !(m.Weight > 0 && m.Weight < 1e12) {
+		return &BadRequest{fmt.Sprintf("member %s: zone and cell must have up to %d characters, and weight must be above 0",
+			m.Name, maxNameLength)}
 	}
 	return nil
 }
 
-// Check finds what is wrong with budgets.
+// Check validates the budget.
 func (b Budget) Check() error {
 	switch {
 	case b.Name == "":
-		return &BadRequest{"a budget has a name"}
+		return &BadRequest{"a budget must have a name"}
 	case b.ExpectedMembers < 0 || b.MaxOut < 0 || b.Share < 0 || b.Share > 1 || b.MaxOut == 0 && b.Share == 0:
-		return &BadRequest{fmt.Sprintf("budget %s: most and of are numbers of members, share above 0 and up to 1, and one of most and share is there", b.Name)}
+		return &BadRequest{fmt.Sprintf("budget %s: most and of must be numbers of members, share above 0 and up to 1, and one of the two must be set",
+			b.Name)}
 	case b.GroupBy != "" && b.GroupBy != "zone" && b.GroupBy != "cell":
-		return &BadRequest{fmt.Sprintf("budget %s: each is zone or cell, not %q", b.Name, b.GroupBy)}
+		return &BadRequest{fmt.Sprintf("budget %s: each must be zone or cell, not %q", b.Name, b.GroupBy)}
 	}
 	return nil
 }
 
-const mostName = 100 // bytes of a name
+const maxNameLength = 100 // bytes
--- a/rollout/replica/errors.go
+++ b/rollout/replica/errors.go
@@ -6,10 +6,10 @@
 	"wickarch/rollout"
 )
 
-// Faults lists one of each error of this package.
+// Faults returns a value of each error type of this package.
 func Faults() []rollout.Fault { return []rollout.Fault{&LogBehind{}, &LogSplit{}} }
 
-// LogBehind tells that a coordinator's log holds less than it has acknowledged.
+// LogBehind reports that a coordinator's log holds less than it has acknowledged.
 type LogBehind struct {
 	ID   uint64
 	What string
@@ -19,20 +19,20 @@
 	return fmt.Sprintf("coordinator %d: its log is behind what it acknowledged: %s", e.ID, e.What)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *LogBehind) Remedy() string {
-	return "its disk is an older one: leave it stopped, start a new coordinator on an empty folder under a new number, and put it in this one's place (coordinator replace)"
+	return "its disk is an older one: leave it stopped, start a new coordinator with a new number on an empty folder, and replace this one by it (coordinator replace)"
 }
 
-// LogSplit tells that two coordinators hold different entries for decided: a
-// majority has forgotten what it acknowledged.
+// LogSplit reports that two coordinators have different entries committed: a majority
+// has lost what it acknowledged.
 type LogSplit struct{ ID, Leader, Index uint64 }
 
 func (e *LogSplit) Error() string {
-	return fmt.Sprintf("coordinator %d: entry %d was decided otherwise than coordinator %d, which leads, has it", e.ID, e.Index, e.Leader)
+	return fmt.Sprintf("coordinator %d: committed entry %d differs from that of coordinator %d, which leads", e.ID, e.Index, e.Leader)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *LogSplit) Remedy() string {
-	return "a coordinator was given an older disk while another was away: replace that one and this one by new coordinators, look at status for what is missing, and order it again"
+	return "a coordinator was given an older disk while another was down: replace that one and this one by new coordinators, check in status what is missing, and order it again"
 }
--- a/rollout/replica/replica.go
+++ b/rollout/replica/replica.go
@@ -1,12 +1,12 @@
 // Package replica is one coordinator as a state machine: the decisions of packages
 // rollout and distribution on the log of the raft library (go.etcd.io/raft). It has no
-// I/O of its own, no goroutine and no clock: time, messages, reports, questions and
-// orders come in, messages and answers go out, and what has to be kept goes to a Disk,
-// which keeps it before anything that rests on it is said.
+// I/O of its own, no goroutine and no clock: time, messages, reports, polls and orders
+// are passed in, messages and answers are returned, and a Disk persists the state before
+// anything that depends on it is sent.
 //
-// The library draws its election times from the system's random numbers. So that
-// a seed gives the same run again, elections are begun here, by a generator of our
-// own, and the library counts time only.
+// The library draws its election timeouts from the system's random numbers. So that a
+// seed reproduces a run, elections are started here, by a seeded generator, and the
+// library counts time only.
 package replica
 
 import (
@@ -27,49 +27,49 @@
 	"wickarch/rollout"
 )
 
-// Disk keeps what a coordinator must not forget.
+// Disk persists the state of a coordinator.
 type Disk interface {
-	// Save keeps all of it, or returns an error, upon which the coordinator stops.
-	// A nil part stays as it was. Entries take the place of all from the first
-	// one's index on. A snapshot, which came from another coordinator, takes the
-	// place of all entries.
+	// Save persists all arguments, or returns an error, upon which the coordinator
+	// stops. A nil argument leaves the stored one unchanged. Entries replace all from
+	// the first one's index on. A snapshot, which came from another coordinator,
+	// replaces all entries.
 	Save(state *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error
-	// Compact keeps a snapshot of our own in the place of the entries up to its index.
+	// Compact replaces the entries up to a snapshot's index by the snapshot, which this coordinator has made.
 	Compact(snapshot *pb.Snapshot) error
 }
 
-// Stored is what a disk holds.
+// Stored is the content of a disk.
 type Stored struct {
 	State    *pb.HardState
 	Entries  []*pb.Entry
 	Snapshot *pb.Snapshot
 }
 
-// Config is what one coordinator goes by.
+// Config configures one coordinator.
 type Config struct {
-	ID             uint64 // new with each new disk: an empty disk under an old number could vote twice
+	ID             uint64 // a new one for each new disk: with an empty disk, an old ID could vote twice in a term
 	Rollout        rollout.Config
-	PublishTiming  distribution.Timing // the zero value for the default
+	PublishTiming  distribution.Timing // zero for the default
 	TickInterval   time.Duration       // between calls of Tick
-	ElectionTicks  int                 // ticks without a leader before an election, at least; at most twice that
-	CompactAfter   uint64              // entries applied before a snapshot takes their place
+	ElectionTicks  int                 // minimum election timeout in ticks; the maximum is twice that
+	CompactAfter   uint64              // entries applied before a snapshot replaces them
 	DecideInterval time.Duration       // between decisions of the leader
 }
 
-// publishEvery is the time between two looks at whose question is due.
-const publishEvery = 50 * time.Millisecond
+// publishInterval is the time between two checks for polls that are due.
+const publishInterval = 50 * time.Millisecond
 
-// publish is the timing that the publisher goes by.
-func (c *Config) publish() distribution.Timing {
+// publisherTiming returns the timing of the publisher.
+func (c *Config) publisherTiming() distribution.Timing {
 	if c.PublishTiming == (distribution.Timing{}) {
 		return distribution.DefaultTiming()
 	}
 	return c.PublishTiming
 }
 
-const keepEntries = 100 // behind a snapshot, for those that are a little late
+const retainedEntries = 100 // kept before a snapshot, for coordinators that lag a little
 
-// Bootstrap is the disk of a new set of coordinators, by their numbers and addresses.
+// Bootstrap returns the initial disk content of a new set of coordinators, given their addresses by ID.
 func Bootstrap(peers map[uint64]string) (Stored, error) {
 	data, err := json.Marshal(snapshot{Peers: peers, State: rollout.NewState(), Catalog: distribution.NewCatalog()})
 	if err != nil {
@@ -91,18 +91,18 @@
 type snapshot struct {
 	Peers   map[uint64]string     `json:"peers"`
 	State   *rollout.State        `json:"state"`
-	Catalog *distribution.Catalog `json:"catalog,omitempty"` // nil in one of a build that had none
+	Catalog *distribution.Catalog `json:"catalog,omitempty"` // nil if a build without catalogs wrote it
 }
 
 // proposal is the data of an entry.
 type proposal struct {
 	From   uint64              `json:"from"`
-	N      uint64              `json:"n"`
+	Number uint64              `json:"n"`
 	Entry  rollout.Entry       `json:"entry"`
-	Config *distribution.Entry `json:"config,omitempty"` // in place of Entry
+	Config *distribution.Entry `json:"config,omitempty"` // instead of Entry
 }
 
-// Message is one to another coordinator.
+// Message is a message to another coordinator.
 type Message struct {
 	To   uint64
 	Data []byte
@@ -110,47 +110,48 @@
 
 // Replica is one coordinator.
 type Replica struct {
-	cfg   Config
-	disk  Disk
-	rng   *rand.Rand
-	node  *raft.RawNode
-	log   *raft.MemoryStorage
-	state *rollout.State
-	peers map[uint64]string
-	conf  *pb.ConfState
-
-	now         time.Duration
-	applied     uint64
-	snapped     uint64 // index of the last snapshot
-	silent      int    // ticks since a leader was heard or a vote given
-	patience    int    // ticks until an election is begun
-	leader      *rollout.Leader
-	catalog     *distribution.Catalog
-	publisher   *distribution.Publisher // nil while this one does not lead
-	held        map[string]question     // by follower
-	published   uint64                  // index of the catalog that questions were answered by
-	nextPublish time.Duration
-	term        uint64 // of leader and publisher
-	leads       bool   // by the library's word
-	nextDecide  time.Duration
-	asked       time.Duration // when the majority was last asked who leads
-	n           uint64
-	waiting     map[uint64]func(error) // orders, by the number of their proposal
-	out         []Message
-	err         error
-}
-
-// question is one of a follower that is held.
-type question struct {
+	cfg       Config
+	disk      Disk
+	rng       *rand.Rand
+	node      *raft.RawNode
+	log       *raft.MemoryStorage
+	state     *rollout.State
+	peers     map[uint64]string
+	confState *pb.ConfState
+
+	now             time.Duration
+	applied         uint64
+	snapshotIndex   uint64 // index of the last snapshot
+	leaderlessTicks int    // ticks since the last message of a leader or vote for a candidate
+	electionTimeout int    // leaderlessTicks that start an election
+	leader          *rollout.Leader
+	catalog         *distribution.Catalog
+	publisher       *distribution.Publisher // nil unless this coordinator leads
+	heldPolls       map[string]heldPoll     // by follower
+	publishedIndex  uint64                  // catalog index by which polls were last answered
+	nextPublishAt   time.Duration
+	term            uint64 // of leader and publisher
+	raftLeader      bool   // according to the library
+	nextDecideAt    time.Duration
+	readIndexAt     time.Duration // when leadership was last checked with the majority
+	lastProposal    uint64
+	pendingOrders   map[uint64]func(error) // callbacks of orders, by the number of their proposal
+	outbox          []Message
+	err             error
+}
+
+// heldPoll is a follower's poll that is held until there is something new.
+type heldPoll struct {
 	number uint64
 	answer func(distribution.Reply, error)
 }
 
-// New starts a coordinator on what its disk holds. With nothing on it, it waits
-// until the others take it in.
+// New starts a coordinator from the content of its disk. With an empty one, it waits
+// until the other coordinators add it.
 func New(cfg Config, stored Stored, disk Disk, seed uint64, now time.Duration) (*Replica, error) {
 	r := &Replica{cfg: cfg, disk: disk, rng: rand.New(rand.NewPCG(seed, cfg.ID)), log: raft.NewMemoryStorage(), state: rollout.NewState(),
-		catalog: distribution.NewCatalog(), held: map[string]question{}, peers: map[uint64]string{}, conf: &pb.ConfState{}, now: now, waiting: map[uint64]func(error){}}
+		catalog: distribution.NewCatalog(), heldPolls: map[string]heldPoll{}, peers: map[uint64]string{},
+		confState: &pb.ConfState{}, now: now, pendingOrders: map[uint64]func(error){}}
 	if s := stored.Snapshot; s != nil {
 		if err := r.restore(s); err != nil {
 			return nil, err
@@ -169,49 +170,49 @@
 			return nil, fmt.Errorf("replica: %w", err)
 		}
 	}
-	err := r.guard(func() error {
+	err := r.recoverPanics(func() error {
 		var err error
-		r.node, err = raft.NewRawNode(&raft.Config{ID: cfg.ID, ElectionTick: cfg.ElectionTicks, HeartbeatTick: 1, Storage: r.log, Applied: r.applied,
-			MaxSizePerMsg: 256 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 4 << 20, CheckQuorum: true, PreVote: true,
-			DisableProposalForwarding: true, Logger: raftlog.Silent{}}) // what its lines would tell stands in Status
+		r.node, err = raft.NewRawNode(&raft.Config{ID: cfg.ID, ElectionTick: cfg.ElectionTicks, HeartbeatTick: 1, Storage: r.log,
+			Applied: r.applied, MaxSizePerMsg: 256 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 4 << 20, CheckQuorum: true, PreVote: true,
+			DisableProposalForwarding: true, Logger: raftlog.Silent{}}) // Status tells what its log lines would
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	r.restless()
+	r.resetElectionTimer()
 	return r, nil
 }
 
-// restless draws anew how long this coordinator bears having no leader.
-func (r *Replica) restless() {
-	r.silent, r.patience = 0, r.cfg.ElectionTicks+r.rng.IntN(r.cfg.ElectionTicks)
+// resetElectionTimer restarts the election timer with a new random timeout.
+func (r *Replica) resetElectionTimer() {
+	r.leaderlessTicks, r.electionTimeout = 0, r.cfg.ElectionTicks+r.rng.IntN(r.cfg.ElectionTicks)
 }
 
 func (r *Replica) restore(s *pb.Snapshot) error {
 	var data snapshot
 	if err := json.Unmarshal(s.GetData(), &data); err != nil || data.State == nil {
-		return fmt.Errorf("replica: a snapshot that can't be read: %w", err)
+		return fmt.Errorf("replica: cannot decode snapshot: %w", err)
 	}
 	if data.Catalog == nil {
 		data.Catalog = distribution.NewCatalog()
 	}
 	if err := data.Catalog.Verify(); err != nil {
-		return fmt.Errorf("replica: a snapshot that can't be used: %w", err)
+		return fmt.Errorf("replica: invalid snapshot: %w", err)
 	}
 	r.catalog = data.Catalog
-	r.state, r.peers, r.conf = data.State, data.Peers, s.GetMetadata().GetConfState()
+	r.state, r.peers, r.confState = data.State, data.Peers, s.GetMetadata().GetConfState()
 	if r.state.Members == nil {
 		r.state.Members = map[string]*rollout.MemberRecord{}
 	}
 	r.applied = s.GetMetadata().GetIndex()
-	r.snapped = r.applied
+	r.snapshotIndex = r.applied
 	return nil
 }
 
-// guard turns the library's panics into an error: it panics where its log holds
-// less than it has acknowledged, which is what an older disk looks like.
-func (r *Replica) guard(f func() error) (err error) {
+// recoverPanics runs f and turns the library's panics into an error: the library panics if
+// its log holds less than it has acknowledged, as with an older disk.
+func (r *Replica) recoverPanics(f func() error) (err error) {
 	if r.err != nil {
 		return r.err
 	}
@@ -225,87 +226,87 @@
 	return f()
 }
 
-// Err is why this coordinator has stopped; nil while it has not.
+// Err returns why this coordinator has stopped; nil while it runs.
 func (r *Replica) Err() error { return r.err }
 
-// TakeMessages hands out the messages to send.
+// TakeMessages returns the messages to send, and removes them.
 func (r *Replica) TakeMessages() []Message {
-	out := r.out
-	r.out = nil
+	out := r.outbox
+	r.outbox = nil
 	return out
 }
 
-// Peers are the coordinators' addresses by their numbers.
+// Peers returns the coordinators' addresses by ID.
 func (r *Replica) Peers() map[uint64]string { return r.peers }
 
-// Voters are the coordinators of which a majority decides; during a replacement
+// Voters returns the coordinators of which a majority decides; during a replacement
 // there are two sets, and a majority of each is needed.
 func (r *Replica) Voters() (now, before []uint64) {
-	return r.conf.GetVoters(), r.conf.GetVotersOutgoing()
+	return r.confState.GetVoters(), r.confState.GetVotersOutgoing()
 }
 
-// State is what the log says, for reading.
+// State returns the replicated state, for reading.
 func (r *Replica) State() *rollout.State { return r.state }
 
-// LeaderID tells who leads, as far as this coordinator knows; 0 for nobody.
+// LeaderID returns the coordinator that leads, as far as this one knows; 0 for none.
 func (r *Replica) LeaderID() uint64 { return r.node.BasicStatus().Lead }
 
-// IsLeader tells whether this coordinator decides.
+// IsLeader reports whether this coordinator makes the decisions.
 func (r *Replica) IsLeader() bool { return r.leader != nil && r.err == nil }
 
-// Term is the library's term.
+// Term returns the library's term.
 func (r *Replica) Term() uint64 { return r.node.BasicStatus().GetTerm() }
 
-// Tick counts time: it is called once each Config.Tick, and after a pause once only.
+// Tick advances time: it is called once each Config.TickInterval, and only once after a pause.
 func (r *Replica) Tick(now time.Duration) error {
 	r.now = max(r.now, now)
-	return r.guard(func() error {
-		if r.leads {
+	return r.recoverPanics(func() error {
+		if r.raftLeader {
 			r.node.Tick()
-			if r.leader != nil && r.now-r.asked >= r.cfg.DecideInterval {
-				r.asked = r.now
+			if r.leader != nil && r.now-r.readIndexAt >= r.cfg.DecideInterval {
+				r.readIndexAt = r.now
 				r.node.ReadIndex(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, r.term), uint64(r.now)))
 			}
 		} else {
-			// Counting only: see the package's comment. The method is marked as one to go; a
-			// release without it is not taken before elections can be seeded in another way.
+			// This only counts time: see the package comment. The method is deprecated; a release
+			// without it must not be adopted before elections can be seeded in another way.
 			r.node.TickQuiesced() //nolint:staticcheck
-			if r.silent++; r.silent >= r.patience {
-				r.restless()
+			if r.leaderlessTicks++; r.leaderlessTicks >= r.electionTimeout {
+				r.resetElectionTimer()
 				if err := r.node.Campaign(); err != nil {
 					return err
 				}
 			}
 		}
-		if r.leader != nil && r.now >= r.nextDecide {
-			r.nextDecide = r.now + r.cfg.DecideInterval
-			r.propose(r.leader.Tick(r.now))
+		if r.leader != nil && r.now >= r.nextDecideAt {
+			r.nextDecideAt = r.now + r.cfg.DecideInterval
+			r.proposeAll(r.leader.Tick(r.now))
 		}
-		if err := r.work(); err != nil {
+		if err := r.processReady(); err != nil {
 			return err
 		}
 		return r.publish()
 	})
 }
 
-// Step takes a message of another coordinator.
+// Step handles a message of another coordinator.
 func (r *Replica) Step(now time.Duration, data []byte) error {
 	r.now = max(r.now, now)
 	var m pb.Message
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return &rollout.BadRequest{What: "a message that can't be read: " + err.Error()}
+		return &rollout.BadRequest{What: "cannot decode message: " + err.Error()}
 	}
 	if m.GetTo() != r.cfg.ID {
-		return nil // to one whose place, and address, this one has taken
+		return nil // to a coordinator that this one has replaced, at the same address
 	}
-	return r.guard(func() error {
+	return r.recoverPanics(func() error {
 		switch m.GetType() {
 		case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
 			if m.GetTerm() < r.Term() {
-				break // of one that leads no longer, and does not know it
+				break // from a former leader that does not know yet that it is one
 			}
-			r.silent = 0
-			if err := r.split(&m); err != nil {
+			r.leaderlessTicks = 0
+			if err := r.checkDivergence(&m); err != nil {
 				r.err = err
 				r.stepDown("this coordinator has stopped")
 				return err
@@ -314,16 +315,16 @@
 		if err := r.node.Step(&m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrStepLocalMsg) {
 			return &rollout.BadRequest{What: err.Error()}
 		}
-		if err := r.work(); err != nil {
+		if err := r.processReady(); err != nil {
 			return err
 		}
 		return r.publish()
 	})
 }
 
-// split looks whether a leader's entries differ from what is committed here. The
-// library takes that as impossible, and goes on in circles.
-func (r *Replica) split(m *pb.Message) error {
+// checkDivergence checks whether a leader's entries differ from what is committed here. The
+// library assumes that this is impossible, and retries without end.
+func (r *Replica) checkDivergence(m *pb.Message) error {
 	committed := r.node.BasicStatus().GetCommit()
 	differs := func(index, term uint64) bool {
 		have, err := r.log.Term(index)
@@ -342,10 +343,10 @@
 	return nil
 }
 
-// Report takes an agent's report.
+// Report handles an agent's report.
 func (r *Replica) Report(now time.Duration, report rollout.Report) (reply rollout.Reply, err error) {
 	r.now = max(r.now, now)
-	err = r.guard(func() error {
+	err = r.recoverPanics(func() error {
 		if r.leader == nil {
 			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
@@ -354,51 +355,51 @@
 		if refused != nil {
 			return refused
 		}
-		r.propose(add)
-		return r.work()
+		r.proposeAll(add)
+		return r.processReady()
 	})
 	return reply, err
 }
 
-// Order takes an operator's order. done is called once it has been applied, or
-// with *rollout.Undecided when that can't be told any more.
+// Order proposes an operator's order. done is called once it is applied, or with
+// *rollout.Undecided when that can no longer be known.
 func (r *Replica) Order(now time.Duration, e rollout.Entry, done func(error)) {
 	r.now = max(r.now, now)
-	err := r.guard(func() error {
+	err := r.recoverPanics(func() error {
 		if r.leader == nil {
 			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
-		n := r.n + 1
-		r.waiting[n] = done
-		if err := r.put(e); err != nil {
-			delete(r.waiting, n)
+		n := r.lastProposal + 1
+		r.pendingOrders[n] = done
+		if err := r.proposeEntry(e); err != nil {
+			delete(r.pendingOrders, n)
 			return err
 		}
-		return r.work()
+		return r.processReady()
 	})
 	if err != nil {
 		done(err)
 	}
 }
 
-// Poll takes a follower's question. answer is called once, at once or when there is something
-// new, or when the question's time is over; with *rollout.NotLeader where another leads.
-func (r *Replica) Poll(now time.Duration, q distribution.Poll, answer func(distribution.Reply, error)) {
+// Poll handles a follower's poll. answer is called once: immediately, when there is something
+// new, or when the poll times out; with *rollout.NotLeader if this coordinator does not lead.
+func (r *Replica) Poll(now time.Duration, poll distribution.Poll, answer func(distribution.Reply, error)) {
 	r.now = max(r.now, now)
-	err := r.guard(func() error {
+	err := r.recoverPanics(func() error {
 		if r.publisher == nil {
 			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
-		reply, held, err := r.publisher.Poll(r.now, q)
+		reply, hold, err := r.publisher.Poll(r.now, poll)
 		if err != nil {
 			return err
 		}
-		if before, any := r.held[q.Follower]; any && (held || before.number < q.Number) {
-			delete(r.held, q.Follower)
-			before.answer(distribution.Reply{Newest: r.catalog.Version}, nil)
+		if previous, ok := r.heldPolls[poll.Follower]; ok && (hold || previous.number < poll.Number) {
+			delete(r.heldPolls, poll.Follower)
+			previous.answer(distribution.Reply{Newest: r.catalog.Version}, nil)
 		}
-		if held {
-			r.held[q.Follower] = question{q.Number, answer}
+		if hold {
+			r.heldPolls[poll.Follower] = heldPoll{poll.Number, answer}
 		} else {
 			answer(reply, nil)
 		}
@@ -409,54 +410,54 @@
 	}
 }
 
-// publish does what the publisher has ready: entries for the log, and answers to followers.
-// Most of the time there is nothing, and to look for it takes a step a follower.
+// publish handles what the publisher has ready: entries for the log, and answers to followers.
+// Usually there is nothing, and to check for it takes one step per follower.
 func (r *Replica) publish() error {
 	if r.publisher == nil {
 		return nil
 	}
-	waits := r.catalog.Settled < r.catalog.Version
-	if waits || r.now >= r.nextPublish {
+	unsettled := r.catalog.Settled < r.catalog.Version
+	if unsettled || r.now >= r.nextPublishAt {
 		for _, e := range r.publisher.Tick(r.now) {
-			_ = r.putProposal(proposal{Config: &e}) // dropped, it is made again
+			_ = r.propose(proposal{Config: &e}) // if dropped, the publisher makes it again
 		}
-		if err := r.work(); err != nil || r.publisher == nil {
+		if err := r.processReady(); err != nil || r.publisher == nil {
 			return err
 		}
 	}
-	if r.catalog.Index == r.published && r.now < r.nextPublish {
+	if r.catalog.Index == r.publishedIndex && r.now < r.nextPublishAt {
 		return nil
 	}
-	r.published, r.nextPublish = r.catalog.Index, r.now+publishEvery
-	for _, a := range r.publisher.Due(r.now) {
-		if q, any := r.held[a.Follower]; any && q.number == a.Number {
-			delete(r.held, a.Follower)
-			q.answer(a.Reply, nil)
+	r.publishedIndex, r.nextPublishAt = r.catalog.Index, r.now+publishInterval
+	for _, due := range r.publisher.Due(r.now) {
+		if poll, ok := r.heldPolls[due.Follower]; ok && poll.number == due.Number {
+			delete(r.heldPolls, due.Follower)
+			poll.answer(due.Reply, nil)
 		}
 	}
 	return nil
 }
 
-// Configure takes an operator's change of configuration. done is called once it has been
-// applied, or with *rollout.Undecided when that can't be told any more.
+// Configure proposes an operator's change of configuration. done is called once it is
+// applied, or with *rollout.Undecided when that can no longer be known.
 func (r *Replica) Configure(now time.Duration, e distribution.Entry, done func(error)) {
 	r.now = max(r.now, now)
-	err := r.guard(func() error {
+	err := r.recoverPanics(func() error {
 		if r.publisher == nil {
 			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
 		if e.Forget != "" {
-			if ago, ever := r.publisher.Heard(r.now, e.Forget); ever && ago < r.cfg.publish().Lease {
+			if ago, ever := r.publisher.Heard(r.now, e.Forget); ever && ago < r.cfg.publisherTiming().Lease {
 				return &distribution.StillThere{Follower: e.Forget, Heard: ago}
 			}
 		}
-		n := r.n + 1
-		r.waiting[n] = done
-		if err := r.putProposal(proposal{Config: &e}); err != nil {
-			delete(r.waiting, n)
+		n := r.lastProposal + 1
+		r.pendingOrders[n] = done
+		if err := r.propose(proposal{Config: &e}); err != nil {
+			delete(r.pendingOrders, n)
 			return err
 		}
-		if err := r.work(); err != nil {
+		if err := r.processReady(); err != nil {
 			return err
 		}
 		return r.publish()
@@ -466,7 +467,7 @@
 	}
 }
 
-// Catalog is what the log says of configuration, for reading, by the coordinator that leads.
+// Catalog returns the replicated configuration, for reading, if this coordinator leads.
 func (r *Replica) Catalog() (*distribution.Catalog, error) {
 	if r.err != nil {
 		return nil, r.err
@@ -477,7 +478,7 @@
 	return r.catalog, nil
 }
 
-// ConfigStatus tells where which version is in force, by the leader.
+// ConfigStatus returns which configuration version is in force where, if this coordinator leads.
 func (r *Replica) ConfigStatus(now time.Duration) (distribution.Status, error) {
 	if _, err := r.Catalog(); err != nil {
 		return distribution.Status{}, err
@@ -485,29 +486,31 @@
 	return r.publisher.Status(now), nil
 }
 
-// Replace puts a new coordinator in the place of an old one.
-func (r *Replica) Replace(now time.Duration, old, new uint64, address string) error {
+// Replace replaces an old coordinator by a new one.
+func (r *Replica) Replace(now time.Duration, oldID, newID uint64, address string) error {
 	r.now = max(r.now, now)
-	return r.guard(func() error {
+	return r.recoverPanics(func() error {
 		if r.leader == nil {
 			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
-		if _, there := r.peers[new]; there || r.peers[old] == "" || new == 0 {
-			return &rollout.BadRequest{What: fmt.Sprintf("%d is a coordinator that is there and %d one that is not", old, new)}
+		if _, exists := r.peers[newID]; exists || r.peers[oldID] == "" || newID == 0 {
+			return &rollout.BadRequest{What: fmt.Sprintf("old coordinator %d must exist, and new coordinator %d must be above 0 and not exist yet",
+				oldID, newID)}
 		}
-		context, err := json.Marshal(map[uint64]string{new: address})
+		context, err := json.Marshal(map[uint64]string{newID: address})
 		if err != nil {
 			return err
 		}
 		if err := r.node.ProposeConfChange(&pb.ConfChangeV2{Context: context, Changes: []*pb.ConfChangeSingle{
-			{Type: pb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(new)}, {Type: pb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(old)}}}); err != nil {
+			{Type: pb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(newID)},
+			{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(oldID)}}}); err != nil {
 			return &rollout.Undecided{Why: err.Error()}
 		}
-		return r.work()
+		return r.processReady()
 	})
 }
 
-// Status is how all stands, by the leader.
+// Status returns the status of the fleet, if this coordinator leads.
 func (r *Replica) Status(now time.Duration) (rollout.Status, error) {
 	r.now = max(r.now, now)
 	if r.err != nil {
@@ -519,19 +522,19 @@
 	return r.leader.Status(r.now), nil
 }
 
-func (r *Replica) propose(entries []rollout.Entry) {
+func (r *Replica) proposeAll(entries []rollout.Entry) {
 	for _, e := range entries {
-		if r.put(e) != nil {
-			r.leader.Applied(e) // dropped: it may be tried again
+		if r.proposeEntry(e) != nil {
+			r.leader.Applied(e) // dropped: it may be proposed again
 		}
 	}
 }
 
-func (r *Replica) put(e rollout.Entry) error { return r.putProposal(proposal{Entry: e}) }
+func (r *Replica) proposeEntry(e rollout.Entry) error { return r.propose(proposal{Entry: e}) }
 
-func (r *Replica) putProposal(p proposal) error {
-	r.n++
-	p.From, p.N = r.cfg.ID, r.n
+func (r *Replica) propose(p proposal) error {
+	r.lastProposal++
+	p.From, p.Number = r.cfg.ID, r.lastProposal
 	data, err := json.Marshal(p)
 	if err != nil {
 		return err
@@ -542,8 +545,8 @@
 	return nil
 }
 
-// work does what the library has ready: keeps, sends, applies.
-func (r *Replica) work() error {
+// processReady handles what the library has ready: it persists before it sends and applies.
+func (r *Replica) processReady() error {
 	for r.node.HasReady() {
 		ready := r.node.Ready()
 		var snap *pb.Snapshot
@@ -574,7 +577,7 @@
 			}
 		}
 		if s := ready.SoftState; s != nil {
-			if r.leads = s.RaftState == raft.StateLeader; !r.leads {
+			if r.raftLeader = s.RaftState == raft.StateLeader; !r.raftLeader {
 				r.stepDown("another coordinator leads")
 			}
 		}
@@ -597,7 +600,7 @@
 		}
 		r.node.Advance(ready)
 	}
-	if r.applied-r.snapped >= r.cfg.CompactAfter {
+	if r.applied-r.snapshotIndex >= r.cfg.CompactAfter {
 		return r.compact()
 	}
 	return nil
@@ -605,15 +608,15 @@
 
 func (r *Replica) send(m *pb.Message) error {
 	if (m.GetType() == pb.MsgVoteResp || m.GetType() == pb.MsgPreVoteResp) && !m.GetReject() {
-		r.silent = 0
+		r.leaderlessTicks = 0
 	}
 	data, err := proto.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("replica: %w", err)
 	}
-	r.out = append(r.out, Message{m.GetTo(), data})
+	r.outbox = append(r.outbox, Message{m.GetTo(), data})
 	if m.GetType() == pb.MsgSnap {
-		// Whether it comes is found out by probing, as with any other message.
+		// Whether it arrives is found out by probing, as with any other message.
 		r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 	return nil
@@ -622,12 +625,12 @@
 func (r *Replica) apply(e *pb.Entry) error {
 	r.applied = e.GetIndex()
 	r.state.RecordTerm(e.GetTerm(), r.applied)
-	if r.leads && r.leader == nil && e.GetTerm() == r.Term() {
-		// All of earlier terms has been applied: from here on this one decides.
+	if r.raftLeader && r.leader == nil && e.GetTerm() == r.Term() {
+		// All entries of earlier terms are applied: from here on this coordinator decides.
 		r.term = e.GetTerm()
 		r.leader = rollout.NewLeader(r.cfg.Rollout, r.state, r.term, r.now)
-		r.publisher = distribution.NewPublisher(r.cfg.publish(), r.catalog, r.now)
-		r.nextDecide, r.asked = r.now, r.now-r.cfg.DecideInterval
+		r.publisher = distribution.NewPublisher(r.cfg.publisherTiming(), r.catalog, r.now)
+		r.nextDecideAt, r.readIndexAt = r.now, r.now-r.cfg.DecideInterval
 	}
 	switch e.GetType() {
 	case pb.EntryConfChange, pb.EntryConfChangeV2:
@@ -649,20 +652,20 @@
 			r.leader.Applied(p.Entry)
 		}
 	}
-	if done := r.waiting[p.N]; done != nil && p.From == r.cfg.ID && r.leader != nil && e.GetTerm() == r.term {
-		delete(r.waiting, p.N)
+	if done := r.pendingOrders[p.Number]; done != nil && p.From == r.cfg.ID && r.leader != nil && e.GetTerm() == r.term {
+		delete(r.pendingOrders, p.Number)
 		done(err)
 	}
 	return nil
 }
 
-// applyConfChange applies a change of the coordinators' set.
+// applyConfChange applies a change of the set of coordinators.
 func (r *Replica) applyConfChange(e *pb.Entry) error {
 	var change pb.ConfChangeV2
 	if err := proto.Unmarshal(e.GetData(), &change); err != nil {
 		return fmt.Errorf("replica: entry %d: %w", r.applied, err)
 	}
-	r.conf = r.node.ApplyConfChange(&change)
+	r.confState = r.node.ApplyConfChange(&change)
 	var added map[uint64]string
 	if len(change.GetContext()) > 0 {
 		if err := json.Unmarshal(change.GetContext(), &added); err != nil {
@@ -672,36 +675,36 @@
 	for id, address := range added {
 		r.peers[id] = address
 	}
-	if len(r.conf.GetVotersOutgoing()) == 0 {
+	if len(r.confState.GetVotersOutgoing()) == 0 {
 		for id := range r.peers {
-			if !slices.Contains(r.conf.GetVoters(), id) {
+			if !slices.Contains(r.confState.GetVoters(), id) {
 				delete(r.peers, id)
 			}
 		}
 	}
-	// One that is new can start only from a snapshot that knows it.
+	// A new coordinator can start only from a snapshot that lists it.
 	return r.compact()
 }
 
-func (r *Replica) stepDown(why string) {
-	r.leader, r.publisher, r.leads = nil, nil, false
-	for follower, q := range r.held {
-		delete(r.held, follower)
-		q.answer(distribution.Reply{}, &rollout.NotLeader{Leader: r.LeaderID()})
+func (r *Replica) stepDown(reason string) {
+	r.leader, r.publisher, r.raftLeader = nil, nil, false
+	for follower, poll := range r.heldPolls {
+		delete(r.heldPolls, follower)
+		poll.answer(distribution.Reply{}, &rollout.NotLeader{Leader: r.LeaderID()})
 	}
-	for n, done := range r.waiting {
-		delete(r.waiting, n)
-		done(&rollout.Undecided{Why: why})
+	for n, done := range r.pendingOrders {
+		delete(r.pendingOrders, n)
+		done(&rollout.Undecided{Why: reason})
 	}
 }
 
-// compact puts a snapshot in the place of the entries before it.
+// compact replaces the applied entries by a snapshot.
 func (r *Replica) compact() error {
 	data, err := json.Marshal(snapshot{r.peers, r.state, r.catalog})
 	if err != nil {
 		return fmt.Errorf("replica: %w", err)
 	}
-	snap, err := r.log.CreateSnapshot(r.applied, r.conf, data)
+	snap, err := r.log.CreateSnapshot(r.applied, r.confState, data)
 	if errors.Is(err, raft.ErrSnapOutOfDate) {
 		return nil
 	}
@@ -713,9 +716,9 @@
 		r.stepDown("this coordinator has stopped")
 		return err
 	}
-	r.snapped = r.applied
-	if r.applied > keepEntries {
-		if err := r.log.Compact(r.applied - keepEntries); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	r.snapshotIndex = r.applied
+	if r.applied > retainedEntries {
+		if err := r.log.Compact(r.applied - retainedEntries); err != nil && !errors.Is(err, raft.ErrCompacted) {
 			return fmt.Errorf("replica: %w", err)
 		}
 	}
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -10,81 +10,81 @@
 	"time"
 )
 
-// Bounds on what the log keeps.
+// Limits on what the state holds.
 const (
-	MaxMembers   = 20_000
-	mostOpen     = 16  // rollouts that have not ended
-	mostEnded    = 16  // rollouts that have, kept to be looked at
-	mostRequests = 256 // operators' requests remembered, so that one sent again counts once
+	MaxMembers       = 20_000
+	maxOpenRollouts  = 16  // rollouts that have not ended
+	maxEndedRollouts = 16  // rollouts that have ended, kept for status
+	maxRequests      = 256 // operators' requests kept, so that a repeated one is applied once
 )
 
-// Kind is what a grant lets a member do.
+// Kind is the purpose of a grant.
 type Kind string
 
 // The kinds of grant.
 const (
-	Release Kind = "release" // go out, come back with another version
+	Release Kind = "release" // go out and come back with another version
 	Drain   Kind = "drain"   // go out and stay out until the drain is lifted
 )
 
-// Stage is how far a member with a grant is, as the log has it.
+// Stage is a member's progress under its grant, as the log has it.
 type Stage string
 
 // The stages of a grant.
 const (
-	Reserved Stage = "reserved" // it may have been told, and may be about to go out
-	Out      Stage = "out"      // it has begun
-	Proving  Stage = "proving"  // it is back, and not proven yet
+	Reserved Stage = "reserved" // the member may have been notified, and may be about to go out
+	Out      Stage = "out"      // the member has begun to go out
+	Proving  Stage = "proving"  // the member is back, and not proven yet
 )
 
-// Grant is the right of one member to be out: a lease with a fencing number. It
-// counts against all budgets from when it is in the log until its member, or an
-// operator who forgets the member, gives it back. No clock ends it.
+// Grant is the right of one member to be out: a lease with a fencing token. It counts
+// against all budgets from when it is in the log until its member returns it or an
+// operator forgets the member. It does not expire.
 type Grant struct {
 	Fence   uint64 `json:"fence"`
 	Kind    Kind   `json:"kind"`
 	Stage   Stage  `json:"stage"`
-	Version string `json:"version,omitempty"` // to come back with; "" for the one it has
+	Version string `json:"version,omitempty"` // to come back with; "" for the current one
 	Rollout string `json:"rollout,omitempty"`
 }
 
-// MemberRecord is what the log has of a member.
+// MemberRecord is what the state holds of a member.
 type MemberRecord struct {
 	Member
-	Version string `json:"version"`          // what it served last, as it told
-	Grant   *Grant `json:"grant,omitempty"`  // nil while it holds none
-	Drain   string `json:"drain,omitempty"`  // who wants it out; "" for nobody
-	Failed  string `json:"failed,omitempty"` // why it does not start what it should
+	Version string `json:"version"`          // last version that it reported in service
+	Grant   *Grant `json:"grant,omitempty"`  // nil if it holds none
+	Drain   string `json:"drain,omitempty"`  // the operator who drains it; "" for none
+	Failed  string `json:"failed,omitempty"` // why it fails to start its version
 }
 
-// Phase is where a rollout stands.
+// Phase is the phase of a rollout.
 type Phase string
 
-// The phases of a rollout. Beside them it may be halted.
+// The phases of a rollout. One that has not ended may be halted as well.
 const (
-	Waiting     Phase = "waiting" // for the one it comes after
+	Waiting     Phase = "waiting" // for the rollout that it comes after
 	InProgress  Phase = "going"
-	RollingBack Phase = "back" // on its way back
+	RollingBack Phase = "back" // members return to their prior versions
 	Done        Phase = "done"
-	RolledBack  Phase = "undone" // all that could has gone back
+	RolledBack  Phase = "undone" // every member that could has returned to its prior version
 )
 
-// Ended tells whether nothing more comes of it.
+// Ended reports whether the rollout is over.
 func (p Phase) Ended() bool { return p == Done || p == RolledBack }
 
-// Spec is a rollout as an operator orders it.
+// Spec is a rollout as ordered by an operator.
 type Spec struct {
 	ID      string    `json:"id"`
 	Role    string    `json:"role"`
 	Zones   []string  `json:"zones,omitempty"` // nil for all
 	Version string    `json:"version"`
-	After   string    `json:"after,omitempty"` // a rollout that has to be done before
-	Waves   []float64 `json:"waves"`           // members changed after each wave: a number from 1, or a share below 1; the last is All
+	After   string    `json:"after,omitempty"` // a rollout that must be done first
+	Waves   []float64 `json:"waves"`           // members changed by the end of each wave: a number from 1, a share below 1, or AllMembers
 	ByZone  bool      `json:"by_zone,omitempty"`
 	Gate    Gate      `json:"gate"`
 }
 
-// Halt is why a rollout stands. It holds until an operator lifts this very one.
+// Halt is why a rollout is halted. It stays until an operator lifts this particular halt.
 type Halt struct {
 	Number uint64 `json:"number"` // of the log entry that set it
 	Kind   string `json:"kind"`
@@ -92,18 +92,18 @@
 	Remedy string `json:"remedy"`
 }
 
-// Rollout is one release on its way through the fleet.
+// Rollout is the rollout of one release through the fleet.
 type Rollout struct {
 	Spec
 	Phase   Phase             `json:"phase"`
 	Halt    *Halt             `json:"halt,omitempty"`
 	Wave    int               `json:"wave"`  // from 0
-	Prior   map[string]string `json:"prior"` // the version of each member that it touched, before
-	Idle    time.Duration     `json:"idle"`  // without progress, as leaders watched it
+	Prior   map[string]string `json:"prior"` // the version that each member had before the rollout granted it a change
+	Idle    time.Duration     `json:"idle"`  // time without progress while a leader watched
 	Watched time.Duration     `json:"watched"`
 }
 
-// State is what the log says.
+// State is the result of applying the log.
 type State struct {
 	Index        uint64                   `json:"index"` // of the last entry applied
 	Fence        uint64                   `json:"fence"`
@@ -111,39 +111,39 @@
 	Rollouts     []*Rollout               `json:"rollouts"` // in the order in which they were started
 	Stop         *Halt                    `json:"stop,omitempty"`
 	Requests     []Request                `json:"requests"` // the last ones, oldest first
-	LostPosition LogPosition              `json:"lost_to"`  // the last place that a member was told of in a log that is gone
-	Terms        []LogPosition            `json:"terms"`    // in which term each entry was written, as runs, oldest first
+	LostPosition LogPosition              `json:"lost_to"`  // the last position in a lost log that a member was notified of
+	Terms        []LogPosition            `json:"terms"`    // the term of each entry, as runs, oldest first
 
-	names []string // of the members, in order; nil after one has come or gone
-	crew  uint64   // counts those changes
+	names             []string // of the members, sorted; nil after a change
+	membershipVersion uint64   // counts the changes of members
 }
 
-// LogPosition tells from which entry on a term's entries stand in the log.
+// LogPosition is a position in the log. In State.Terms it is that of a term's first entry.
 type LogPosition struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
 }
 
-// covers tells whether a place comes no later.
-func (t LogPosition) covers(term, index uint64) bool {
+// atOrAfter reports whether the position is the given one or a later one.
+func (t LogPosition) atOrAfter(term, index uint64) bool {
 	return term < t.Term || term == t.Term && index <= t.Index
 }
 
-const mostTerms = 128
+const maxTerms = 128
 
-// RecordTerm tells the term of an entry that is applied, empty ones among them. A place
-// in the log and its term name one entry for good: by them a log is known that has
-// lost what it had, and has grown again since.
+// RecordTerm records the term of an applied entry, also of an empty one. An index and its
+// term identify one entry for good: they reveal a log that has lost entries and has grown
+// again since.
 func (s *State) RecordTerm(term, index uint64) {
 	if n := len(s.Terms); n == 0 || s.Terms[n-1].Term < term {
 		s.Terms = append(s.Terms, LogPosition{term, index})
-		if n >= mostTerms {
-			s.Terms = slices.Delete(s.Terms, 0, n+1-mostTerms)
+		if n >= maxTerms {
+			s.Terms = slices.Delete(s.Terms, 0, n+1-maxTerms)
 		}
 	}
 }
 
-// termAt is the term of an entry that has been applied; 0 if it is not known any more.
+// termAt returns the term of an applied entry; 0 if it is no longer known.
 func (s *State) termAt(index uint64) (term uint64) {
 	for _, t := range s.Terms {
 		if t.Index > index {
@@ -154,38 +154,38 @@
 	return term
 }
 
-// Request is an operator's order that has been applied, and what came of it.
+// Request is an operator's order that was applied, with its result.
 type Request struct {
 	ID  string       `json:"id"`
 	Err *RemoteError `json:"err,omitempty"`
 }
 
-// NewState is the state of an empty log.
+// NewState returns the state of an empty log.
 func NewState() *State { return &State{Members: map[string]*MemberRecord{}} }
 
-// Entry is one entry of the log. One of its fields but Request is set.
+// Entry is one entry of the log. One field is set besides Request and By.
 type Entry struct {
-	Request string `json:"request,omitempty"` // an operator's, so that it counts once
+	Request string `json:"request,omitempty"` // ID of an operator's request, to apply it once
 	By      string `json:"by,omitempty"`
 
-	Join       *MemberRecord `json:"join,omitempty"`    // a member is there, or has changed
+	Join       *MemberRecord `json:"join,omitempty"`    // a member is new, or has changed
 	Grant      *GrantEntry   `json:"grant,omitempty"`   // a member may go out
-	Stage      *StageEntry   `json:"stage,omitempty"`   // how far it is
-	Release    *ReleaseEntry `json:"release,omitempty"` // it is back and proven, or did not go
-	Adopt      *AdoptEntry   `json:"adopt,omitempty"`   // it holds a grant that the log has forgotten
-	Forget     string        `json:"forget,omitempty"`  // it will not come back
+	Stage      *StageEntry   `json:"stage,omitempty"`   // a member's progress under its grant
+	Release    *ReleaseEntry `json:"release,omitempty"` // a member is back and proven, or did not go out
+	Adopt      *AdoptEntry   `json:"adopt,omitempty"`   // a member holds a grant that the log has lost
+	Forget     string        `json:"forget,omitempty"`  // a member that will not come back
 	Start      *Spec         `json:"start,omitempty"`
-	Advance    *AdvanceEntry `json:"advance,omitempty"` // a wave was judged well
+	Advance    *AdvanceEntry `json:"advance,omitempty"` // a wave has passed its gate
 	Halt       *HaltEntry    `json:"halt,omitempty"`
 	Resume     *ResumeEntry  `json:"resume,omitempty"`
-	Rollback   string        `json:"back,omitempty"` // a rollout that goes back
+	Rollback   string        `json:"back,omitempty"` // a rollout to roll back
 	RolledBack string        `json:"undone,omitempty"`
 	Watch      *WatchEntry   `json:"watch,omitempty"`
-	Drain      string        `json:"drain,omitempty"` // a member that an operator wants out
+	Drain      string        `json:"drain,omitempty"` // a member to drain
 	Undrain    string        `json:"undrain,omitempty"`
 }
 
-// The parts of entries.
+// The payloads of entries.
 type (
 	// GrantEntry gives a member a grant.
 	GrantEntry struct {
@@ -194,33 +194,33 @@
 		Version string `json:"version,omitempty"`
 		Rollout string `json:"rollout,omitempty"`
 	}
-	// StageEntry tells how far a grant's member is.
+	// StageEntry updates the stage of a grant.
 	StageEntry struct {
 		Member string `json:"member"`
 		Fence  uint64 `json:"fence"`
 		Stage  Stage  `json:"stage"`
 		Failed string `json:"failed,omitempty"`
 	}
-	// ReleaseEntry gives a grant back.
+	// ReleaseEntry returns a grant.
 	ReleaseEntry struct {
 		Member  string `json:"member"`
 		Fence   uint64 `json:"fence"`
 		Version string `json:"version"`
 		Failed  string `json:"failed,omitempty"`
 	}
-	// AdoptEntry takes a grant into the log that its member holds.
+	// AdoptEntry adds a grant to the log that its member holds already.
 	AdoptEntry struct {
 		Member        string `json:"member"`
 		Grant         Grant  `json:"grant"`
-		NotifiedIndex uint64 `json:"told"` // place and term of the last entry that it was told of
+		NotifiedIndex uint64 `json:"told"` // index and term of the last entry that the member was notified of
 		Term          uint64 `json:"term"`
 	}
-	// AdvanceEntry is a wave of a rollout.
+	// AdvanceEntry ends a wave of a rollout.
 	AdvanceEntry struct {
 		Rollout string `json:"rollout"`
 		Wave    int    `json:"wave"`
 	}
-	// HaltEntry halts a rollout, or with no name all that is granted.
+	// HaltEntry halts a rollout, or all grants if it names none.
 	HaltEntry struct {
 		Rollout string `json:"rollout"`
 		Kind    string `json:"kind"`
@@ -230,22 +230,22 @@
 	// ResumeEntry lifts one halt.
 	ResumeEntry struct {
 		Rollout string `json:"rollout"`
-		Number  uint64 `json:"number"` // 0 for whichever it is
+		Number  uint64 `json:"number"` // 0 for any
 	}
-	// WatchEntry tells that a rollout was watched for so long.
+	// WatchEntry adds to the time for which a rollout was watched.
 	WatchEntry struct {
 		Rollout string        `json:"rollout"`
 		Elapsed time.Duration `json:"for"`
 	}
 )
 
-// NewHaltEntry makes the entry that halts a rollout for a fault.
-func NewHaltEntry(rollout string, f Fault) *HaltEntry {
-	t := ToRemoteError(f)
-	return &HaltEntry{rollout, t.Kind, t.Text, t.Advice}
+// NewHaltEntry returns the entry that halts a rollout for a fault.
+func NewHaltEntry(rollout string, fault Fault) *HaltEntry {
+	remote := ToRemoteError(fault)
+	return &HaltEntry{rollout, remote.Kind, remote.Text, remote.Advice}
 }
 
-// Rollout finds a rollout by name; nil if there is none.
+// Rollout returns the rollout of a name; nil if there is none.
 func (s *State) Rollout(id string) *Rollout {
 	for _, r := range s.Rollouts {
 		if r.ID == id {
@@ -255,7 +255,7 @@
 	return nil
 }
 
-// MemberNames lists the members in order of their names.
+// MemberNames lists the names of the members, sorted.
 func (s *State) MemberNames() []string {
 	if s.names == nil {
 		s.names = slices.Sorted(maps.Keys(s.Members))
@@ -263,13 +263,13 @@
 	return s.names
 }
 
-// changed notes that members have come, gone or moved.
-func (s *State) changed() {
+// membersChanged notes that members were added, removed or changed.
+func (s *State) membersChanged() {
 	s.names = nil
-	s.crew++
+	s.membershipVersion++
 }
 
-// MemberList lists the members in order of their names.
+// MemberList lists the members, sorted by name.
 func (s *State) MemberList() []Member {
 	list := make([]Member, 0, len(s.Members))
 	for _, name := range s.MemberNames() {
@@ -278,26 +278,26 @@
 	return list
 }
 
-// covers tells whether a rollout is for a member.
+// covers reports whether the rollout includes a member.
 func (r *Rollout) covers(m Member) bool {
 	return r.Role == m.Role && (len(r.Zones) == 0 || slices.Contains(r.Zones, m.Zone))
 }
 
-// target is the version that a rollout wants a member to have; "" for none.
-func (r *Rollout) target(name string) string {
+// targetVersion returns the version that the rollout wants a member to have; "" for none.
+func (r *Rollout) targetVersion(name string) string {
 	if r.Phase == RollingBack || r.Phase == RolledBack {
 		return r.Prior[name]
 	}
 	return r.Version
 }
 
-// Active tells whether the rollout may send members out now.
+// Active reports whether the rollout may take members out of service now.
 func (s *State) Active(r *Rollout) bool {
 	return s.Stop == nil && r != nil && r.Halt == nil && (r.Phase == InProgress || r.Phase == RollingBack)
 }
 
-// Apply applies one entry with its place in the log. The error is why it changed
-// nothing. The same entries give the same state everywhere.
+// Apply applies one entry at its index in the log. The error is why it changed
+// nothing. The same entries give the same state at every coordinator.
 func (s *State) Apply(index uint64, e Entry) error {
 	if index <= s.Index {
 		return nil
@@ -307,7 +307,7 @@
 		return s.apply(index, e)
 	}
 	for _, done := range s.Requests {
-		if done.ID == e.Request { // sent again: it counts once, and gets the same answer
+		if done.ID == e.Request { // sent again: it is not applied again, and gets the same answer
 			if done.Err != nil {
 				return done.Err
 			}
@@ -316,8 +316,8 @@
 	}
 	err := s.apply(index, e)
 	s.Requests = append(s.Requests, Request{e.Request, ToRemoteError(err)})
-	if len(s.Requests) > mostRequests {
-		s.Requests = slices.Delete(s.Requests, 0, len(s.Requests)-mostRequests)
+	if len(s.Requests) > maxRequests {
+		s.Requests = slices.Delete(s.Requests, 0, len(s.Requests)-maxRequests)
 	}
 	return err
 }
@@ -329,11 +329,11 @@
 	case e.Grant != nil:
 		return s.grant(*e.Grant)
 	case e.Stage != nil:
-		seat := s.Members[e.Stage.Member]
-		if seat == nil || seat.Grant == nil || seat.Grant.Fence != e.Stage.Fence {
-			return &StaleOrder{"the grant is another one by now"}
+		record := s.Members[e.Stage.Member]
+		if record == nil || record.Grant == nil || record.Grant.Fence != e.Stage.Fence {
+			return &StaleOrder{"the grant of the member has changed"}
 		}
-		seat.Grant.Stage, seat.Failed = e.Stage.Stage, e.Stage.Failed
+		record.Grant.Stage, record.Failed = e.Stage.Stage, e.Stage.Failed
 	case e.Release != nil:
 		return s.release(*e.Release)
 	case e.Adopt != nil:
@@ -343,7 +343,7 @@
 			return &Unknown{"member", e.Forget}
 		}
 		delete(s.Members, e.Forget)
-		s.changed()
+		s.membersChanged()
 	case e.Start != nil:
 		return s.start(*e.Start)
 	case e.Advance != nil:
@@ -353,14 +353,14 @@
 	case e.Resume != nil:
 		return s.resume(*e.Resume)
 	case e.Rollback != "":
-		return s.back(e.Rollback)
+		return s.rollBack(e.Rollback)
 	case e.RolledBack != "":
 		r := s.Rollout(e.RolledBack)
 		if !s.Active(r) || r.Phase != RollingBack {
-			return &StaleOrder{"the rollout is not going back"}
+			return &StaleOrder{"the rollout is not rolling back"}
 		}
 		r.Phase = RolledBack
-		s.trim()
+		s.trimEnded()
 	case e.Watch != nil:
 		if r := s.Rollout(e.Watch.Rollout); s.Active(r) {
 			r.Idle += e.Watch.Elapsed
@@ -380,81 +380,81 @@
 	return nil
 }
 
-func (s *State) join(j MemberRecord) error {
-	if err := j.Member.check(); err != nil {
+func (s *State) join(joining MemberRecord) error {
+	if err := joining.Member.check(); err != nil {
 		return err
 	}
-	seat := s.Members[j.Name]
-	if seat == nil {
+	record := s.Members[joining.Name]
+	if record == nil {
 		if len(s.Members) >= MaxMembers {
 			return &Full{"members", MaxMembers}
 		}
-		seat = &MemberRecord{}
-		s.Members[j.Name] = seat
+		record = &MemberRecord{}
+		s.Members[joining.Name] = record
 	}
-	if seat.Member != j.Member {
-		s.changed()
+	if record.Member != joining.Member {
+		s.membersChanged()
 	}
-	seat.Member, seat.Version, seat.Failed = j.Member, j.Version, j.Failed
+	record.Member, record.Version, record.Failed = joining.Member, joining.Version, joining.Failed
 	return nil
 }
 
 func (s *State) grant(g GrantEntry) error {
-	seat := s.Members[g.Member]
+	record := s.Members[g.Member]
 	switch {
-	case seat == nil:
+	case record == nil:
 		return &Unknown{"member", g.Member}
-	case seat.Grant != nil:
-		return &StaleOrder{"the member holds a grant already"}
+	case record.Grant != nil:
+		return &StaleOrder{"the member already holds a grant"}
 	case s.Stop != nil:
 		return &StaleOrder{"everything is stopped: " + s.Stop.Text}
-	case g.Kind == Drain && seat.Drain == "":
-		return &StaleOrder{"nobody wants the member out any more"}
+	case g.Kind == Drain && record.Drain == "":
+		return &StaleOrder{"the member is no longer to be drained"}
 	}
 	if g.Kind == Release {
-		// A halt, or a turn back, that came into the log before the grant goes before it.
+		// A halt or a rollback that was logged before the grant takes precedence.
 		r := s.Rollout(g.Rollout)
-		if !s.Active(r) || r.target(g.Member) != g.Version {
-			return &StaleOrder{"the rollout has been halted, has ended or has turned"}
+		if !s.Active(r) || r.targetVersion(g.Member) != g.Version {
+			return &StaleOrder{"the rollout is halted, has ended or is rolling back"}
 		}
 		if r.Phase == InProgress {
 			if _, touched := r.Prior[g.Member]; !touched {
-				r.Prior[g.Member] = seat.Version
+				r.Prior[g.Member] = record.Version
 			}
 		}
 	}
 	s.Fence++
-	seat.Failed = ""
-	seat.Grant = &Grant{Fence: s.Fence, Kind: g.Kind, Stage: Reserved, Version: g.Version, Rollout: g.Rollout}
+	record.Failed = ""
+	record.Grant = &Grant{Fence: s.Fence, Kind: g.Kind, Stage: Reserved, Version: g.Version, Rollout: g.Rollout}
 	return nil
 }
 
 func (s *State) release(e ReleaseEntry) error {
-	seat := s.Members[e.Member]
-	if seat == nil || seat.Grant == nil || seat.Grant.Fence != e.Fence {
-		return &StaleOrder{"the grant is another one by now"}
+	record := s.Members[e.Member]
+	if record == nil || record.Grant == nil || record.Grant.Fence != e.Fence {
+		return &StaleOrder{"the grant of the member has changed"}
 	}
-	if r := s.Rollout(seat.Grant.Rollout); r != nil {
+	if r := s.Rollout(record.Grant.Rollout); r != nil {
 		r.Idle = 0
 	}
-	seat.Grant, seat.Version, seat.Failed = nil, e.Version, e.Failed
+	record.Grant, record.Version, record.Failed = nil, e.Version, e.Failed
 	return nil
 }
 
-// adopt takes in what a member holds and the log has forgotten: what is out stays
-// counted, and nothing is granted until an operator has looked.
+// adopt adds the grant that a member holds and the log has lost: a member that is out
+// stays counted, and nothing is granted until an operator lifts the stop.
 func (s *State) adopt(index uint64, a AdoptEntry) error {
-	seat := s.Members[a.Member]
-	if seat == nil {
+	record := s.Members[a.Member]
+	if record == nil {
 		return &Unknown{"member", a.Member}
 	}
 	s.Fence = max(s.Fence, a.Grant.Fence)
-	if !s.LostPosition.covers(a.Term, a.NotifiedIndex) {
+	if !s.LostPosition.atOrAfter(a.Term, a.NotifiedIndex) {
 		s.LostPosition = LogPosition{a.Term, a.NotifiedIndex}
 	}
-	if a.Grant.Fence > 0 && (seat.Grant == nil || seat.Grant.Fence < a.Grant.Fence) {
+	if a.Grant.Fence > 0 && (record.Grant == nil || record.Grant.Fence < a.Grant.Fence) {
 		g := a.Grant
-		seat.Grant = &g
+		record.Grant = &g
 	}
 	if s.Stop == nil {
 		h := NewHaltEntry("", &LogWentBack{Member: a.Member, NotifiedIndex: a.NotifiedIndex, LogIndex: index})
@@ -468,30 +468,30 @@
 		return err
 	}
 	if s.Rollout(spec.ID) != nil {
-		return &BadRequest{fmt.Sprintf("there is a rollout %s already", spec.ID)}
+		return &BadRequest{fmt.Sprintf("there is already a rollout %s", spec.ID)}
 	}
 	r := &Rollout{Spec: spec, Phase: InProgress, Prior: map[string]string{}}
-	open := 0
+	openCount := 0
 	for _, other := range s.Rollouts {
 		if other.Phase.Ended() {
 			continue
 		}
-		open++
-		if other.Role == r.Role && other.ID != r.After && !s.behind(other, r.After) && overlap(other.Zones, r.Zones) {
+		openCount++
+		if other.Role == r.Role && other.ID != r.After && !s.precedes(other, r.After) && overlap(other.Zones, r.Zones) {
 			return &Overlap{other.ID}
 		}
 	}
-	if open >= mostOpen {
-		return &Full{"rollouts that have not ended", mostOpen}
+	if openCount >= maxOpenRollouts {
+		return &Full{"rollouts that have not ended", maxOpenRollouts}
 	}
 	if r.After != "" {
-		before := s.Rollout(r.After)
+		predecessor := s.Rollout(r.After)
 		switch {
-		case before == nil:
+		case predecessor == nil:
 			return &Unknown{"rollout", r.After}
-		case before.Phase == RolledBack:
-			return &EndedAlready{before.ID, string(before.Phase)}
-		case before.Phase != Done:
+		case predecessor.Phase == RolledBack:
+			return &EndedAlready{predecessor.ID, string(predecessor.Phase)}
+		case predecessor.Phase != Done:
 			r.Phase = Waiting
 		}
 	}
@@ -499,17 +499,17 @@
 	return nil
 }
 
-// behind tells whether a rollout is the one named, or one that it waits for.
-func (s *State) behind(r *Rollout, id string) bool {
+// precedes reports whether a rollout is the one named, or one that this waits for.
+func (s *State) precedes(r *Rollout, id string) bool {
 	for id != "" {
 		if r.ID == id {
 			return true
 		}
-		before := s.Rollout(id)
-		if before == nil {
+		predecessor := s.Rollout(id)
+		if predecessor == nil {
 			return false
 		}
-		id = before.After
+		id = predecessor.After
 	}
 	return false
 }
@@ -521,7 +521,7 @@
 func (s *State) advance(w AdvanceEntry) error {
 	r := s.Rollout(w.Rollout)
 	if !s.Active(r) || r.Phase != InProgress || r.Wave != w.Wave {
-		return &StaleOrder{"the wave is another one by now"}
+		return &StaleOrder{"the rollout is in another wave"}
 	}
 	r.Idle = 0
 	if r.Wave++; r.Wave < len(r.Waves) {
@@ -533,12 +533,12 @@
 			next.Phase = InProgress
 		}
 	}
-	s.trim()
+	s.trimEnded()
 	return nil
 }
 
-// trim forgets the rollouts that ended first.
-func (s *State) trim() {
+// trimEnded removes the oldest ended rollouts beyond maxEndedRollouts.
+func (s *State) trimEnded() {
 	ended := 0
 	for _, r := range s.Rollouts {
 		if r.Phase.Ended() {
@@ -546,7 +546,7 @@
 		}
 	}
 	s.Rollouts = slices.DeleteFunc(s.Rollouts, func(r *Rollout) bool {
-		if ended > mostEnded && r.Phase.Ended() {
+		if ended > maxEndedRollouts && r.Phase.Ended() {
 			ended--
 			return true
 		}
@@ -572,31 +572,31 @@
 }
 
 func (s *State) resume(e ResumeEntry) error {
-	at := &s.Stop
+	halt := &s.Stop
 	if e.Rollout != "" {
 		r := s.Rollout(e.Rollout)
 		if r == nil {
 			return &Unknown{"rollout", e.Rollout}
 		}
-		at = &r.Halt
+		halt = &r.Halt
 	}
-	// Who lifts a halt has seen it. One that came since holds.
-	if *at != nil && e.Number != 0 && (*at).Number != e.Number {
-		return &StaleOrder{fmt.Sprintf("the halt is number %d by now: %s", (*at).Number, (*at).Text)}
+	// An operator lifts the halt that they have seen. One that was set since stays.
+	if *halt != nil && e.Number != 0 && (*halt).Number != e.Number {
+		return &StaleOrder{fmt.Sprintf("the current halt is number %d: %s", (*halt).Number, (*halt).Text)}
 	}
-	*at = nil
+	*halt = nil
 	if r := s.Rollout(e.Rollout); r != nil {
 		r.Idle = 0
-		for _, seat := range s.Members { // what did not start is tried again
-			if r.covers(seat.Member) {
-				seat.Failed = ""
+		for _, record := range s.Members { // failed starts are retried
+			if r.covers(record.Member) {
+				record.Failed = ""
 			}
 		}
 	}
 	return nil
 }
 
-func (s *State) back(id string) error {
+func (s *State) rollBack(id string) error {
 	r := s.Rollout(id)
 	if r == nil {
 		return &Unknown{"rollout", id}
@@ -612,20 +612,20 @@
 			return &Overlap{other.ID}
 		}
 	}
-	// Those that are out come back with what they had: the same grant, another version.
+	// Members that are out come back with their prior version, under the same grant.
 	r.Phase, r.Halt, r.Idle = RollingBack, nil, 0
-	for name, seat := range s.Members {
-		if g := seat.Grant; g != nil && g.Rollout == id && g.Kind == Release {
+	for name, record := range s.Members {
+		if g := record.Grant; g != nil && g.Rollout == id && g.Kind == Release {
 			g.Version = r.Prior[name]
 		}
 	}
 	return nil
 }
 
-// Encode writes the state, for a snapshot.
+// Encode encodes the state for a snapshot.
 func (s *State) Encode() ([]byte, error) { return json.Marshal(s) }
 
-// DecodeState reads a state that Encode wrote.
+// DecodeState decodes a state that Encode has encoded.
 func DecodeState(b []byte) (*State, error) {
 	s := NewState()
 	if err := json.Unmarshal(b, s); err != nil {
@@ -634,36 +634,36 @@
 	return s, nil
 }
 
-// Check finds what is wrong with an order for a rollout.
+// Check validates the order for a rollout.
 func (s Spec) Check() error {
-	bad := func(format string, args ...any) error { return &BadRequest{fmt.Sprintf(format, args...)} }
+	invalid := func(format string, args ...any) error { return &BadRequest{fmt.Sprintf(format, args...)} }
 	switch {
-	case s.ID == "" || len(s.ID) > mostName || strings.ContainsAny(s.ID, " /\n"):
-		return bad("a rollout's name has 1 to %d characters, no blanks and no slash", mostName)
-	case s.Role == "" || len(s.Role) > mostName:
-		return bad("a rollout is for one role")
-	case s.Version == "" || len(s.Version) > mostName:
-		return bad("a version has 1 to %d characters", mostName)
+	case s.ID == "" || len(s.ID) > maxNameLength || strings.ContainsAny(s.ID, " /\n"):
+		return invalid("a rollout's name must have 1 to %d characters, without blanks and slashes", maxNameLength)
+	case s.Role == "" || len(s.Role) > maxNameLength:
+		return invalid("a rollout must name one role")
+	case s.Version == "" || len(s.Version) > maxNameLength:
+		return invalid("a version must have 1 to %d characters", maxNameLength)
 	case len(s.Waves) == 0 || len(s.Waves) > 50:
-		return bad("a rollout has 1 to 50 waves")
+		return invalid("a rollout must have 1 to 50 waves")
 	case len(s.Zones) > 100:
-		return bad("a rollout names up to 100 zones")
+		return invalid("a rollout must not name more than 100 zones")
 	case s.Waves[len(s.Waves)-1] != AllMembers:
-		return bad("the last wave is %q", "100%")
+		return invalid("the last wave must be %q", "100%")
 	}
-	for _, w := range s.Waves[:len(s.Waves)-1] {
-		if !(w > 0) || w > MaxMembers {
-			return bad("a wave is a number of members or a share of them above 0")
+	for _, wave := range s.Waves[:len(s.Waves)-1] {
+		if !(wave > 0) || wave > MaxMembers {
+			return invalid("a wave must be a number of members or a share of them, above 0")
 		}
 	}
 	return s.Gate.check()
 }
 
-// AllMembers is the wave that holds every member. A wave of 1 means one member.
+// AllMembers is the wave that includes every member. A wave of 1 means one member.
 const AllMembers = -1.0
 
-// size is how many of n members a wave holds.
-func size(wave float64, n int) int {
+// waveSize returns how many of n members a wave includes.
+func waveSize(wave float64, n int) int {
 	switch {
 	case wave == AllMembers:
 		return n
@@ -673,25 +673,27 @@
 	return min(n, int(wave))
 }
 
-// CheckOrder finds what is wrong with an entry that an operator sends: it has a name
-// to count it by, and is one of those that operators may order.
+// CheckOrder validates an entry that an operator sends: it needs a request ID, so that it
+// is applied once, and must be one of those that operators may order.
 func (e Entry) CheckOrder() error {
 	switch {
-	case e.Request == "" || len(e.Request) > mostName || e.By == "" || len(e.By) > mostName:
-		return &BadRequest{fmt.Sprintf("an order has a request and a by of 1 to %d characters", mostName)}
-	case e.Join != nil || e.Grant != nil || e.Stage != nil || e.Release != nil || e.Adopt != nil || e.Advance != nil || e.RolledBack != "" || e.Watch != nil:
-		return &BadRequest{"only coordinators write such entries"}
-	case e.Halt != nil && (len(e.Halt.Text) > 1000 || len(e.Halt.Remedy) > 1000 || len(e.Halt.Kind) > mostName):
-		return &BadRequest{"a halt's words have up to 1000 characters"}
-	}
-	n := 0
-	for _, is := range []bool{e.Forget != "", e.Start != nil, e.Halt != nil, e.Resume != nil, e.Rollback != "", e.Drain != "", e.Undrain != ""} {
-		if is {
-			n++
+	case e.Request == "" || len(e.Request) > maxNameLength || e.By == "" || len(e.By) > maxNameLength:
+		return &BadRequest{fmt.Sprintf("an order must have a request and a by of 1 to %d characters", maxNameLength)}
+	case e.Join != nil || e.Grant != nil || e.Stage != nil || e.Release != nil || e.Adopt != nil || e.Advance != nil ||
+		e.RolledBack != "" || e.Watch != nil:
+		return &BadRequest{"only coordinators may write such entries"}
+	case e.Halt != nil && (len(e.Halt.Text) > 1000 || len(e.Halt.Remedy) > 1000 || len(e.Halt.Kind) > maxNameLength):
+		return &BadRequest{"a halt's text and remedy must not have more than 1000 characters"}
+	}
+	count := 0
+	for _, set := range []bool{e.Forget != "", e.Start != nil, e.Halt != nil, e.Resume != nil, e.Rollback != "", e.Drain != "",
+		e.Undrain != ""} {
+		if set {
+			count++
 		}
 	}
-	if n != 1 {
-		return &BadRequest{"an order orders one thing"}
+	if count != 1 {
+		return &BadRequest{"an order must contain one action"}
 	}
 	return nil
 }
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawEntry makes any entry, right or wrong, on a few names.
+// drawEntry draws any entry, valid or not, on a few names.
 func drawEntry(t *rapid.T) Entry {
 	member := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "member")
 	id := rapid.SampledFrom([]string{"r1", "r2"}).Draw(t, "rollout")
@@ -20,9 +20,11 @@
 	}
 	switch rapid.IntRange(0, 12).Draw(t, "kind") {
 	case 0, 1:
-		e.Join = &MemberRecord{Member: Member{Name: member, Role: "ingress", Zone: "z", Weight: 1}, Version: rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "v")}
+		e.Join = &MemberRecord{Member: Member{Name: member, Role: "ingress", Zone: "z", Weight: 1},
+			Version: rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "v")}
 	case 2, 3:
-		e.Grant = &GrantEntry{member, rapid.SampledFrom([]Kind{Release, Drain}).Draw(t, "k"), rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "v"), id}
+		e.Grant = &GrantEntry{member, rapid.SampledFrom([]Kind{Release, Drain}).Draw(t, "k"),
+			rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "v"), id}
 	case 4:
 		e.Stage = &StageEntry{member, fence, Out, ""}
 	case 5:
@@ -45,14 +47,14 @@
 	return e
 }
 
-// The same entries give the same state, through a snapshot as well; fences are
-// never given twice; nothing is granted while it is halted or stopped.
-func TestStateIsTheSameEverywhere(t *testing.T) {
+// The same entries give the same state, also across a snapshot; no fence is issued
+// twice; nothing is granted while a rollout is halted or everything is stopped.
+func TestApplyIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOfN(rapid.Custom(drawEntry), 1, 60).Draw(t, "entries")
 		cut := rapid.IntRange(0, len(entries)).Draw(t, "cut")
 		one, two := NewState(), NewState()
-		given := map[uint64]bool{}
+		issued := map[uint64]bool{}
 		for i, e := range entries {
 			if i == cut {
 				b, err := two.Encode()
@@ -64,23 +66,23 @@
 				}
 			}
 			before := one.Fence
-			var stands bool
+			var halted bool
 			if e.Grant != nil {
 				r := one.Rollout(e.Grant.Rollout)
-				stands = one.Stop != nil || e.Grant.Kind == Release && (r == nil || r.Halt != nil || r.Phase.Ended())
+				halted = one.Stop != nil || e.Grant.Kind == Release && (r == nil || r.Halt != nil || r.Phase.Ended())
 			}
 			first, second := one.Apply(uint64(i+1), e), two.Apply(uint64(i+1), e)
 			if fmt.Sprint(first) != fmt.Sprint(second) {
 				t.Fatalf("entry %d: %v and %v", i, first, second)
 			}
 			if e.Grant != nil && one.Fence > before {
-				if stands {
-					t.Fatalf("entry %d: granted though it is halted", i)
+				if halted {
+					t.Fatalf("entry %d: granted while halted or stopped", i)
 				}
-				if given[one.Fence] {
-					t.Fatalf("fence %d is given twice", one.Fence)
+				if issued[one.Fence] {
+					t.Fatalf("fence %d is issued twice", one.Fence)
 				}
-				given[one.Fence] = true
+				issued[one.Fence] = true
 			}
 		}
 		a, _ := one.Encode()
@@ -91,9 +93,9 @@
 	})
 }
 
-// An order that is sent again counts once and gets the same answer, and a halt is
-// lifted by whoever has seen it alone.
-func TestOrdersCountOnceAndLiftWhatWasSeen(t *testing.T) {
+// An order that is sent again is applied once and gets the same answer, and a halt is
+// lifted only by an operator who has seen that one.
+func TestOrdersApplyOnceAndLiftOnlyTheHaltSeen(t *testing.T) {
 	s := NewState()
 	index := uint64(0)
 	apply := func(e Entry) error { index++; return s.Apply(index, e) }
@@ -103,7 +105,7 @@
 			t.Fatal(err)
 		}
 		if err := apply(Entry{Request: "b", Start: &Spec{ID: "x"}}); err == nil {
-			t.Fatal("a faulty order is taken")
+			t.Fatal("an invalid order is accepted")
 		}
 	}
 	if len(s.Rollouts) != 1 {
@@ -118,15 +120,16 @@
 	seen := halt()
 	later := halt()
 	if err := apply(Entry{Resume: &ResumeEntry{"r1", seen}}); err == nil || s.Rollout("r1").Halt == nil {
-		t.Fatal("a halt is lifted by one who has seen an earlier one")
+		t.Fatal("a halt is lifted by the number of an earlier one")
 	}
 	if err := apply(Entry{Resume: &ResumeEntry{"r1", later}}); err != nil || s.Rollout("r1").Halt != nil {
 		t.Fatal("a halt is not lifted:", err)
 	}
 }
 
-// What goes back takes no more room: those that are out turn under the grant they have.
-func TestWayBackTurnsThoseThatAreOut(t *testing.T) {
+// A rollback takes no more of the budgets: members that are out return to their prior
+// version under the grant that they hold.
+func TestRollbackChangesGrantsOfMembersOut(t *testing.T) {
 	s := NewState()
 	for i, e := range []Entry{
 		{Join: &MemberRecord{Member: Member{Name: "a", Role: "ingress", Weight: 1}, Version: "v1"}},
@@ -141,16 +144,16 @@
 	if g := s.Members["a"].Grant; g == nil || g.Fence != 1 || g.Version != "v1" {
 		t.Fatalf("the grant is %+v", g)
 	}
-	// A grant that was on its way when the rollout turned is void.
+	// A grant that was pending when the rollback was ordered is void.
 	if err := s.Apply(5, Entry{Release: &ReleaseEntry{"a", 1, "v1", ""}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Apply(6, Entry{Grant: &GrantEntry{"a", Release, "v2", "r1"}}); err == nil {
-		t.Fatal("a grant to go on is given to a rollout that goes back")
+		t.Fatal("a rollout that is rolling back is granted a change to its new version")
 	}
 }
 
-// A share of the weight and a number both hold, by group.
+// Limits on the number of members and on the share of their weight apply, each by group.
 func TestBudgets(t *testing.T) {
 	var members []Member
 	for i := range 10 {
@@ -178,19 +181,20 @@
 	}
 }
 
-func TestTimingIsChecked(t *testing.T) {
+func TestTimingCheck(t *testing.T) {
 	good := DefaultTiming()
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
-	for _, spoil := range []func(*Timing){
-		func(t *Timing) { t.MaxStaleness = 2 * t.ReportInterval }, func(t *Timing) { t.LearnPeriod = t.ReportInterval }, func(t *Timing) { t.BeginTimeout = t.MaxStaleness + 1 },
+	for _, invalidate := range []func(*Timing){
+		func(t *Timing) { t.MaxStaleness = 2 * t.ReportInterval }, func(t *Timing) { t.LearnPeriod = t.ReportInterval },
+		func(t *Timing) { t.BeginTimeout = t.MaxStaleness + 1 },
 		func(t *Timing) { t.ReportInterval = 0 }, func(t *Timing) { t.BeginTimeout = time.Millisecond },
 	} {
 		bad := good
-		spoil(&bad)
+		invalidate(&bad)
 		if bad.Check() == nil {
-			t.Errorf("%+v passes", bad)
+			t.Errorf("invalid timing %+v passes", bad)
 		}
 	}
 }
