--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -47,13 +47,13 @@
 	lastLook   bool          // the listener closes once nothing waits in its queue
 	draining   bool
 	finished   bool          // takes no request but those that have come
-	waits      bool          // another process of this ingress takes the clients still
+	onHold     bool          // another process of this ingress takes the clients still
 	empty      chan struct{} // closed when no further connection is taken and none is left
 }
 
 // newFront makes a front and opens its address.
 func newFront(cfg *Config, l *loop) (*front, error) {
-	limits := cfg.Own.Admission.Apply(cfg.Limits.admissionLimits())
+	limits := cfg.Options.Admission.Apply(cfg.Limits.admissionLimits())
 	if limits.Places >= cfg.Limits.Sockets {
 		return nil, fmt.Errorf("door.places: %d, with %d descriptors in all", limits.Places, cfg.Limits.Sockets)
 	}
@@ -64,8 +64,8 @@
 	f := &front{cfg: cfg, loop: l, admission: d, buf: make([]byte, sharedBuffer), empty: make(chan struct{}),
 		short: shortage{half: cfg.Limits.Sockets / 2}}
 	address := cfg.Listen
-	if cfg.Passed != "" {
-		address = cfg.Passed
+	if cfg.InheritedListener != "" {
+		address = cfg.InheritedListener
 	}
 	if f.ln, err = l.Listen(address, (*acceptor)(f)); err != nil {
 		return nil, fmt.Errorf("clients: %w", err)
@@ -99,7 +99,7 @@
 
 // Next tells when there is something to do though nothing happens.
 func (f *front) Next() (at time.Duration, any bool) {
-	takes := f.acceptable && f.ln != nil && !f.waits && !f.lastLook
+	takes := f.acceptable && f.ln != nil && !f.onHold && !f.lastLook
 	if len(f.again) > 0 || len(f.dirty) > 0 || takes && f.retryAt == 0 && f.admission.HasRoom() {
 		return 0, true
 	}
@@ -118,7 +118,7 @@
 
 // waiting tells that a connection waits in the listener's queue and finds no room.
 func (f *front) waiting() bool {
-	return f.acceptable && f.ln != nil && !f.waits && !f.admission.HasRoom()
+	return f.acceptable && f.ln != nil && !f.onHold && !f.admission.HasRoom()
 }
 
 // acceptor is told of the listener.
@@ -230,7 +230,7 @@
 	if len(f.unwatched) > 0 { // the poller could take no further one either
 		return
 	}
-	for n := 0; f.acceptable && f.ln != nil && !f.waits && f.retryAt == 0 && (f.admission.HasRoom() || f.tries(now)); n++ {
+	for n := 0; f.acceptable && f.ln != nil && !f.onHold && f.retryAt == 0 && (f.admission.HasRoom() || f.tries(now)); n++ {
 		if n == acceptBatch {
 			f.retryAt = now + pacePause
 			return
@@ -317,7 +317,7 @@
 		return
 	}
 	c.index, c.readBy, c.timed = len(f.clients), now+firstPatience, true
-	f.loop.events.opened(c)
+	f.loop.events.connectionAccepted(c)
 	f.clients = append(f.clients, c)
 	f.admission.Admit(&c.place, now)
 	c.arm()
@@ -363,7 +363,7 @@
 	if f.ln == nil {
 		return
 	}
-	if f.cfg.Passed != "" || f.waits {
+	if f.cfg.InheritedListener != "" || f.onHold {
 		f.endListener()
 		return
 	}
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -22,7 +22,7 @@
 	heldShare      = 6    // what is held for clients may take this part of the memory
 	customersShare = 5    // and what is known of customers this one, at
 	customerBytes  = 1400 // for each, with its places in the gateway's map and row
-	justRead       = 5 * time.Millisecond
+	recentRead     = 5 * time.Millisecond
 	idsMargin      = time.Second // ids are known for so long beyond the longest time of a request
 )
 
@@ -46,27 +46,27 @@
 	memory   *memory
 	answers  []answer // given and not handed out yet
 	settling bool
-	figures  figures
+	figures  metrics
 	events   eventLog
 	starts   startClock
 	rules    []lifecycle.Rules // by class
 	spare    *alarm            // of the gateway's timers, to be used again
-	terms    *terms            // nil while no version of configuration was in force
+	terms    *runtimeConfig    // nil while no version of configuration was in force
 }
 
-// kind is how a request ends for its client.
-type kind uint8
+// outcomeKind is how a request ends for its client.
+type outcomeKind uint8
 
 const (
-	served kind = iota
+	served outcomeKind = iota
 	refused
 	failed
-	known // not taken: a request with its id is open, or was of late
+	duplicate // not taken: a request with its id is open, or was of late
 )
 
 // outcome is the one final answer of a request, in no protocol's words.
 type outcome struct {
-	kind  kind
+	kind  outcomeKind
 	value []byte        // served: as the backend gave it
 	body  body          // in place of value, where that is large; whoever gets it reads it to its end or closes it
 	after time.Duration // refused: when to come again; 0: no advice
@@ -76,8 +76,8 @@
 // never called while the gateway is at work.
 type answerer interface {
 	Answer(outcome)
-	// Gone tells whether whoever waits for the answer has left, as far as the system knows.
-	Gone() bool
+	// Disconnected tells whether whoever waits for the answer has left, as far as the system knows.
+	Disconnected() bool
 }
 
 type answer struct {
@@ -91,12 +91,12 @@
 	*command
 	id       uint32 // the gateway's: the clients' ids are longer
 	size     int
-	answer   answerer
+	replyTo  answerer
 	slot     slot // the answer's place, where the client speaks RESP
 	deadline time.Duration
-	began    time.Duration // when it was taken
+	takenAt  time.Duration // when it was taken
 	sent     time.Duration // its first attempt
-	life     lifecycle.Request
+	state    lifecycle.Request
 	attempts []*upstream.Attempt
 
 	initial upstream.Attempt // most need no other
@@ -105,11 +105,11 @@
 
 func newLoop(cfg *Config, on *reactor.Loop) (*loop, error) {
 	l := &loop{
-		Loop: on, cfg: cfg, requests: map[uint32]*request{}, figures: figures{classes: make([]ClassFigures, len(cfg.Choice.Classes))},
+		Loop: on, cfg: cfg, requests: map[uint32]*request{}, figures: metrics{classes: make([]ClassCounters, len(cfg.Choice.Classes))},
 		memory: &memory{most: int64(cfg.Limits.MemoryMB) << 20 / heldShare},
 	}
 	l.rules = rulesOf(cfg.Choice)
-	if cfg.Own.Log.LogsRequests() {
+	if cfg.Options.Log.LogsRequests() {
 		l.events.details = slog.Default()
 	}
 	longest := time.Duration(0)
@@ -117,26 +117,26 @@
 		longest = max(longest, c.Deadline)
 	}
 	l.ids.span = longest + idsMargin
-	l.pool = upstream.New(upstream.Config{Connections: cfg.Limits.backends(), Idle: cfg.connIdle,
-		ConnectTimeout: cfg.connectTimeout, Reports: cfg.Choice.ReportFields, Proof: cfg.Proof}, on, l)
+	l.pool = upstream.New(upstream.Config{MaxConnections: cfg.Limits.maxBackendConns(), BackendIdleTimeout: cfg.backendIdleTimeout,
+		ConnectTimeout: cfg.connectTimeout, ReportFields: cfg.Choice.ReportFields, TrustThreshold: cfg.Proof}, on, l)
 	on.Add(l.pool)
 	var err error
 	decide := cfg.Choice
-	decide.Customers = cfg.Limits.MemoryMB << 20 / customersShare / customerBytes
+	decide.MaxCustomers = cfg.Limits.MemoryMB << 20 / customersShare / customerBytes
 	if l.gateway, err = choice.New(decide, cfg.Seed, l.Now(), l); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	if l.fleet, err = fleet.New(cfg.Choice, l.gateway, l.Now()); err != nil {
 		return nil, err
 	}
-	l.members(choice.Cached, cfg.Known)
+	l.updateMembers(choice.Cached, cfg.CachedMembers)
 	return l, nil
 }
 
-// settle hands out the answers that the gateway has given. It is called behind
+// deliverAnswers hands out the answers that the gateway has given. It is called behind
 // every call of the gateway. To hand out one may end other requests, whose
 // clients do not read; their part is done before it returns, too.
-func (l *loop) settle() {
+func (l *loop) deliverAnswers() {
 	if l.settling {
 		return
 	}
@@ -158,22 +158,22 @@
 	}
 	r.id = l.lastID
 	l.requests[r.id] = r
-	r.began = l.Now()
-	r.life = lifecycle.Request{Rules: &l.rules[r.class], Deadline: r.deadline}
+	r.takenAt = l.Now()
+	r.state = lifecycle.Request{Rules: &l.rules[r.class], Deadline: r.deadline}
 	l.figures.open++
 	now := l.Now()
-	if l.ids.add(r.name, now) {
+	if l.ids.add(r.requestID, now) {
 		l.gateway.Request(now, choice.Request{
 			ID: r.id, Class: r.class, Plan: r.plan, Customer: r.customer, TimeLeft: r.deadline - now,
-			Units: r.units, Spread: r.spread, First: r.first, Repeat: r.repeat,
+			Units: r.units, Spread: r.spread, First: r.first, ClientRetry: r.repeat,
 		})
 	} else {
 		// The copy of another's open request: its value belongs to that one alone.
-		l.answer(r, outcome{kind: known})
+		l.answer(r, outcome{kind: duplicate})
 	}
 	l.fleet.Step(now)
 	l.forget(r)
-	l.settle()
+	l.deliverAnswers()
 }
 
 // recentIDs knows the clients' ids for a span at least, and for two at most.
@@ -203,7 +203,7 @@
 
 // forget drops a request that is over and has nothing out.
 func (l *loop) forget(r *request) {
-	if r.life.Over() && r.life.Out() == 0 && l.requests[r.id] == r {
+	if r.state.Finished() && r.state.InFlight() == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
 		l.memory.give(r.size)
 	}
@@ -215,18 +215,18 @@
 		return
 	}
 	for _, r := range open {
-		if r.life.Abandon() {
+		if r.state.Abandon() {
 			l.figures.open--
-			l.events.abandoned(r)
+			l.events.requestAbandoned(r)
 			if len(r.attempts) == 0 {
-				l.ids.remove(r.name) // nothing was sent on: it may come again
+				l.ids.remove(r.requestID) // nothing was sent on: it may come again
 			}
 			l.withdraw(r)
-			l.gateway.Gone(l.Now(), r.id)
+			l.gateway.Disconnected(l.Now(), r.id)
 			l.forget(r)
 		}
 	}
-	l.settle()
+	l.deliverAnswers()
 }
 
 // withdraw drops what a request that is over waits to send, whether or not the
@@ -239,20 +239,20 @@
 
 // Ended takes the end of an attempt or a probe.
 func (l *loop) Ended(a *upstream.Attempt, reply upstream.Reply, elapsed time.Duration) {
-	defer l.settle()
+	defer l.deliverAnswers()
 	if a.Probe {
-		l.gateway.Probed(l.Now(), choice.Probe{
+		l.gateway.Probed(l.Now(), choice.ProbeResult{
 			Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Load: reply.Load})
 		return
 	}
 	r := a.Owner.(*request)
 	if reply.Cause != upstream.CauseForbidden {
-		r.life.Ended(mayHaveRun(reply.Status))
+		r.state.AttemptEnded(mayHaveRun(reply.Status))
 	}
-	l.events.ended(r, a, reply)
+	l.events.attemptEnded(r, a, reply)
 	l.fleet.Ended()
 	if reply.Stream != nil {
-		if r.life.Over() {
+		if r.state.Finished() {
 			reply.Stream.Close()
 		} else {
 			l.answer(r, outcome{kind: served, body: reply.Stream})
@@ -261,17 +261,17 @@
 		l.answer(r, outcome{kind: served, value: reply.Value})
 	}
 	l.gateway.Outcome(l.Now(), choice.Outcome{
-		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Over: r.life.Over(),
+		ID: r.id, Attempt: a.Number, Backend: a.Backend, Status: reply.Status, Elapsed: elapsed, Done: r.state.Finished(),
 		Metered: reply.Metered, Used: reply.Used, Age: reply.Age, Load: reply.Load,
 	})
 	l.forget(r)
 }
 
-// Figures takes what stood behind a large value.
-func (l *loop) Figures(a *upstream.Attempt, reply upstream.Reply) {
+// Trailer takes what stood behind a large value.
+func (l *loop) Trailer(a *upstream.Attempt, reply upstream.Reply) {
 	if r := a.Owner.(*request); reply.Metered {
-		l.gateway.Metered(l.Now(), r.customer, r.plan, reply.Used, reply.Age)
-		l.settle()
+		l.gateway.LateReading(l.Now(), r.customer, r.plan, reply.Used, reply.Age)
+		l.deliverAnswers()
 	}
 }
 
@@ -286,9 +286,9 @@
 	}
 }
 
-// Starved notes that a dial wants room. Connections are closed for it later: this
+// OutOfDescriptors notes that a dial wants room. Connections are closed for it later: this
 // is called while the gateway is at work, and a connection closed may end requests.
-func (l *loop) Starved() { l.starved = true }
+func (l *loop) OutOfDescriptors() { l.starved = true }
 
 // Written counts an attempt that has come whole to a backend.
 func (l *loop) Written(a *upstream.Attempt) {
@@ -302,24 +302,24 @@
 	if r == nil {
 		return
 	}
-	give, wrong := r.life.Answer(o.kind == refused)
+	give, wrong := r.state.Answer(o.kind == refused)
 	if !give {
 		return
 	}
-	if l.violates(wrong, r) {
+	if l.recordViolation(wrong, r) {
 		o = outcome{kind: failed} // promises nothing
 	}
-	l.events.answered(r, o.kind)
+	l.events.requestAnswered(r, o.kind)
 	l.withdraw(r) // a second copy that has not gone out yet
 	if o.body == nil {
 		l.figures.open--
 		l.figures.classes[r.class].count(o.kind)
 	}
-	l.answers = append(l.answers, answer{r.answer, o})
+	l.answers = append(l.answers, answer{r.replyTo, o})
 }
 
-// members takes a list of backends from discovery.
-func (l *loop) members(kind choice.ListKind, list MemberList) {
+// updateMembers takes a list of backends from discovery.
+func (l *loop) updateMembers(kind choice.ListKind, list MemberList) {
 	now := l.Now()
 	l.starts.observe(now, l.Wall())
 	backends := make([]choice.Backend, 0, len(list.Members))
@@ -336,22 +336,22 @@
 		// One process serves at an address. The one that started last has taken
 		// it over; the other is gone, though discovery has not noticed yet. What
 		// is sent to that one would reach the new one, cold, and not be counted.
-		known := upstream.Member{Name: m.ID, Address: m.HostPort, Since: m.UpSince}
-		if other, any := l.pool.Sharing(known); state == choice.Ready && any {
-			if other.Since > m.UpSince {
+		known := upstream.Member{Name: m.ID, Address: m.HostPort, StartedAt: m.UpSince}
+		if other, any := l.pool.OtherAtAddress(known); state == choice.Ready && any {
+			if other.StartedAt > m.UpSince {
 				state = choice.Removed
 			} else {
 				other.State = choice.Removed
-				backends = append(backends, choice.Backend{ID: l.pool.Member(other), State: choice.Removed})
+				backends = append(backends, choice.Backend{ID: l.pool.Update(other), State: choice.Removed})
 			}
 		}
 		known.State = state
 		named[m.ID] = true
 		b := choice.Backend{
-			ID: l.pool.Member(known), Zone: index(l.cfg.zones, m.Locality), Kind: index(l.cfg.kinds, m.Flavor),
+			ID: l.pool.Update(known), Zone: index(l.cfg.zones, m.Locality), Kind: index(l.cfg.kinds, m.Flavor),
 			Cell: m.Cell, State: state, Weight: m.Size,
 		}
-		b.Started, b.Dated = l.started(m)
+		b.Started, b.StartKnown = l.started(m)
 		if state == choice.Removed {
 			l.starts.forget(m.ID)
 		}
@@ -359,16 +359,16 @@
 		backends = append(backends, b)
 	}
 	if kind != choice.Delta {
-		l.pool.Keep(named)
-		l.starts.keep(named)
+		l.pool.RemoveUnlisted(named)
+		l.starts.retain(named)
 	}
 	l.fleet.Members(now, kind, backends, func(b choice.Backend) uint64 { return keys[b.ID] })
-	l.settle()
+	l.deliverAnswers()
 	l.checkReady()
 }
 
-// open marks that discovery was asked for the list, whether or not it answered.
-func (l *loop) open() {
+// markAsked marks that discovery was asked for the list, whether or not it answered.
+func (l *loop) markAsked() {
 	l.asked = true
 	l.checkReady()
 }
@@ -376,7 +376,7 @@
 // checkReady lets clients in once there is a backend. The list of the
 // configuration may be old, so discovery is asked first.
 func (l *loop) checkReady() {
-	l.ready = l.ready || l.asked && l.pool.Serving()
+	l.ready = l.ready || l.asked && l.pool.AnyReady()
 }
 
 // started tells when a backend started, by the gateway's clock. 0 stands for long ago.
@@ -384,7 +384,7 @@
 	if m.UpSince <= 0 {
 		return 0, false
 	}
-	return l.starts.started(m.ID, m.UpSince, l.Now()), true
+	return l.starts.startTime(m.ID, m.UpSince, l.Now()), true
 }
 
 // index is the place of a name in a list of the settings; a name that is not
@@ -408,16 +408,16 @@
 		r.attempts = r.list[:0]
 	}
 	*a = upstream.Attempt{Message: r, Owner: r, Number: len(r.attempts), Backend: backend, Deadline: l.Now() + timeout,
-		Repeatable: l.cfg.Choice.Classes[r.class].Effect == choice.Free}
-	if class := &l.cfg.Choice.Classes[r.class]; class.Effect == choice.Guarded && a != &r.initial {
-		a.Before = r.sent + class.Window // later its repeat is not dropped any more
+		Repeatable: l.cfg.Choice.Classes[r.class].Effect == choice.Idempotent}
+	if class := &l.cfg.Choice.Classes[r.class]; class.Effect == choice.Deduplicated && a != &r.initial {
+		a.WriteBy = r.sent + class.Window // later its repeat is not dropped any more
 	} else if a == &r.initial {
 		r.sent = l.Now()
 	}
 	r.attempts = append(r.attempts, a)
-	l.events.sent(r, a)
+	l.events.attemptStarted(r, a)
 	l.fleet.Sent()
-	if l.violates(r.life.Begin(l.Now()), r) {
+	if l.recordViolation(r.state.BeginAttempt(l.Now()), r) {
 		l.pool.Forbid(a)
 		return
 	}
@@ -430,22 +430,22 @@
 		return true
 	}
 	r := a.Owner.(*request)
-	if l.violates(r.life.Write(l.Now()), r) {
+	if l.recordViolation(r.state.CheckWrite(l.Now()), r) {
 		return false
 	}
 	// Just after its reading nothing can have happened that is not known. Later an event that tells of the
 	// client's end may be late.
-	return l.Now()-r.began < justRead && !l.Late() || !r.answer.Gone()
+	return l.Now()-r.takenAt < recentRead && !l.Late() || !r.replyTo.Disconnected()
 }
 
-// violates counts and logs a step that the rule on requests forbids. Whoever asked does not take it.
-func (l *loop) violates(v lifecycle.Violation, r *request) bool {
+// recordViolation counts and logs a step that the rule on requests forbids. Whoever asked does not take it.
+func (l *loop) recordViolation(v lifecycle.Violation, r *request) bool {
 	if !l.events.violations.Add(v) {
 		return false
 	}
 	name := uint64(0)
 	if r != nil {
-		name = r.name
+		name = r.requestID
 	}
 	slog.Error("a step that the rule on requests forbids was not taken", "violation", v, "request", fmt.Sprintf("%016x", name))
 	return true
@@ -453,22 +453,22 @@
 
 // mayHaveRun tells what the end of an attempt says of it.
 func mayHaveRun(s choice.Status) bool {
-	return s != choice.Refused && s != choice.ConnectFailed && s != choice.Moot
+	return s != choice.Refused && s != choice.ConnectFailed && s != choice.Unsent
 }
 
 // rulesOf are the rules of each class.
 func rulesOf(cfg choice.Config) (rules []lifecycle.Rules) {
 	mostOut := 1
-	if cfg.SecondCopies {
+	if cfg.Hedging {
 		mostOut = 2
 	}
 	for _, c := range cfg.Classes {
-		r := lifecycle.Rules{Window: c.Window, Everywhere: c.Group == choice.GroupAll, MostOut: mostOut, MostInAll: cfg.MaxAttempts}
+		r := lifecycle.Rules{DedupWindow: c.Window, DedupAcrossBackends: c.Group == choice.GroupAll, MaxInFlight: mostOut, MaxAttempts: cfg.MaxAttempts}
 		switch c.Effect {
-		case choice.Guarded:
-			r.Repeats = lifecycle.RunsOnceAway
-		case choice.SingleShot:
-			r.Repeats = lifecycle.RunsOnce
+		case choice.Deduplicated:
+			r.Idempotency = lifecycle.Deduplicated
+		case choice.AtMostOnce:
+			r.Idempotency = lifecycle.NonIdempotent
 		}
 		rules = append(rules, r)
 	}
@@ -495,8 +495,8 @@
 	l.pool.Start(&upstream.Attempt{Message: loadProbe, Probe: true, Repeatable: true, Backend: backend, Deadline: l.Now() + probeTimeout})
 }
 
-// After sets a timer.
-func (l *loop) After(wait time.Duration, token uint64) {
+// SetTimer sets a timer.
+func (l *loop) SetTimer(wait time.Duration, token uint64) {
 	a := l.spare
 	if a == nil {
 		a = &alarm{loop: l}
@@ -522,5 +522,5 @@
 	token := a.token
 	a.next, l.spare = l.spare, a
 	l.gateway.Timer(l.Now(), token)
-	l.settle()
+	l.deliverAnswers()
 }
--- a/internal/ingress/moment_test.go
+++ b/internal/ingress/moment_test.go
@@ -11,18 +11,18 @@
 // A request that comes about when the ingress ends a connection at rest is answered,
 // or left unread. What is read is sent on, and would be lost behind the end.
 func TestRequestAboutTheEndOfItsConnectionIsAnsweredOrLeft(t *testing.T) {
-	for name, end := range map[string]func(*installation){
-		"drain": func(i *installation) { i.do(i.ingress.Drain) },
-		"drain and finish": func(i *installation) {
+	for name, end := range map[string]func(*simulation){
+		"drain": func(i *simulation) { i.do(i.ingress.Drain) },
+		"drain and finish": func(i *simulation) {
 			i.do(func() { i.ingress.Drain(); i.ingress.CloseListener(); i.ingress.Finish() })
 		},
-		"standby":             func(i *installation) { i.do(i.ingress.Standby) },
-		"descriptors run out": func(i *installation) { i.do(func() { i.ingress.front.shrink(i.node.Now()) }) },
+		"standby":             func(i *simulation) { i.do(i.ingress.Standby) },
+		"descriptors run out": func(i *simulation) { i.do(func() { i.ingress.front.shrink(i.node.Now()) }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			// play has a request come so long after the end is called for, and tells what came of it.
 			play := func(after time.Duration, seed uint64) (served bool, endedAt time.Duration) {
-				i := newInstallation(t, seed, 2, nil)
+				i := newSimulation(t, seed, 2, nil)
 				i.answer = func(a *playedAttempt) { a.serve("v") }
 				c := i.dial("")
 				i.run(3 * ms)
@@ -54,7 +54,7 @@
 				if served = c.answers() == "$1\r\nv"; served != (len(i.attempts) == 1) || len(i.attempts) > 1 {
 					t.Fatalf("%v after the end was called for, seed %d: %d attempts, and the client got %q", after, seed, len(i.attempts), c.answers())
 				}
-				if h := i.ingress.Held(); h.Requests > 0 {
+				if h := i.ingress.Usage(); h.Requests > 0 {
 					t.Fatalf("%v after the end was called for, seed %d: the ingress holds %+v", after, seed, h)
 				}
 				return served, endedAt
@@ -85,7 +85,7 @@
 
 func (c *crossing) CloseWrite() {
 	c.come()
-	for end := time.Now().Add(patience); !c.Conn.Pending() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); !c.Conn.Pending() && time.Now().Before(end); {
 	}
 	c.Conn.CloseWrite()
 	c.ended = true
@@ -105,23 +105,23 @@
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
+	c.send("Q.ASK", someCustomer, newID(), lookup)
 	wait(t, "the request before", b.Got).Answer("v")
 	c.want("$1\r\nv")
 	r.eventually("the rig's own connection to be gone", func(*loop) bool { return len(r.server.front.clients) == 1 })
 	var x *crossing
-	r.ask(func(*loop) {
+	r.onLoop(func(*loop) {
 		of := r.server.front.clients[0]
-		x = &crossing{Conn: of.net, come: func() { _, _ = c.nc.Write(standin.Encode("Q.DO", anyone, newID(), payment, "BODY")) }}
+		x = &crossing{Conn: of.net, come: func() { _, _ = c.nc.Write(standin.Encode("Q.DO", someCustomer, newID(), payment, "BODY")) }}
 		of.net = x
 		r.server.Drain()
 	})
 	c.wantEnd()
 	r.eventually("the connection to be closed", func(*loop) bool { return len(r.server.front.clients) == 0 })
-	r.ask(func(l *loop) {
+	r.onLoop(func(l *loop) {
 		if x.read > 0 || len(l.requests) > 0 {
 			t.Errorf("%d bytes were read behind the end, and %d requests are open", x.read, len(l.requests))
 		}
 	})
-	idle(t, "the request that came in the moment of the end", b.Got)
+	wantNone(t, "the request that came in the moment of the end", b.Got)
 }
