--- a/admission/admission.go
+++ b/admission/admission.go
@@ -8,7 +8,7 @@
 // sooner the fewer places are free.
 //
 // The package does no I/O, starts no goroutine and reads no clock: the owner
-// reports events with their times, and closes what [Controller.Due] selects. All
+// reports events with their times, and closes what [Controller.SelectDue] selects. All
 // operations take constant time, whatever the number of connections.
 package admission
 
@@ -96,29 +96,29 @@
 	leaving // selected by Due; holds its place until Release
 )
 
-// Place is the record of one connection. The zero Place is ready for
+// Conn is the record of one connection. The zero Conn is ready for
 // [Controller.Admit]. Owner is the caller's and is never read here.
-type Place[T any] struct {
+type Conn[T any] struct {
 	Owner T
 
-	prev, next *Place[T]
+	prev, next *Conn[T]
 	since      time.Duration // when it came, or was last used
 	state      state
 	asked      bool
 }
 
 // Idle reports whether nothing is open on the connection.
-func (p *Place[T]) Idle() bool { return p.state == idle || p.state == silent }
+func (p *Conn[T]) Idle() bool { return p.state == idle || p.state == silent }
 
-// Leaving reports whether Due has selected it.
-func (p *Place[T]) Leaving() bool { return p.state == leaving }
+// Evicting reports whether SelectDue has selected it.
+func (p *Conn[T]) Evicting() bool { return p.state == leaving }
 
 // queue is a list of places, the longest unused first.
 type queue[T any] struct {
-	first, last *Place[T]
+	first, last *Conn[T]
 }
 
-func (q *queue[T]) push(p *Place[T]) {
+func (q *queue[T]) push(p *Conn[T]) {
 	p.prev, p.next = q.last, nil
 	if q.last != nil {
 		q.last.next = p
@@ -128,7 +128,7 @@
 	q.last = p
 }
 
-func (q *queue[T]) remove(p *Place[T]) {
+func (q *queue[T]) remove(p *Conn[T]) {
 	if p.prev != nil {
 		p.prev.next = p.next
 	} else {
@@ -176,7 +176,7 @@
 }
 
 // Admit gives a new connection its place.
-func (c *Controller[T]) Admit(p *Place[T], now time.Duration) {
+func (c *Controller[T]) Admit(p *Conn[T], now time.Duration) {
 	p.state, p.since, p.asked = silent, now, false
 	c.silent.push(p)
 	c.count++
@@ -184,7 +184,7 @@
 
 // MarkBusy records that a connection has something open. asked says whether that is
 // a request: part of a command, or what is no request, leaves the connection silent.
-func (c *Controller[T]) MarkBusy(p *Place[T], asked bool) {
+func (c *Controller[T]) MarkBusy(p *Conn[T], asked bool) {
 	switch p.state {
 	case absent, leaving:
 		return
@@ -202,7 +202,7 @@
 
 // MarkIdle records that a connection has nothing open any more. One that has never
 // sent a request counts as silent from its arrival: malformed input buys no time.
-func (c *Controller[T]) MarkIdle(p *Place[T], now time.Duration) {
+func (c *Controller[T]) MarkIdle(p *Conn[T], now time.Duration) {
 	if p.state != busy {
 		return
 	}
@@ -217,7 +217,7 @@
 
 // insert puts a place back among the silent ones in order of its coming. It
 // looks from the end that is likely nearer: those that speak do so early.
-func (c *Controller[T]) insert(p *Place[T]) {
+func (c *Controller[T]) insert(p *Conn[T]) {
 	after := c.silent.last
 	for steps := 0; after != nil && after.since > p.since; steps++ {
 		if steps == insertSteps {
@@ -244,7 +244,7 @@
 const insertSteps = 64
 
 // Release frees the place of a connection that is closed.
-func (c *Controller[T]) Release(p *Place[T]) {
+func (c *Controller[T]) Release(p *Conn[T]) {
 	switch p.state {
 	case absent:
 		return
@@ -262,7 +262,7 @@
 }
 
 // countIn puts a place on the counts.
-func (c *Controller[T]) countIn(p *Place[T]) {
+func (c *Controller[T]) countIn(p *Conn[T]) {
 	c.count++
 	if p.asked {
 		c.asked++
@@ -270,7 +270,7 @@
 }
 
 // countOut takes a place off the counts.
-func (c *Controller[T]) countOut(p *Place[T]) {
+func (c *Controller[T]) countOut(p *Conn[T]) {
 	c.count--
 	if p.asked {
 		c.asked--
@@ -332,12 +332,12 @@
 	c.limits = m
 }
 
-// Due selects the connections to be closed now. waiting tells that one waits to
+// SelectDue selects the connections to be closed now. waiting tells that one waits to
 // be taken and finds no room. The owner calls it after what happened, and at
 // NextDue at the latest. A connection selected holds its place until Release, unless
 // closing finds that something has come on it and returns true: then it stays,
 // counts as busy, and the owner calls MarkBusy or MarkIdle once it has looked.
-func (c *Controller[T]) Due(now time.Duration, waiting bool, closing func(*Place[T]) (stays bool)) {
+func (c *Controller[T]) SelectDue(now time.Duration, waiting bool, closing func(*Conn[T]) (stays bool)) {
 	if now < c.next {
 		return
 	}
@@ -362,7 +362,7 @@
 
 // pick takes the one connection off its list that is to be closed first, and
 // tells which count its closing belongs to.
-func (c *Controller[T]) pick(now time.Duration, waiting bool) (*Place[T], *uint64) {
+func (c *Controller[T]) pick(now time.Duration, waiting bool) (*Conn[T], *uint64) {
 	if c.draining {
 		if p := c.silent.first; p != nil && now-p.since >= c.limits.SilentMax {
 			return c.take(&c.silent, &c.closed.Drained)
@@ -385,7 +385,7 @@
 	return nil, nil
 }
 
-func (c *Controller[T]) take(q *queue[T], cause *uint64) (*Place[T], *uint64) {
+func (c *Controller[T]) take(q *queue[T], cause *uint64) (*Conn[T], *uint64) {
 	p := q.first
 	if p != nil {
 		q.remove(p)
@@ -472,16 +472,16 @@
 
 // Stats are what an operator watches.
 type Stats struct {
-	Open    int  // connections that hold a place, those leaving among them
-	Asked   int  // of these, those that have asked and are not leaving
-	Leaving int  // selected to be closed, not released yet
-	Trim    bool // above the high-water mark, or not yet down to the low one
-	Places  int  // as shrunk
-	Closed  Closed
+	Open      int  // connections that hold a place, those leaving among them
+	Requested int  // of these, those that have asked and are not leaving
+	Evicting  int  // selected to be closed, not released yet
+	Trimming  bool // above the high-water mark, or not yet down to the low one
+	Places    int  // as shrunk
+	Closed    Closed
 }
 
 // Stats tells the counts as they are now.
 func (c *Controller[T]) Stats() Stats {
-	return Stats{Open: c.count + c.leaving, Asked: c.asked, Leaving: c.leaving, Trim: c.trimming,
+	return Stats{Open: c.count + c.leaving, Requested: c.asked, Evicting: c.leaving, Trimming: c.trimming,
 		Places: c.limits.Places, Closed: c.closed}
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -20,7 +20,7 @@
 // plain is the model: what a controller knows, kept in a list that is searched.
 type plain struct {
 	limits   Limits
-	places   []*Place[int]
+	places   []*Conn[int]
 	trimming bool
 	draining bool
 }
@@ -46,7 +46,7 @@
 // check compares the controller's counts with the model's.
 func (m *plain) check(t *rapid.T, d *Controller[int]) {
 	f := d.Stats()
-	if f.Open != len(m.places) || f.Asked != m.asked() || f.Open-f.Leaving != m.staying() {
+	if f.Open != len(m.places) || f.Requested != m.asked() || f.Open-f.Evicting != m.staying() {
 		t.Fatalf("the controller counts %+v; there are %d, of them %d that asked and stay, %d that stay",
 			f, len(m.places), m.asked(), m.staying())
 	}
@@ -57,12 +57,12 @@
 
 // due checks each choice of Due against all that it could have chosen, and what
 // it has left open afterwards.
-func (m *plain) due(t *rapid.T, d *Controller[int], now time.Duration, waiting bool) (named []*Place[int]) {
+func (m *plain) due(t *rapid.T, d *Controller[int], now time.Duration, waiting bool) (named []*Conn[int]) {
 	at, any := d.NextDue(waiting)
 	held := d.next > now
 	spoke := 0
-	var back []*Place[int]
-	d.Due(now, waiting, func(p *Place[int]) bool {
+	var back []*Conn[int]
+	d.SelectDue(now, waiting, func(p *Conn[int]) bool {
 		asked := m.asked()
 		if p.asked {
 			asked++ // it is marked as leaving already
@@ -141,7 +141,7 @@
 		t.Fatal(err)
 	}
 	for range 45 {
-		p := &Place[int]{}
+		p := &Conn[int]{}
 		d.Admit(p, 0)
 		d.MarkBusy(p, true)
 		d.MarkIdle(p, 0)
@@ -152,7 +152,7 @@
 	}
 	for now := time.Second; !d.HasRoom(); now += time.Second {
 		before := d.Stats().Open
-		d.Due(now, true, func(p *Place[int]) bool { d.Release(p); return false })
+		d.SelectDue(now, true, func(p *Conn[int]) bool { d.Release(p); return false })
 		if d.Stats().Open == before {
 			t.Fatalf("no room with %d of %d at rest", before, d.limits.Places)
 		}
@@ -168,8 +168,8 @@
 			t.Fatal(err)
 		}
 		now := time.Duration(0)
-		one := func(t *rapid.T, what string, ok func(*Place[int]) bool) *Place[int] {
-			var of []*Place[int]
+		one := func(t *rapid.T, what string, ok func(*Conn[int]) bool) *Conn[int] {
+			var of []*Conn[int]
 			for _, p := range m.places {
 				if ok(p) {
 					of = append(of, p)
@@ -185,13 +185,13 @@
 				if !d.HasRoom() {
 					t.Skip("full")
 				}
-				p := &Place[int]{}
+				p := &Conn[int]{}
 				m.places = append(m.places, p)
 				d.Admit(p, now)
 			},
 			"crowd": func(t *rapid.T) { // that has asked and rests
 				for n := rapid.IntRange(1, 9).Draw(t, "clients"); n > 0 && d.HasRoom(); n-- {
-					p := &Place[int]{}
+					p := &Conn[int]{}
 					m.places = append(m.places, p)
 					d.Admit(p, now)
 					d.MarkBusy(p, true)
@@ -200,24 +200,24 @@
 			},
 			"gone": func(*rapid.T) {
 				for _, p := range m.places {
-					if p.Leaving() {
+					if p.Evicting() {
 						d.Release(p)
 					}
 				}
-				m.places = slices.DeleteFunc(m.places, func(p *Place[int]) bool { return p.state == absent })
+				m.places = slices.DeleteFunc(m.places, func(p *Conn[int]) bool { return p.state == absent })
 			},
 			"work": func(t *rapid.T) {
-				p := one(t, "place", func(p *Place[int]) bool { return true })
+				p := one(t, "place", func(p *Conn[int]) bool { return true })
 				d.MarkBusy(p, rapid.Bool().Draw(t, "asked"))
 			},
 			"rest": func(t *rapid.T) {
-				d.MarkIdle(one(t, "busy place", func(p *Place[int]) bool { return p.state == busy }), now)
+				d.MarkIdle(one(t, "busy place", func(p *Conn[int]) bool { return p.state == busy }), now)
 			},
 			"leave": func(t *rapid.T) {
-				p := one(t, "place", func(p *Place[int]) bool { return true })
+				p := one(t, "place", func(p *Conn[int]) bool { return true })
 				d.Release(p)
 				d.Release(p) // told twice, it counts once
-				m.places = slices.DeleteFunc(m.places, func(o *Place[int]) bool { return o == p })
+				m.places = slices.DeleteFunc(m.places, func(o *Conn[int]) bool { return o == p })
 			},
 			"time": func(t *rapid.T) {
 				now += time.Duration(rapid.SampledFrom([]int{0, 1, 5, 60, 300, 2500}).Draw(t, "ms")) * ms
@@ -252,7 +252,7 @@
 }
 
 type conn struct {
-	Place[int]
+	Conn[int]
 	usual bool
 	until time.Duration // of its request, and then of its client's patience
 }
@@ -271,10 +271,10 @@
 	}
 	for _, c := range slices.Clone(w.open) {
 		switch {
-		case c.Leaving():
+		case c.Evicting():
 			w.leave(c)
 		case c.state == busy && w.now >= c.until:
-			w.d.MarkIdle(&c.Place, w.now)
+			w.d.MarkIdle(&c.Conn, w.now)
 			c.until = w.now + hold
 		case c.state == idle && w.now >= c.until:
 			w.leave(c)
@@ -285,15 +285,15 @@
 		w.queue = w.queue[1:]
 		c := &conn{usual: a.usual}
 		w.open = append(w.open, c)
-		w.d.Admit(&c.Place, w.now)
+		w.d.Admit(&c.Conn, w.now)
 		if a.usual {
 			w.waits = append(w.waits, w.now-a.at)
-			w.d.MarkBusy(&c.Place, true)
+			w.d.MarkBusy(&c.Conn, true)
 			c.until = w.now + time.Duration(5+w.rng.IntN(95))*ms
 		}
 	}
 	waiting := len(w.queue) > 0
-	w.d.Due(w.now, waiting, func(*Place[int]) bool { w.closed++; return false })
+	w.d.SelectDue(w.now, waiting, func(*Conn[int]) bool { w.closed++; return false })
 	if !waiting || w.d.next > w.now || w.d.leaving > 0 {
 		return
 	}
@@ -305,7 +305,7 @@
 }
 
 func (w *world) leave(c *conn) {
-	w.d.Release(&c.Place)
+	w.d.Release(&c.Conn)
 	w.open = slices.DeleteFunc(w.open, func(o *conn) bool { return o == c })
 }
 
@@ -331,7 +331,7 @@
 		most := 0
 		for range 10_000 {
 			w.step(0.14, 0, 2*time.Second)
-			most = max(most, w.d.Stats().Asked)
+			most = max(most, w.d.Stats().Requested)
 		}
 		if most > 120 {
 			t.Errorf("seed %d: %d places of 128 are taken", seed, most)
@@ -392,7 +392,7 @@
 		t.Fatal(err)
 	}
 	for range 50_000 {
-		d.Admit(&Place[int]{}, 0)
+		d.Admit(&Conn[int]{}, 0)
 	}
 	d.Drain()
 	total, now := 0, m.SilentMax
@@ -406,7 +406,7 @@
 		}
 		now = at
 		n := 0
-		d.Due(now, false, func(p *Place[int]) bool { n++; d.Release(p); return false })
+		d.SelectDue(now, false, func(p *Conn[int]) bool { n++; d.Release(p); return false })
 		if n > m.Batch {
 			t.Fatalf("%d at once", n)
 		}
@@ -424,7 +424,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	places := make([]Place[int], m.Places)
+	places := make([]Conn[int], m.Places)
 	for i := range places {
 		d.Admit(&places[i], 0)
 		d.MarkBusy(&places[i], i < m.Floor+1)
@@ -433,8 +433,8 @@
 		d.MarkIdle(&places[i], 0)
 	}
 	for step := range 3 {
-		var named []*Place[int]
-		d.Due(time.Hour+time.Duration(step)*time.Second, true, func(p *Place[int]) bool { named = append(named, p); return false })
+		var named []*Conn[int]
+		d.SelectDue(time.Hour+time.Duration(step)*time.Second, true, func(p *Conn[int]) bool { named = append(named, p); return false })
 		if step == 0 && (len(named) != 1 || named[0] != &places[0]) {
 			t.Fatalf("%d are closed, want the longest unused", len(named))
 		}
@@ -455,10 +455,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := &Place[int]{}
+	first := &Conn[int]{}
 	d.Admit(first, 0)
 	for range 4 {
-		d.Admit(&Place[int]{}, 0)
+		d.Admit(&Conn[int]{}, 0)
 	}
 	d.Shrink()
 	d.Shrink() // told again before any has gone: it counts once
@@ -469,7 +469,7 @@
 	if d.HasRoom() {
 		t.Error("the descriptor left to all else is taken")
 	}
-	d.Due(time.Second, true, func(p *Place[int]) bool { d.Release(p); return false })
+	d.SelectDue(time.Second, true, func(p *Conn[int]) bool { d.Release(p); return false })
 	if !d.HasRoom() {
 		t.Error("none is closed to keep to the places that there are")
 	}
@@ -507,7 +507,7 @@
 	m := limits()
 	m.Places, m.Useful, m.High, m.Low, m.Floor = 1<<20, 1<<20, 1<<19, 1<<19, 0
 	d, _ := New[int](m)
-	places := make([]Place[int], 200_000)
+	places := make([]Conn[int], 200_000)
 	for i := range places {
 		d.Admit(&places[i], 0)
 		d.MarkBusy(&places[i], true)
@@ -517,7 +517,7 @@
 		p := &places[i%len(places)]
 		d.MarkBusy(p, true)
 		d.MarkIdle(p, time.Duration(i))
-		d.Due(time.Duration(i), false, func(*Place[int]) bool { return false })
+		d.SelectDue(time.Duration(i), false, func(*Conn[int]) bool { return false })
 	}
 }
 
@@ -530,9 +530,9 @@
 	}
 	short := func() {
 		t.Helper()
-		var open []*Place[int]
+		var open []*Conn[int]
 		for len(open) < 20 {
-			p := &Place[int]{}
+			p := &Conn[int]{}
 			d.Admit(p, 0)
 			open = append(open, p)
 		}
--- a/cmd/bench/capacity/scale_test.go
+++ b/cmd/bench/capacity/scale_test.go
@@ -223,11 +223,11 @@
 		pairs := 0
 		for i := range played {
 			self := i * gateways / played
-			s, err := subset.New(subset.Config{Gateways: gateways, Self: self, Zone: self % zonesOfFleet, Stale: 600 * time.Millisecond}, 0)
+			s, err := subset.New(subset.Config{Gateways: gateways, Self: self, Zone: self % zonesOfFleet, MaxStaleness: 600 * time.Millisecond}, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Members(list)
+			s.SetBackends(list)
 			pairs += s.Size()
 		}
 		mean := float64(pairs) / played * float64(gateways) / float64(n)
--- a/cmd/bench/subsets/main.go
+++ b/cmd/bench/subsets/main.go
@@ -80,14 +80,14 @@
 		backends = append(backends, subset.Backend{ID: uint32(b), Key: subset.KeyOf(fmt.Sprintf("s-%d", b)), Weight: 1})
 	}
 	for j := range n {
-		s, err := subset.New(subset.Config{Gateways: n, Self: j, Stale: time.Second}, 0)
+		s, err := subset.New(subset.Config{Gateways: n, Self: j, MaxStaleness: time.Second}, 0)
 		if err != nil {
 			panic(err) // the numbers are ours
 		}
-		s.Members(backends)
+		s.SetBackends(backends)
 		m := map[int]float64{}
 		for _, u := range s.Order()[:s.Size()] {
-			if m[int(u.ID)] = u.Part / float64(s.Size()); !fitted {
+			if m[int(u.ID)] = u.PickWeight / float64(s.Size()); !fitted {
 				m[int(u.ID)] = 1 / float64(s.Size())
 			}
 		}
@@ -135,7 +135,7 @@
 	for b := range *count {
 		list = append(list, b+1)
 	}
-	s, err := subset.New(subset.Config{Gateways: n, Stale: time.Second}, 0)
+	s, err := subset.New(subset.Config{Gateways: n, MaxStaleness: time.Second}, 0)
 	if err != nil {
 		panic(err)
 	}
@@ -143,7 +143,7 @@
 	for _, b := range list {
 		first = append(first, subset.Backend{ID: uint32(b), Key: uint64(b)})
 	}
-	s.Members(first)
+	s.SetBackends(first)
 	k := s.Size()
 	even := func(int) float64 { return 1 }
 	uneven := func(j int) float64 { return []float64{0.3, 0.5, 0.7, 1, 1, 1.2, 2, 4}[j*7919%8] }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -37,7 +37,7 @@
 		longest = max(longest, c.Aim)
 	}
 	set, err := subset.New(subset.Config{Gateways: cfg.Gateways, Self: cfg.Self, Zone: cfg.Zone,
-		CrossZoneCost: cfg.CrossZoneCost, Stale: time.Duration(staleAims * float64(longest))}, now)
+		CrossZoneCost: cfg.CrossZoneCost, MaxStaleness: time.Duration(staleAims * float64(longest))}, now)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -60,7 +60,7 @@
 		for id, is := range f.ready {
 			if !named[id] {
 				delete(f.ready, id)
-				f.changes = append(f.changes, subset.Change{Backend: is, Gone: true})
+				f.changes = append(f.changes, subset.Change{Backend: is, Removed: true})
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 			}
 		} else if known {
 			delete(f.ready, b.ID)
-			f.changes = append(f.changes, subset.Change{Backend: is, Gone: true})
+			f.changes = append(f.changes, subset.Change{Backend: is, Removed: true})
 		}
 	}
 	few := len(f.changes) <= len(f.ready)/fewOf
@@ -82,20 +82,20 @@
 	}
 	// Of two ids with one key the set knows one; that the other takes its place no change tells.
 	if !few || f.set.Len() != len(f.ready) {
-		f.set.Members(slices.Collect(maps.Values(f.ready)))
+		f.set.SetBackends(slices.Collect(maps.Values(f.ready)))
 	}
 	f.use(now)
 }
 
 // use tells the gateway what to use.
 func (f *Fleet) use(now time.Duration) {
-	if f.set.Whole() {
+	if f.set.UsesAll() {
 		f.gateway.SetCandidates(now, nil, 0)
 		return
 	}
 	f.uses = f.uses[:0]
 	for _, u := range f.set.Order() {
-		f.uses = append(f.uses, choice.Candidate{Backend: u.ID, PickWeight: u.Part})
+		f.uses = append(f.uses, choice.Candidate{Backend: u.ID, PickWeight: u.PickWeight})
 	}
 	f.gateway.SetCandidates(now, f.uses, f.set.Size())
 }
@@ -103,7 +103,7 @@
 // Sent notes an attempt.
 func (f *Fleet) Sent() {
 	f.out++
-	f.set.Sent(f.out)
+	f.set.RecordAttempt(f.out)
 }
 
 // Ended notes the end of one.
--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -154,7 +154,7 @@
 			return
 		}
 	}
-	if c.first == nil && (c.closing || f.draining) && c.endBy == 0 && (c.asked || c.closing || c.place.Leaving()) {
+	if c.first == nil && (c.closing || f.draining) && c.endBy == 0 && (c.asked || c.closing || c.place.Evicting()) {
 		if !c.closing {
 			c.why = closedDraining
 		}
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -42,7 +42,7 @@
 	number uint64       // in the order of acceptance, for logs
 	index  int          // in front.clients
 	wrong  int32        // wrong commands so far
-	place  admission.Place[*client]
+	place  admission.Conn[*client]
 	timer  reactor.Timer
 
 	first, last *slot // answers due, in order
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -216,7 +216,7 @@
 	f.closeParting(now)
 	f.watchAgain(now)
 	f.accept(now)
-	f.admission.Due(now, f.waiting(), func(p *admission.Place[*client]) bool { return p.Owner.dismiss() })
+	f.admission.SelectDue(now, f.waiting(), func(p *admission.Conn[*client]) bool { return p.Owner.dismiss() })
 	if f.acceptable && !f.lastLook {
 		f.accept(now) // in the places that have become free
 	}
@@ -296,7 +296,7 @@
 func (f *front) shrink(now time.Duration) {
 	f.admission.Shrink()
 	f.growAt = now + growAfter
-	f.admission.Due(now, true, func(p *admission.Place[*client]) bool { return p.Owner.dismiss() })
+	f.admission.SelectDue(now, true, func(p *admission.Conn[*client]) bool { return p.Owner.dismiss() })
 }
 
 // add serves a new connection.
--- a/subset/bench_test.go
+++ b/subset/bench_test.go
@@ -22,7 +22,7 @@
 			b.Run(fmt.Sprintf("members/%dx%d", gateways, n), func(b *testing.B) {
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					s.Members(list[i%2:])
+					s.SetBackends(list[i%2:])
 				}
 			})
 			b.Run(fmt.Sprintf("fit/%dx%d", gateways, n), func(b *testing.B) {
@@ -30,7 +30,7 @@
 				now := time.Duration(0)
 				for i := 0; b.Loop(); i++ {
 					b.StopTimer()
-					s.Members(list[i%2:])
+					s.SetBackends(list[i%2:])
 					now += 2 * stale
 					b.StartTimer()
 					for s.Step(now) || subset.Busy(s) {
@@ -49,7 +49,7 @@
 	for b.Loop() {
 		if !subset.Busy(s) { // a zone goes, and comes back
 			i++
-			s.Members(list[i%2*840:])
+			s.SetBackends(list[i%2*840:])
 			now += stale
 		}
 		begun := time.Now()
--- a/subset/change_test.go
+++ b/subset/change_test.go
@@ -23,7 +23,7 @@
 
 func openBoth(t *testing.T, cfg subset.Config, list []subset.Backend, seed uint64) *both {
 	t.Helper()
-	cfg.Stale = stale
+	cfg.MaxStaleness = stale
 	ref, err := newReference(cfg, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -38,14 +38,14 @@
 
 // Sent tells both of an attempt.
 func (b *both) Sent(out int) {
-	b.Set.Sent(out)
+	b.Set.RecordAttempt(out)
 	b.ref.Sent(out)
 }
 
 // change tells both of changes.
 func (b *both) change(changes ...subset.Change) {
 	for _, c := range changes {
-		if c.Gone {
+		if c.Removed {
 			delete(b.list, c.Key)
 		} else {
 			b.list[c.Key] = c.Backend
@@ -68,7 +68,7 @@
 func (b *both) settle() {
 	for range 2 {
 		b.step(2*stale, false)
-		for subset.Busy(b.Set) && !b.Whole() {
+		for subset.Busy(b.Set) && !b.UsesAll() {
 			b.Step(b.now)
 		}
 	}
@@ -77,11 +77,11 @@
 // compare finds the same order, size and parts. Sums of parts come in another order in large fleets.
 func (b *both) compare(slack float64) {
 	b.Helper()
-	if b.Size() != b.ref.Size() || len(b.Order()) != len(b.ref.Order()) || b.Whole() != b.ref.Whole() {
+	if b.Size() != b.ref.Size() || len(b.Order()) != len(b.ref.Order()) || b.UsesAll() != b.ref.Whole() {
 		b.Fatalf("%d of %d in use, want %d of %d", b.Size(), len(b.Order()), b.ref.Size(), len(b.ref.Order()))
 	}
 	for i, want := range b.ref.Order() {
-		if u := b.Order()[i]; u.ID != want.ID || math.Abs(u.Part-want.Part) > slack*want.Part {
+		if u := b.Order()[i]; u.ID != want.ID || math.Abs(u.PickWeight-want.PickWeight) > slack*want.PickWeight {
 			b.Fatalf("place %d of %d: %v, want %v", i, len(b.Order()), u, want)
 		}
 	}
@@ -102,7 +102,7 @@
 		if b.rng.IntN(8) == 0 {
 			o.Zone = b.rng.IntN(4)
 		}
-		changes = append(changes, subset.Change{Backend: o, Gone: known && b.rng.IntN(4) > 0})
+		changes = append(changes, subset.Change{Backend: o, Removed: known && b.rng.IntN(4) > 0})
 	}
 	return changes
 }
@@ -130,7 +130,7 @@
 				for _, o := range some {
 					b.list[o.Key] = o
 				}
-				b.Members(some)
+				b.SetBackends(some)
 				b.ref.Members(some)
 			default:
 				for range b.rng.IntN(60) {
@@ -184,7 +184,7 @@
 		now := time.Duration(0)
 		const changes = 40
 		for i := range changes { // goes, comes back, the next one goes
-			c := subset.Change{Backend: list[i/2*7%n], Gone: i%2 == 0}
+			c := subset.Change{Backend: list[i/2*7%n], Removed: i%2 == 0}
 			s.Update([]subset.Change{c})
 			before := subset.Work(s)
 			for now += stale; s.Step(now) || subset.Busy(s); {
@@ -223,7 +223,7 @@
 	whole := subset.Work(s)
 	now := time.Duration(0)
 	for _, part := range [][]subset.Backend{list[320:], list, list[:1280], list} {
-		s.Members(part)
+		s.SetBackends(part)
 		before := subset.Work(s)
 		for now += stale; s.Step(now) || subset.Busy(s); {
 		}
@@ -241,14 +241,14 @@
 	s := open(t, subset.Config{Gateways: 480}, list)
 	now := time.Duration(0)
 	for _, part := range [][]subset.Backend{list[:960], list, list[:10], list[600:], list} {
-		s.Members(part)
+		s.SetBackends(part)
 		for now += stale; ; {
 			before := subset.Work(s)
 			s.Step(now)
 			if did := subset.Work(s) - before; did > 1<<15+2*len(list) {
 				t.Fatalf("a step costs %d draws and places", did)
 			}
-			if !subset.Busy(s) || s.Whole() {
+			if !subset.Busy(s) || s.UsesAll() {
 				break
 			}
 		}
@@ -262,7 +262,7 @@
 		s := open(t, subset.Config{Gateways: c.gateways}, list)
 		now := time.Duration(0)
 		for i := range 200 { // 20 go, 20 come back, again and again
-			s.Update([]subset.Change{{Backend: list[i%20], Gone: i/20%2 == 0}})
+			s.Update([]subset.Change{{Backend: list[i%20], Removed: i/20%2 == 0}})
 			for now += stale; s.Step(now) || subset.Busy(s); {
 			}
 		}
--- a/subset/reference_test.go
+++ b/subset/reference_test.go
@@ -35,7 +35,7 @@
 	cfg   subset.Config
 	list  []subset.Backend // by key
 	size  int
-	order []subset.Use
+	order []subset.Candidate
 	even  map[uint64]float64 // factors of parts, by key, as last fitted
 	stray bool               // the list has changed since
 
@@ -60,12 +60,12 @@
 		return nil, fmt.Errorf("subset: Config.Gateways is %d, want at least 1", cfg.Gateways)
 	case cfg.Self < 0 || cfg.Self >= cfg.Gateways:
 		return nil, fmt.Errorf("subset: Config.Self is %d, outside the %d gateways", cfg.Self, cfg.Gateways)
-	case cfg.Stale <= 0:
-		return nil, fmt.Errorf("subset: Config.Stale is %v, want more than 0", cfg.Stale)
+	case cfg.MaxStaleness <= 0:
+		return nil, fmt.Errorf("subset: Config.Stale is %v, want more than 0", cfg.MaxStaleness)
 	case !(cfg.CrossZoneCost >= 0) || math.IsInf(cfg.CrossZoneCost, 1):
 		return nil, fmt.Errorf("subset: Config.CrossZoneCost is %v, want 0 or more", cfg.CrossZoneCost)
 	}
-	return &reference{cfg: cfg, next: now + cfg.Stale}, nil
+	return &reference{cfg: cfg, next: now + cfg.MaxStaleness}, nil
 }
 
 // mix is the finalizer of splitmix64 (Steele, Lea and Flood, "Fast splittable
@@ -119,19 +119,19 @@
 	if now < s.next {
 		return false
 	}
-	span := (now - s.next + s.cfg.Stale).Seconds()
-	s.next = now + s.cfg.Stale
+	span := (now - s.next + s.cfg.MaxStaleness).Seconds()
+	s.next = now + s.cfg.MaxStaleness
 	follow := func(v *float64, seen float64) {
 		spans := restSpans
 		if seen > *v {
 			spans = rateSpans
 		}
-		*v += (1 - math.Exp(-span/s.cfg.Stale.Seconds()/spans)) * (seen - *v)
+		*v += (1 - math.Exp(-span/s.cfg.MaxStaleness.Seconds()/spans)) * (seen - *v)
 	}
 	follow(&s.rate, float64(s.sent)/span)
 	follow(&s.out, float64(s.peak))
 	s.sent, s.peak = 0, 0
-	if need := max(s.rate*s.cfg.Stale.Seconds(), roomOut*s.out); need > s.level || need*stepUp < s.level {
+	if need := max(s.rate*s.cfg.MaxStaleness.Seconds(), roomOut*s.out); need > s.level || need*stepUp < s.level {
 		s.level = need * math.Sqrt(stepUp) // room on both sides, so that the need may wander
 	}
 	resized := s.resize()
@@ -153,7 +153,7 @@
 
 // Order is all backends, in the order in which this gateway turns to them. It is
 // valid until the next call of Members or Step.
-func (s *reference) Order() []subset.Use { return s.order }
+func (s *reference) Order() []subset.Candidate { return s.order }
 
 // resize works out the size, and tells whether it has changed.
 func (s *reference) resize() bool {
@@ -171,7 +171,7 @@
 	s.order = s.order[:0]
 	if s.Whole() { // as the list stands, so that nothing hangs on a rank that means nothing
 		for i := range s.list {
-			s.order = append(s.order, subset.Use{ID: s.list[i].ID, Part: 1})
+			s.order = append(s.order, subset.Candidate{ID: s.list[i].ID, PickWeight: 1})
 		}
 		return
 	}
@@ -198,10 +198,10 @@
 		if i < s.size {
 			sum += part
 		}
-		s.order = append(s.order, subset.Use{ID: b.ID, Part: part})
+		s.order = append(s.order, subset.Candidate{ID: b.ID, PickWeight: part})
 	}
 	for i := range s.order {
-		s.order[i].Part *= float64(s.size) / sum
+		s.order[i].PickWeight *= float64(s.size) / sum
 	}
 	s.rows = row[:0]
 }
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -28,7 +28,7 @@
 	cover     = 16   // gateways that use each backend at least, on average: unequal traffic evens out over several only
 	nearlyAll = 0.7  // a set of more than this part of all backends is all of them
 	roomOut   = 2.0  // backends in use for each attempt out: so many free ones, warm, are met by the next attempt
-	rateSpans = 2.0  // spans of Config.Stale over which the rate is averaged while it grows ...
+	rateSpans = 2.0  // spans of Config.MaxStaleness over which the rate is averaged while it grows ...
 	restSpans = 30.0 // ... and while it falls: a set shrinks slowly, as its connections are paid for
 	stepUp    = 1.25 // the size changes only where the need is off by more than this, so that noise moves nothing
 	pull      = 20.0 // how much more a backend of the own zone is worth, for each unit of the price of leaving it ...
@@ -42,7 +42,7 @@
 	Self          int           // number of this one, from 0
 	Zone          int           // of this gateway
 	CrossZoneCost float64       // price of a request that leaves the zone, as a part of its worth
-	Stale         time.Duration // what was seen of a backend tells little after this
+	MaxStaleness  time.Duration // what was seen of a backend tells little after this
 }
 
 // Backend is one that takes new work.
@@ -53,10 +53,10 @@
 	Weight float64 // its size among the others'; 0 or less: 1
 }
 
-// Use is one backend in the order in which a gateway turns to them.
-type Use struct {
-	ID   uint32
-	Part float64 // of the gateway's work while the first Size are in use, 1 on average; beyond them an estimate
+// Candidate is one backend in the order in which a gateway turns to them.
+type Candidate struct {
+	ID         uint32
+	PickWeight float64 // of the gateway's work while the first Size are in use, 1 on average; beyond them an estimate
 }
 
 // Set is what one gateway uses. It is not safe for concurrent use. It keeps about
@@ -68,7 +68,7 @@
 	ranked []*member // by score; nil while all are in use
 	own    float64   // how much more the own zone counts in these scores
 	size   int
-	order  []Use
+	order  []Candidate
 	fit    fitting
 	stray  bool // the list has changed since the last fit began
 
@@ -95,12 +95,12 @@
 		return nil, fmt.Errorf("subset: Config.Gateways is %d, want at least 1", cfg.Gateways)
 	case cfg.Self < 0 || cfg.Self >= cfg.Gateways:
 		return nil, fmt.Errorf("subset: Config.Self is %d, outside the %d gateways", cfg.Self, cfg.Gateways)
-	case cfg.Stale <= 0:
-		return nil, fmt.Errorf("subset: Config.Stale is %v, want more than 0", cfg.Stale)
+	case cfg.MaxStaleness <= 0:
+		return nil, fmt.Errorf("subset: Config.Stale is %v, want more than 0", cfg.MaxStaleness)
 	case !(cfg.CrossZoneCost >= 0) || math.IsInf(cfg.CrossZoneCost, 1):
 		return nil, fmt.Errorf("subset: Config.CrossZoneCost is %v, want 0 or more", cfg.CrossZoneCost)
 	}
-	return &Set{cfg: cfg, next: now + cfg.Stale}, nil
+	return &Set{cfg: cfg, next: now + cfg.MaxStaleness}, nil
 }
 
 // KeyOf turns a backend's name into its key.
@@ -136,11 +136,11 @@
 	return 1
 }
 
-// Members takes the backends that take new work, all of them, in any order. Of
+// SetBackends takes the backends that take new work, all of them, in any order. Of
 // two with one key the first counts. What is in use, and in which order, follows
 // at once; parts are fitted to a list that changes again and again once in each
-// span of Config.Stale, as that costs time for every gateway and backend.
-func (s *Set) Members(list []Backend) {
+// span of Config.MaxStaleness, as that costs time for every gateway and backend.
+func (s *Set) SetBackends(list []Backend) {
 	type place struct {
 		key uint64
 		at  int
@@ -164,10 +164,10 @@
 // Change is one change of the list.
 type Change struct {
 	Backend
-	Gone bool // it takes no new work; its ID and Key alone count
+	Removed bool // it takes no new work; its ID and Key alone count
 }
 
-// Update takes changes of the list, one after the other. It leaves what Members
+// Update takes changes of the list, one after the other. It leaves what SetBackends
 // would with the list that they make, but looks only at what has changed. One
 // whose key stands under another ID is left out, as Len shows.
 func (s *Set) Update(changes []Change) {
@@ -176,7 +176,7 @@
 	}
 	for _, c := range changes {
 		i, known := slices.BinarySearchFunc(s.list, c.Key, func(m *member, key uint64) int { return cmp.Compare(m.Key, key) })
-		if known && s.list[i].ID != c.ID || !known && c.Gone {
+		if known && s.list[i].ID != c.ID || !known && c.Removed {
 			continue
 		}
 		if known {
@@ -186,7 +186,7 @@
 			}
 			s.list = slices.Delete(s.list, i, i+1)
 		}
-		if !c.Gone {
+		if !c.Removed {
 			m := &member{Backend: c.Backend, part: s.fit.factorOf(c.Key)}
 			s.list = slices.Insert(s.list, i, m)
 			if s.ranked != nil {
@@ -206,14 +206,14 @@
 func (s *Set) changed() {
 	s.resize()
 	s.stray = true
-	if s.fit.factors == nil && !s.Whole() {
+	if s.fit.factors == nil && !s.UsesAll() {
 		s.refit(math.MaxInt)
 	}
 	s.arrange()
 }
 
-// Sent notes a first attempt, with so many attempts out.
-func (s *Set) Sent(out int) {
+// RecordAttempt notes a first attempt, with so many attempts out.
+func (s *Set) RecordAttempt(out int) {
 	s.sent++
 	s.peak = max(s.peak, out)
 }
@@ -225,7 +225,7 @@
 	resized := due && s.follow(now)
 	s.stray = s.stray || resized && s.fit.busy // that fit is for the size of before
 	changed := resized || due && s.stray
-	if !s.Whole() && (changed || s.fit.busy) {
+	if !s.UsesAll() && (changed || s.fit.busy) {
 		changed = s.refit(stepWork) || resized
 	}
 	if changed {
@@ -237,19 +237,19 @@
 // follow works out anew, once a span, how many backends the traffic asks for, and
 // tells whether that is another size.
 func (s *Set) follow(now time.Duration) bool {
-	span := (now - s.next + s.cfg.Stale).Seconds()
-	s.next = now + s.cfg.Stale
+	span := (now - s.next + s.cfg.MaxStaleness).Seconds()
+	s.next = now + s.cfg.MaxStaleness
 	follow := func(v *float64, seen float64) {
 		spans := restSpans
 		if seen > *v {
 			spans = rateSpans
 		}
-		*v += (1 - math.Exp(-span/s.cfg.Stale.Seconds()/spans)) * (seen - *v)
+		*v += (1 - math.Exp(-span/s.cfg.MaxStaleness.Seconds()/spans)) * (seen - *v)
 	}
 	follow(&s.rate, float64(s.sent)/span)
 	follow(&s.out, float64(s.peak))
 	s.sent, s.peak = 0, 0
-	if need := max(s.rate*s.cfg.Stale.Seconds(), roomOut*s.out); need > s.level || need*stepUp < s.level {
+	if need := max(s.rate*s.cfg.MaxStaleness.Seconds(), roomOut*s.out); need > s.level || need*stepUp < s.level {
 		s.level = need * math.Sqrt(stepUp) // room on both sides, so that the need may wander
 	}
 	return s.resize()
@@ -258,12 +258,12 @@
 // Size is how many of Order are in use while all of them take work.
 func (s *Set) Size() int { return s.size }
 
-// Whole tells that all backends are in use: there is nothing to choose.
-func (s *Set) Whole() bool { return s.size >= len(s.list) }
+// UsesAll tells that all backends are in use: there is nothing to choose.
+func (s *Set) UsesAll() bool { return s.size >= len(s.list) }
 
 // Order is all backends, in the order in which this gateway turns to them. It is
-// valid until the next call of Members or Step.
-func (s *Set) Order() []Use { return s.order }
+// valid until the next call of SetBackends or Step.
+func (s *Set) Order() []Candidate { return s.order }
 
 // resize works out the size, and tells whether it has changed.
 func (s *Set) resize() bool {
@@ -279,10 +279,10 @@
 // arrange makes the order and the parts.
 func (s *Set) arrange() {
 	s.order = s.order[:0]
-	if s.Whole() { // as the list stands, so that nothing hangs on a rank that means nothing
+	if s.UsesAll() { // as the list stands, so that nothing hangs on a rank that means nothing
 		s.ranked = nil
 		for _, m := range s.list {
-			s.order = append(s.order, Use{m.ID, 1})
+			s.order = append(s.order, Candidate{m.ID, 1})
 		}
 		return
 	}
@@ -299,10 +299,10 @@
 		if i < s.size {
 			sum += m.part
 		}
-		s.order = append(s.order, Use{m.ID, m.part})
+		s.order = append(s.order, Candidate{m.ID, m.part})
 	}
 	for i := range s.order {
-		s.order[i].Part *= float64(s.size) / sum
+		s.order[i].PickWeight *= float64(s.size) / sum
 	}
 }
 
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -24,14 +24,14 @@
 
 func open(t testing.TB, cfg subset.Config, list []subset.Backend) *subset.Set {
 	t.Helper()
-	if cfg.Stale == 0 {
-		cfg.Stale = stale
+	if cfg.MaxStaleness == 0 {
+		cfg.MaxStaleness = stale
 	}
 	s, err := subset.New(cfg, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Members(list)
+	s.SetBackends(list)
 	return s
 }
 
@@ -39,7 +39,7 @@
 func used(s *subset.Set) map[uint32]float64 {
 	m := map[uint32]float64{}
 	for _, u := range s.Order()[:s.Size()] {
-		m[u.ID] = u.Part / float64(s.Size())
+		m[u.ID] = u.PickWeight / float64(s.Size())
 	}
 	return m
 }
@@ -129,11 +129,11 @@
 		before := pairs()
 		less := slices.Delete(slices.Clone(list), gone, gone+1)
 		for _, s := range sets {
-			s.Members(less)
+			s.SetBackends(less)
 		}
 		without := pairs()
 		for _, s := range sets {
-			s.Members(list)
+			s.SetBackends(list)
 		}
 		m, of := moved(before, without)
 		back, _ := moved(without, pairs())
@@ -166,19 +166,19 @@
 		gateways := rapid.IntRange(1, 400).Draw(t, "gateways")
 		self := rapid.IntRange(0, gateways-1).Draw(t, "self")
 		list := backends(0, n, rapid.IntRange(1, 5).Draw(t, "zones"))
-		cfg := subset.Config{Gateways: gateways, Self: self, CrossZoneCost: 0.05, Stale: stale}
+		cfg := subset.Config{Gateways: gateways, Self: self, CrossZoneCost: 0.05, MaxStaleness: stale}
 		one, err := subset.New(cfg, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		one.Members(list)
+		one.SetBackends(list)
 		other, _ := subset.New(cfg, 0)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		shuffled := slices.Clone(list)
 		rng.Shuffle(n, func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-		other.Members(append(backends(n, rapid.IntRange(0, 40).Draw(t, "passing"), 2), shuffled...))
-		other.Members(shuffled[:n/2])
-		other.Members(shuffled)
+		other.SetBackends(append(backends(n, rapid.IntRange(0, 40).Draw(t, "passing"), 2), shuffled...))
+		other.SetBackends(shuffled[:n/2])
+		other.SetBackends(shuffled)
 		one.Step(2 * stale) // by which time the parts are fitted, too
 		other.Step(2 * stale)
 		if !slices.Equal(one.Order(), other.Order()) || one.Size() != other.Size() {
@@ -211,7 +211,7 @@
 		}
 	}
 	s := open(t, subset.Config{Gateways: 5}, nil)
-	if s.Size() != 0 || len(s.Order()) != 0 || !s.Whole() {
+	if s.Size() != 0 || len(s.Order()) != 0 || !s.UsesAll() {
 		t.Errorf("of none, %d are in use", s.Size())
 	}
 }
@@ -223,7 +223,7 @@
 	now, changes := time.Duration(0), 0
 	run := func(perSecond, out int, span time.Duration) {
 		for end := now + span; now < end; now += time.Second / time.Duration(perSecond) {
-			s.Sent(out)
+			s.RecordAttempt(out)
 			if s.Step(now) {
 				changes++
 			}
@@ -317,13 +317,13 @@
 }
 
 func TestConfigIsChecked(t *testing.T) {
-	good := subset.Config{Gateways: 3, Self: 2, Stale: stale}
+	good := subset.Config{Gateways: 3, Self: 2, MaxStaleness: stale}
 	if _, err := subset.New(good, 0); err != nil {
 		t.Error(err)
 	}
 	for _, change := range []func(*subset.Config){
 		func(c *subset.Config) { c.Gateways = 0 }, func(c *subset.Config) { c.Self = 3 }, func(c *subset.Config) { c.Self = -1 },
-		func(c *subset.Config) { c.Stale = 0 }, func(c *subset.Config) { c.CrossZoneCost = math.NaN() }, func(c *subset.Config) { c.CrossZoneCost = -1 },
+		func(c *subset.Config) { c.MaxStaleness = 0 }, func(c *subset.Config) { c.CrossZoneCost = math.NaN() }, func(c *subset.Config) { c.CrossZoneCost = -1 },
 	} {
 		c := good
 		change(&c)
@@ -341,7 +341,7 @@
 			s := open(b, subset.Config{Gateways: c.gateways}, list)
 			now := time.Duration(0)
 			for b.Loop() { // a change, and the fit that follows it
-				s.Members(list)
+				s.SetBackends(list)
 				now += 2 * stale
 				s.Step(now)
 			}
