--- a/subset/export_test.go
+++ b/subset/export_test.go
@@ -1,16 +1,17 @@
 package subset
 
-// Work is how many draws a set has made for all gateways and places in their rows it has looked at, ever.
-func Work(s *Set) int { return s.fit.work }
+// FitWork returns how many hashes and row entries the fits of a set have processed in total.
+func FitWork(s *Set) int { return s.fit.work }
 
-// Busy tells that a fit is under way.
-func Busy(s *Set) bool { return s.fit.busy }
+// FitRunning reports whether a fit is in progress.
+func FitRunning(s *Set) bool { return s.fit.running }
 
-// Kept is how many bytes a set holds for fits.
-func Kept(s *Set) (n int) {
+// FitBytes returns how many bytes a set holds for fits.
+func FitBytes(s *Set) (n int) {
 	f := &s.fit
 	for _, r := range f.rows {
 		n += 24 + 4*cap(r)
 	}
-	return n + 16*(cap(f.factors)+cap(f.list)+cap(f.heap)) + 4*(cap(f.moved)+cap(f.came)) + 8*(cap(f.want)+cap(f.got)+cap(f.factor))
+	return n + 16*(cap(f.factors)+cap(f.entries)+cap(f.heap)) + 4*(cap(f.newIndex)+cap(f.added)) +
+		8*(cap(f.target)+cap(f.assigned)+cap(f.factor))
 }
--- a/subset/fit.go
+++ b/subset/fit.go
@@ -8,291 +8,298 @@
 
 // Settings of a fit.
 const (
-	rounds   = 12      // at most
-	fitted   = 0.02    // it ends once every backend is this close to its part
-	small    = 1 << 16 // draws for all gateways and backends up to which a fit is done at once, and keeps nothing
-	stepWork = 1 << 15 // draws, and places in rows, that one step looks at in a larger one
-	spare    = 8       // a row is drawn this much longer than is in use, and by one in so many: what goes leaves enough
+	maxRounds      = 12      // of proportional fitting
+	tolerance      = 0.02    // a fit ends once the share of each backend is within this of its target
+	smallFitHashes = 1 << 16 // hashes (gateways times backends) up to which a fit runs in one step and keeps no rows
+	stepWork       = 1 << 15 // hashes and row entries that one step of a larger fit processes
+	rowSlack       = 8       // extra entries of a row, and divisor of the size for further ones, to last through removals
 )
 
-// fitting works out, for each backend, the factor by which every gateway multiplies
-// its part so that what all gateways together give each is as its weight, if all
-// have as much to give and as many in use as this one.
+// fitter computes, for each backend, the factor by which every gateway multiplies
+// the backend's share, so that the total load of each backend is proportional to
+// its weight. It assumes that all gateways have the same load and the same number
+// of backends in use as this one.
 //
-// In a large fleet it keeps each gateway's row, the backends of its least scores in
-// order, from one fit to the next. A backend that comes costs one draw for each
-// gateway, one that goes is struck from the rows, and a row that gets too short is
-// drawn anew. So a fit comes out as the first one would. Rows take 4 bytes for
-// each gateway and each backend in use at it, and an eighth more (0.32 MB for 480
-// gateways with 140 in use); twice that at most after a set has shrunk. The list
-// as fitted takes 32 bytes for each backend.
-type fitting struct {
-	factors []factor // as last worked out, by key; nil: never
-	list    []share  // by key, that rows stand for
-	rows    [][]int32
-	size    int  // backends in use at each gateway
-	alike   bool // all weigh the same, so that no score needs a logarithm
+// In a large fleet it keeps each gateway's row, the backends with the lowest scores
+// in order, from one fit to the next. A new backend costs one hash per gateway, a
+// removed one is deleted from the rows, and a row that becomes too short is built
+// anew. The result is that of a fit from scratch. Rows take 4 bytes for each
+// gateway and backend in use at it, and an eighth more (0.32 MB for 480 gateways
+// with 140 in use); at most twice that after a set has shrunk. The fitted list
+// takes 32 bytes for each backend.
+type fitter struct {
+	factors      []keyFactor // result of the last fit, sorted by key; nil before the first
+	entries      []keyWeight // sorted by key; rows hold indexes into it
+	rows         [][]int32
+	size         int  // backends in use at each gateway
+	equalWeights bool // all weights are equal, so that scores need no logarithm
 
-	busy              bool // what follows is the fit's that is under way
-	keep              bool // rows, for the next
-	ranked            int  // rows that stand for the list
-	moved             []int32
-	came              []int32   // places in the list that are new, or weigh otherwise
-	fed               int       // rows that have given their parts in this round
-	round             int       // of proportional fitting
-	want, got, factor []float64 // by place
-	heap              []pair
-	work              int // draws made and places in rows looked at, ever
+	running                  bool      // a fit is in progress; the fields below are its state
+	keepRows                 bool      // for the next fit
+	rowsUpdated              int       // rows brought up to date with the list
+	newIndex                 []int32   // by previous index: index in entries, or -1
+	added                    []int32   // indexes in entries that are new or have another weight
+	rowsAssigned             int       // rows whose work has been assigned in this round
+	round                    int       // of proportional fitting
+	target, assigned, factor []float64 // by index in entries
+	heap                     []scoredEntry
+	work                     int // hashes computed and row entries processed, in total
 }
 
-// factor is what multiplies a backend's part.
-type factor struct {
-	key uint64
-	by  float64
+// keyFactor is the factor of one backend's share.
+type keyFactor struct {
+	key    uint64
+	factor float64
 }
 
-// share is what a backend is to get.
-type share struct {
+// keyWeight is the weight of one backend.
+type keyWeight struct {
 	key    uint64
 	weight float64
 }
 
-type pair struct {
+type scoredEntry struct {
 	score float64
-	to    int32 // place in list
+	index int32 // in fitter.entries
 }
 
-// factorOf is a backend's factor; 1 for one that is new, until the next fit.
-func (f *fitting) factorOf(key uint64) float64 {
-	i, ok := slices.BinarySearchFunc(f.factors, key, func(f factor, key uint64) int { return cmp.Compare(f.key, key) })
+// factorOf returns a backend's factor; 1 for a new one until the next fit.
+func (f *fitter) factorOf(key uint64) float64 {
+	i, ok := slices.BinarySearchFunc(f.factors, key, func(f keyFactor, key uint64) int { return cmp.Compare(f.key, key) })
 	if !ok {
 		return 1
 	}
-	return f.factors[i].by
+	return f.factors[i].factor
 }
 
-// begin begins a fit to a list, sorted by key.
-func (f *fitting) begin(list []*member, gateways, size int) {
-	before, alike := f.list, f.alike
-	f.list, f.alike, f.size = make([]share, len(list)), true, size
+// start starts a fit to a list that is sorted by key.
+func (f *fitter) start(list []*member, gateways, size int) {
+	previous, previouslyEqual := f.entries, f.equalWeights
+	f.entries, f.equalWeights, f.size = make([]keyWeight, len(list)), true, size
 	for i, m := range list {
-		f.list[i] = share{m.Key, weightOf(&m.Backend)}
-		f.alike = f.alike && f.list[i].weight == f.list[0].weight
+		f.entries[i] = keyWeight{m.Key, weightOf(&m.Backend)}
+		f.equalWeights = f.equalWeights && f.entries[i].weight == f.entries[0].weight
 	}
-	f.busy, f.ranked, f.fed, f.round = true, 0, 0, 0
-	f.keep = gateways*len(list) > small
-	if !f.keep || len(f.rows) == 0 || f.alike != alike {
-		f.rows, before = make([][]int32, gateways), nil
+	f.running, f.rowsUpdated, f.rowsAssigned, f.round = true, 0, 0, 0
+	f.keepRows = gateways*len(list) > smallFitHashes
+	if !f.keepRows || len(f.rows) == 0 || f.equalWeights != previouslyEqual {
+		f.rows, previous = make([][]int32, gateways), nil
 	}
-	f.compare(before)
-	f.want, f.got, f.factor = make([]float64, len(list)), make([]float64, len(list)), make([]float64, len(list))
+	f.diffEntries(previous)
+	f.target, f.assigned, f.factor = make([]float64, len(list)), make([]float64, len(list)), make([]float64, len(list))
 	total := 0.0
-	for i, s := range f.list {
-		f.want[i] = s.weight
+	for i, s := range f.entries {
+		f.target[i] = s.weight
 		total += s.weight
 	}
-	for i := range f.want {
-		f.want[i] *= float64(gateways) / total
+	for i := range f.target {
+		f.target[i] *= float64(gateways) / total
 		f.factor[i] = 1
 	}
 }
 
-// compare notes where the backends of the list before stand now: below 0 where they
-// are gone, or weigh otherwise.
-func (f *fitting) compare(before []share) {
-	f.moved, f.came = make([]int32, len(before)), f.came[:0]
+// diffEntries sets newIndex for the entries of the previous list (-1 for those that
+// are removed or have another weight), and added.
+func (f *fitter) diffEntries(previous []keyWeight) {
+	f.newIndex, f.added = make([]int32, len(previous)), f.added[:0]
 	i := 0
-	for j, s := range f.list {
-		for ; i < len(before) && before[i].key < s.key; i++ {
-			f.moved[i] = -1
+	for j, s := range f.entries {
+		for ; i < len(previous) && previous[i].key < s.key; i++ {
+			f.newIndex[i] = -1
 		}
-		if i == len(before) || before[i] != s {
-			f.came = append(f.came, int32(j))
+		if i == len(previous) || previous[i] != s {
+			f.added = append(f.added, int32(j))
 			continue
 		}
-		f.moved[i] = int32(j)
+		f.newIndex[i] = int32(j)
 		i++
 	}
-	for ; i < len(before); i++ {
-		f.moved[i] = -1
+	for ; i < len(previous); i++ {
+		f.newIndex[i] = -1
 	}
 }
 
-// step goes on for so many draws and places, and to the end of the row that it is
-// at; in a small fleet to the end. It tells whether the fit has ended.
-func (f *fitting) step(work int) bool {
-	if !f.keep {
+// step continues the fit for this many hashes and row entries, and to the end of
+// the current row; without kept rows (a small fleet) to the end of the fit. It
+// reports whether the fit is complete.
+func (f *fitter) step(work int) bool {
+	if !f.keepRows {
 		work = math.MaxInt
 	}
-	for end := f.work + min(work, math.MaxInt-f.work); f.work < end; {
+	for limit := f.work + min(work, math.MaxInt-f.work); f.work < limit; {
 		switch {
-		case f.ranked < len(f.rows):
-			f.rank(f.ranked)
-			f.ranked++
-		case f.fed < len(f.rows):
-			f.feed(f.rows[f.fed][:f.size])
-			f.fed++
-		case f.settle():
-			f.end()
+		case f.rowsUpdated < len(f.rows):
+			f.updateRow(f.rowsUpdated)
+			f.rowsUpdated++
+		case f.rowsAssigned < len(f.rows):
+			f.assign(f.rows[f.rowsAssigned][:f.size])
+			f.rowsAssigned++
+		case f.finishRound():
+			f.finish()
 			return true
 		}
 	}
 	return false
 }
 
-// rank brings a gateway's row up to the list.
-func (f *fitting) rank(j int) {
+// updateRow brings a gateway's row up to date with the list.
+func (f *fitter) updateRow(j int) {
 	row, gateway := f.rows[j], mix(uint64(j))
 	f.work += len(row)
-	stay := row[:0]
+	kept := row[:0]
 	for _, i := range row {
-		if to := f.moved[i]; to >= 0 {
-			stay = append(stay, to)
+		if index := f.newIndex[i]; index >= 0 {
+			kept = append(kept, index)
 		}
 	}
-	most := f.size
-	if f.keep {
-		most = min(len(f.list), f.size+spare+f.size/spare)
+	maxLen := f.size
+	if f.keepRows {
+		maxLen = min(len(f.entries), f.size+rowSlack+f.size/rowSlack)
 	}
 	switch {
-	case len(stay) == 0 || 2*len(f.came) > len(f.list):
-		f.rows[j] = f.draw(gateway, most)
+	case len(kept) == 0 || 2*len(f.added) > len(f.entries):
+		f.rows[j] = f.buildRow(gateway, maxLen)
 		return
-	case cap(stay) > 2*most:
-		stay = append(make([]int32, 0, most), stay[:min(most, len(stay))]...)
+	case cap(kept) > 2*maxLen:
+		kept = append(make([]int32, 0, maxLen), kept[:min(maxLen, len(kept))]...)
 	}
-	worst := f.score(gateway, stay[len(stay)-1])
-	for _, i := range f.came {
-		p := f.score(gateway, i)
-		if !p.less(worst) {
-			continue // whatever stands beyond the row is no better
+	last := f.scoreOf(gateway, kept[len(kept)-1])
+	for _, i := range f.added {
+		candidate := f.scoreOf(gateway, i)
+		if !candidate.less(last) {
+			continue // backends beyond the row have no lower scores
 		}
-		at, _ := slices.BinarySearchFunc(stay, p, func(i int32, p pair) int {
-			if f.score(gateway, i).less(p) {
+		position, _ := slices.BinarySearchFunc(kept, candidate, func(i int32, p scoredEntry) int {
+			if f.scoreOf(gateway, i).less(p) {
 				return -1
 			}
 			return 1
 		})
-		if len(stay) == cap(stay) {
-			stay = stay[:len(stay)-1]
+		if len(kept) == cap(kept) {
+			kept = kept[:len(kept)-1]
 		}
-		stay = slices.Insert(stay, at, i)
-		worst = f.score(gateway, stay[len(stay)-1])
+		kept = slices.Insert(kept, position, i)
+		last = f.scoreOf(gateway, kept[len(kept)-1])
 	}
-	if len(stay) < f.size {
-		stay = f.draw(gateway, most)
+	if len(kept) < f.size {
+		kept = f.buildRow(gateway, maxLen)
 	}
-	f.rows[j] = stay
+	f.rows[j] = kept
 }
 
-// score is a gateway's for one backend.
-func (f *fitting) score(gateway uint64, i int32) pair {
+// scoreOf computes a gateway's score for one backend.
+func (f *fitter) scoreOf(gateway uint64, i int32) scoredEntry {
 	f.work++
-	s := &f.list[i]
-	u := draw(gateway, s.key)
-	if f.alike {
-		return pair{1 - u, i} // ranks as -ln u does
+	s := &f.entries[i]
+	u := unitHash(gateway, s.key)
+	if f.equalWeights {
+		return scoredEntry{1 - u, i} // same order as -ln u
 	}
-	return pair{-math.Log(u) / s.weight, i}
+	return scoredEntry{-math.Log(u) / s.weight, i}
 }
 
-// draw makes a gateway's row of its k least scores. Where rows are kept they are in order.
-func (f *fitting) draw(gateway uint64, k int) []int32 {
-	f.work += len(f.list)
+// buildRow returns a gateway's row: the k backends with the lowest scores, sorted if
+// rows are kept.
+func (f *fitter) buildRow(gateway uint64, k int) []int32 {
+	f.work += len(f.entries)
 	heap := f.heap[:0]
-	for i := range f.list {
-		s := &f.list[i]
-		u, w := draw(gateway, s.key), 1.0
-		rank := 1 - u
-		if !f.alike {
-			w = s.weight
+	for i := range f.entries {
+		s := &f.entries[i]
+		u, entryWeight := unitHash(gateway, s.key), 1.0
+		entryScore := 1 - u
+		if !f.equalWeights {
+			entryWeight = s.weight
 		}
-		if len(heap) == k && rank > heap[0].score*w {
-			continue // -ln u is no less: most need no logarithm
+		if len(heap) == k && entryScore > heap[0].score*entryWeight {
+			continue // -ln u is at least 1-u, so most backends need no logarithm
 		}
-		if !f.alike {
-			rank = -math.Log(u) / w
+		if !f.equalWeights {
+			entryScore = -math.Log(u) / entryWeight
 		}
-		heap = keep(heap, k, pair{rank, int32(i)})
+		heap = pushBounded(heap, k, scoredEntry{entryScore, int32(i)})
 	}
-	if f.keep {
-		slices.SortFunc(heap, func(a, b pair) int { return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.to, b.to)) })
+	if f.keepRows {
+		slices.SortFunc(heap, func(a, b scoredEntry) int {
+			return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.index, b.index))
+		})
 	}
 	row := make([]int32, len(heap))
 	for i, p := range heap {
-		row[i] = p.to
+		row[i] = p.index
 	}
 	f.heap = heap
 	return row
 }
 
-// feed gives the backends in use at one gateway their parts of its work.
-func (f *fitting) feed(uses []int32) {
-	f.work += len(uses)
+// assign adds one gateway's work to the backends in its row.
+func (f *fitter) assign(row []int32) {
+	f.work += len(row)
 	sum := 0.0
-	for _, i := range uses {
+	for _, i := range row {
 		sum += f.factor[i]
 	}
 	sum = 1 / sum
-	for _, i := range uses {
-		f.got[i] += f.factor[i] * sum
+	for _, i := range row {
+		f.assigned[i] += f.factor[i] * sum
 	}
 }
 
-// settle ends a round. It tells whether it was the last.
-func (f *fitting) settle() bool {
-	off := 0.0
-	for i, got := range f.got {
-		if got > 0 { // nobody uses it otherwise
-			off = max(off, math.Abs(got/f.want[i]-1))
-			f.factor[i] *= f.want[i] / got
+// finishRound corrects the factors after a round, and reports whether it was the last.
+func (f *fitter) finishRound() bool {
+	maxError := 0.0
+	for i, got := range f.assigned {
+		if got > 0 { // otherwise no gateway uses it
+			maxError = max(maxError, math.Abs(got/f.target[i]-1))
+			f.factor[i] *= f.target[i] / got
 		}
 	}
-	clear(f.got)
-	f.fed = 0
+	clear(f.assigned)
+	f.rowsAssigned = 0
 	f.round++
-	return off < fitted || f.round == rounds
+	return maxError < tolerance || f.round == maxRounds
 }
 
-// end keeps what the next fit needs, and the factors.
-func (f *fitting) end() {
-	f.factors = slices.Grow(f.factors[:0], len(f.list))
-	for i, s := range f.list {
-		f.factors = append(f.factors, factor{s.key, f.factor[i]})
+// finish stores the factors, and keeps what the next fit needs.
+func (f *fitter) finish() {
+	f.factors = slices.Grow(f.factors[:0], len(f.entries))
+	for i, s := range f.entries {
+		f.factors = append(f.factors, keyFactor{s.key, f.factor[i]})
 	}
-	f.busy, f.moved, f.want, f.got, f.factor = false, nil, nil, nil, nil
-	if !f.keep {
-		f.rows, f.list = nil, nil
+	f.running, f.newIndex, f.target, f.assigned, f.factor = false, nil, nil, nil, nil
+	if !f.keepRows {
+		f.rows, f.entries = nil, nil
 	}
 }
 
-func (p pair) less(q pair) bool { return p.score < q.score || p.score == q.score && p.to < q.to }
+func (p scoredEntry) less(q scoredEntry) bool {
+	return p.score < q.score || p.score == q.score && p.index < q.index
+}
 
-// keep adds a pair to a heap of the k least, the greatest on top.
-func keep(h []pair, k int, p pair) []pair {
-	if len(h) < k {
-		h = append(h, p)
-		for i := len(h) - 1; i > 0 && h[(i-1)/2].less(h[i]); i = (i - 1) / 2 {
-			h[(i-1)/2], h[i] = h[i], h[(i-1)/2]
+// pushBounded adds an entry to a max-heap of the k lowest scores.
+func pushBounded(heap []scoredEntry, k int, p scoredEntry) []scoredEntry {
+	if len(heap) < k {
+		heap = append(heap, p)
+		for i := len(heap) - 1; i > 0 && heap[(i-1)/2].less(heap[i]); i = (i - 1) / 2 {
+			heap[(i-1)/2], heap[i] = heap[i], heap[(i-1)/2]
 		}
-		return h
+		return heap
 	}
-	if !p.less(h[0]) {
-		return h
+	if !p.less(heap[0]) {
+		return heap
 	}
-	h[0] = p
+	heap[0] = p
 	for i := 0; ; {
-		c := 2*i + 1
-		if c >= k {
-			return h
+		child := 2*i + 1
+		if child >= k {
+			return heap
 		}
-		if c+1 < k && h[c].less(h[c+1]) {
-			c++
+		if child+1 < k && heap[child].less(heap[child+1]) {
+			child++
 		}
-		if !h[i].less(h[c]) {
-			return h
+		if !heap[i].less(heap[child]) {
+			return heap
 		}
-		h[i], h[c] = h[c], h[i]
-		i = c
+		heap[i], heap[child] = heap[child], heap[i]
+		i = child
 	}
 }
--- a/subset/reference_test.go
+++ b/subset/reference_test.go
@@ -1,8 +1,8 @@
 package subset_test
 
-// reference is package subset as it stood before rows were kept from one fit to the
-// next: each list is sorted anew, and each fit draws for every gateway and backend.
-// Its code is left as it was but for its names.
+// reference is package subset before it kept rows from one fit to the next: each list
+// is sorted anew, and each fit computes a hash for every gateway and backend. The code
+// is unchanged except for names and comments.
 
 import (
 	"cmp"
@@ -14,46 +14,46 @@
 	"wickarch/subset"
 )
 
-// Settings. Each is a ratio to what Config and the list state.
+// Settings, relative to the values of Config and to the list.
 const (
-	least     = 4    // backends in use at least, where there are so many: choice among them, and what a failure of one takes
-	cover     = 16   // gateways that use each backend at least, on average: unequal traffic evens out over several only
-	nearlyAll = 0.7  // a set of more than this part of all backends is all of them
-	roomOut   = 2.0  // backends in use for each attempt out: so many free ones, warm, are met by the next attempt
-	rateSpans = 2.0  // spans of Config.Stale over which the rate is averaged while it grows ...
-	restSpans = 30.0 // ... and while it falls: a set shrinks slowly, as its connections are paid for
-	stepUp    = 1.25 // the size changes only where the need is off by more than this, so that noise moves nothing
-	rounds    = 12   // of proportional fitting, at most
-	fitted    = 0.02 // it ends once every backend is this close to its part
-	pull      = 20.0 // how much more a backend of the own zone is worth, for each unit of the price of leaving it ...
-	freely    = 0.03 // ... beyond this: for less the zone is left freely, as to prefer it makes the fleet's load uneven
-	away      = 0.25 // part of the work that leaves the zone at least: its loss must not be met by strangers alone
+	minSize               = 4    // minimum of backends in use: leaves a choice, and limits the share that one failure affects
+	minGatewaysPerBackend = 16   // minimum on average: uneven traffic of gateways only averages out over several
+	useAllShare           = 0.7  // a set of at least this share of the list is extended to the whole list
+	backendsPerInFlight   = 2.0  // backends in use per attempt in flight, so that the next one finds idle, warm backends
+	riseTimeConstant      = 2.0  // of the traffic averages while they rise, in units of Config.MaxStaleness
+	fallTimeConstant      = 30.0 // the same while they fall: a set shrinks slowly, as its connections are already set up
+	resizeRatio           = 1.25 // hysteresis: the size changes only if demand is off by more than this, not with noise
+	maxRounds             = 12   // of proportional fitting
+	tolerance             = 0.02 // a fit ends once the share of each backend is within this of its target
+	zoneWeightPerCost     = 20.0 // extra weight of backends in the own zone per unit of CrossZoneCost above freeCrossZoneCost
+	freeCrossZoneCost     = 0.03 // up to this cost the own zone is not preferred, as a preference makes the fleet's load uneven
+	minCrossZoneShare     = 0.25 // minimum share of work outside the zone: if the zone fails, backends in use must remain
 )
 
-// reference is what one gateway uses. It is not safe for concurrent use.
+// reference is the set of backends that one gateway uses. It is not safe for concurrent use.
 type reference struct {
-	cfg   subset.Config
-	list  []subset.Backend // by key
-	size  int
-	order []subset.Candidate
-	even  map[uint64]float64 // factors of parts, by key, as last fitted
-	stray bool               // the list has changed since
+	cfg      subset.Config
+	byKey    []subset.Backend // sorted by key
+	size     int
+	order    []subset.Candidate
+	factors  map[uint64]float64 // of the pick weights, by key, from the last fit
+	needsFit bool               // the list has changed since the last fit
 
-	rate  float64 // attempts a second
-	out   float64 // attempts out, most of late
-	level float64 // size that the traffic asks for
-	sent  int     // since the last step
-	peak  int     // attempts out at most since then
-	next  time.Duration
-	rows  []pair // scratch of the fitting
+	attemptRate  float64 // moving average, per second
+	inFlight     float64 // moving average of the peaks
+	trafficSize  float64 // size that the traffic requires
+	attempts     int     // since the last update of the size
+	peakInFlight int     // maximum of attempts in flight since then
+	nextUpdate   time.Duration
+	scratch      []scoredEntry // reused by rebuildOrder
 }
 
-type pair struct {
+type scoredEntry struct {
 	score float64
-	to    int32 // place in list
+	index int32 // in byKey
 }
 
-// newReference makes a set. Its error names the field of cfg that cannot be served.
+// newReference returns an empty set. An error names the invalid field of cfg.
 func newReference(cfg subset.Config, now time.Duration) (*reference, error) {
 	switch {
 	case cfg.Gateways < 1:
@@ -61,11 +61,11 @@
 	case cfg.Self < 0 || cfg.Self >= cfg.Gateways:
 		return nil, fmt.Errorf("subset: Config.Self is %d, outside the %d gateways", cfg.Self, cfg.Gateways)
 	case cfg.MaxStaleness <= 0:
-		return nil, fmt.Errorf("subset: Config.Stale is %v, want more than 0", cfg.MaxStaleness)
+		return nil, fmt.Errorf("subset: Config.MaxStaleness is %v, want more than 0", cfg.MaxStaleness)
 	case !(cfg.CrossZoneCost >= 0) || math.IsInf(cfg.CrossZoneCost, 1):
 		return nil, fmt.Errorf("subset: Config.CrossZoneCost is %v, want 0 or more", cfg.CrossZoneCost)
 	}
-	return &reference{cfg: cfg, next: now + cfg.MaxStaleness}, nil
+	return &reference{cfg: cfg, nextUpdate: now + cfg.MaxStaleness}, nil
 }
 
 // mix is the finalizer of splitmix64 (Steele, Lea and Flood, "Fast splittable
@@ -77,11 +77,11 @@
 	return z ^ z>>31
 }
 
-// draw is a gateway's number for a backend, even over 0 to 1. Ranked by -ln of it
-// over the weight, the least first, backends come as often as they weigh (weighted
-// rendezvous hashing: Schindelhauer and Schomaker, "Weighted distributed hash
-// tables", SPAA 2005).
-func draw(gateway uint64, b *subset.Backend) float64 {
+// unitHash hashes a gateway and a backend to a number uniform over 0 to 1. In
+// ascending order of -ln(unitHash) / weight, a backend ranks first with a
+// probability proportional to its weight (weighted rendezvous hashing:
+// Schindelhauer and Schomaker, "Weighted distributed hash tables", SPAA 2005).
+func unitHash(gateway uint64, b *subset.Backend) float64 {
 	return (float64(mix(b.Key^gateway)>>11) + 0.5) / (1 << 53)
 }
 
@@ -92,239 +92,243 @@
 	return 1
 }
 
-// Members takes the backends that take new work, all of them, in any order. Of
-// two with one key the first counts. What is in use, and in which order, follows
-// at once; parts are fitted to a list that changes again and again once in each
-// span of Config.Stale, as that costs time for every gateway and backend.
-func (s *reference) Members(list []subset.Backend) {
-	s.list = append(s.list[:0], list...)
-	slices.SortStableFunc(s.list, func(a, b subset.Backend) int { return cmp.Compare(a.Key, b.Key) })
-	s.list = slices.CompactFunc(s.list, func(a, b subset.Backend) bool { return a.Key == b.Key })
+// SetBackends replaces the list by all backends that accept new work, in any order.
+// Of two with the same key the first counts. Size and Order follow at once. Pick
+// weights are fitted to a changed list at most once per Config.MaxStaleness, as the
+// cost of a fit grows with the number of gateways and backends.
+func (s *reference) SetBackends(list []subset.Backend) {
+	s.byKey = append(s.byKey[:0], list...)
+	slices.SortStableFunc(s.byKey, func(a, b subset.Backend) int { return cmp.Compare(a.Key, b.Key) })
+	s.byKey = slices.CompactFunc(s.byKey, func(a, b subset.Backend) bool { return a.Key == b.Key })
 	s.resize()
-	s.stray = true
-	if s.even == nil && !s.Whole() {
+	s.needsFit = true
+	if s.factors == nil && !s.UsesAll() {
 		s.fit()
 	}
-	s.arrange()
+	s.rebuildOrder()
 }
 
-// Sent notes a first attempt, with so many attempts out.
-func (s *reference) Sent(out int) {
-	s.sent++
-	s.peak = max(s.peak, out)
+// RecordAttempt counts a first attempt; inFlight is the number of attempts in flight.
+func (s *reference) RecordAttempt(inFlight int) {
+	s.attempts++
+	s.peakInFlight = max(s.peakInFlight, inFlight)
 }
 
-// Step takes the time. It returns true if Order or Size has changed.
+// Step advances the time. It returns true if Order or Size has changed.
 func (s *reference) Step(now time.Duration) bool {
-	if now < s.next {
+	if now < s.nextUpdate {
 		return false
 	}
-	span := (now - s.next + s.cfg.MaxStaleness).Seconds()
-	s.next = now + s.cfg.MaxStaleness
-	follow := func(v *float64, seen float64) {
-		spans := restSpans
-		if seen > *v {
-			spans = rateSpans
+	elapsed := (now - s.nextUpdate + s.cfg.MaxStaleness).Seconds()
+	s.nextUpdate = now + s.cfg.MaxStaleness
+	smooth := func(average *float64, sample float64) {
+		timeConstant := fallTimeConstant
+		if sample > *average {
+			timeConstant = riseTimeConstant
 		}
-		*v += (1 - math.Exp(-span/s.cfg.MaxStaleness.Seconds()/spans)) * (seen - *v)
+		*average += (1 - math.Exp(-elapsed/s.cfg.MaxStaleness.Seconds()/timeConstant)) * (sample - *average)
 	}
-	follow(&s.rate, float64(s.sent)/span)
-	follow(&s.out, float64(s.peak))
-	s.sent, s.peak = 0, 0
-	if need := max(s.rate*s.cfg.MaxStaleness.Seconds(), roomOut*s.out); need > s.level || need*stepUp < s.level {
-		s.level = need * math.Sqrt(stepUp) // room on both sides, so that the need may wander
+	smooth(&s.attemptRate, float64(s.attempts)/elapsed)
+	smooth(&s.inFlight, float64(s.peakInFlight))
+	s.attempts, s.peakInFlight = 0, 0
+	if need := max(s.attemptRate*s.cfg.MaxStaleness.Seconds(), backendsPerInFlight*s.inFlight); need > s.trafficSize ||
+		need*resizeRatio < s.trafficSize {
+		s.trafficSize = need * math.Sqrt(resizeRatio) // demand may vary in both directions without a resize
 	}
 	resized := s.resize()
-	if !resized && !s.stray {
+	if !resized && !s.needsFit {
 		return false
 	}
-	if (resized || s.stray) && !s.Whole() {
+	if (resized || s.needsFit) && !s.UsesAll() {
 		s.fit()
 	}
-	s.arrange()
+	s.rebuildOrder()
 	return true
 }
 
-// Size is how many of Order are in use while all of them take work.
+// Size returns how many backends, the first of Order, are in use while all of them
+// accept work.
 func (s *reference) Size() int { return s.size }
 
-// Whole tells that all backends are in use: there is nothing to choose.
-func (s *reference) Whole() bool { return s.size >= len(s.list) }
+// UsesAll reports whether all backends are in use, which leaves nothing to select.
+func (s *reference) UsesAll() bool { return s.size >= len(s.byKey) }
 
-// Order is all backends, in the order in which this gateway turns to them. It is
-// valid until the next call of Members or Step.
+// Order returns all backends in this gateway's order of preference. It is valid
+// until the next call of SetBackends or Step.
 func (s *reference) Order() []subset.Candidate { return s.order }
 
-// resize works out the size, and tells whether it has changed.
+// resize recomputes the size, and reports whether it has changed.
 func (s *reference) resize() bool {
-	n, before := float64(len(s.list)), s.size
-	size := math.Ceil(max(least, cover*n/float64(s.cfg.Gateways), s.level))
-	if size >= nearlyAll*n {
+	n, previous := float64(len(s.byKey)), s.size
+	size := math.Ceil(max(minSize, minGatewaysPerBackend*n/float64(s.cfg.Gateways), s.trafficSize))
+	if size >= useAllShare*n {
 		size = n
 	}
 	s.size = int(size)
-	return s.size != before
+	return s.size != previous
 }
 
-// arrange makes the order and the parts.
-func (s *reference) arrange() {
+// rebuildOrder recomputes the order and the pick weights.
+func (s *reference) rebuildOrder() {
 	s.order = s.order[:0]
-	if s.Whole() { // as the list stands, so that nothing hangs on a rank that means nothing
-		for i := range s.list {
-			s.order = append(s.order, subset.Candidate{ID: s.list[i].ID, PickWeight: 1})
+	if s.UsesAll() { // in the order of the keys: the rank is meaningless here, and nothing may depend on it
+		for i := range s.byKey {
+			s.order = append(s.order, subset.Candidate{ID: s.byKey[i].ID, PickWeight: 1})
 		}
 		return
 	}
-	own := s.zoneWeight()
-	row := s.rows[:0]
-	for i := range s.list {
-		b := &s.list[i]
-		w := weightOf(b)
+	zoneWeight := s.ownZoneWeight()
+	row := s.scratch[:0]
+	for i := range s.byKey {
+		b := &s.byKey[i]
+		weight := weightOf(b)
 		if b.Zone == s.cfg.Zone {
-			w *= own
+			weight *= zoneWeight
 		}
-		row = append(row, pair{-math.Log(draw(mix(uint64(s.cfg.Self)), b)) / w, int32(i)})
+		row = append(row, scoredEntry{-math.Log(unitHash(mix(uint64(s.cfg.Self)), b)) / weight, int32(i)})
 	}
-	slices.SortFunc(row, func(a, b pair) int {
-		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.to, b.to))
+	slices.SortFunc(row, func(a, b scoredEntry) int {
+		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.index, b.index))
 	})
 	sum := 0.0
 	for i, p := range row {
-		b := &s.list[p.to]
-		part, ok := s.even[b.Key]
+		b := &s.byKey[p.index]
+		factor, ok := s.factors[b.Key]
 		if !ok {
-			part = 1 // new, until the next fit
+			factor = 1 // new, until the next fit
 		}
 		if i < s.size {
-			sum += part
+			sum += factor
 		}
-		s.order = append(s.order, subset.Candidate{ID: b.ID, PickWeight: part})
+		s.order = append(s.order, subset.Candidate{ID: b.ID, PickWeight: factor})
 	}
 	for i := range s.order {
 		s.order[i].PickWeight *= float64(s.size) / sum
 	}
-	s.rows = row[:0]
+	s.scratch = row[:0]
 }
 
-// zoneWeight is how much more a backend of the own zone counts: as the price of
-// leaving it asks, as far as the zone can carry the gateways that lie in it (of
-// which each zone is taken to have as many), and never so far that its loss
-// would leave nothing in use.
-func (s *reference) zoneWeight() float64 {
+// ownZoneWeight returns the weight of a backend in the own zone relative to others.
+// It grows with the cost of leaving the zone, within the capacity of the zone for
+// the gateways in it (assumed to be equally many in each zone). At least
+// minCrossZoneShare of the work leaves the zone, so that backends in use remain if
+// the zone fails.
+func (s *reference) ownZoneWeight() float64 {
 	zones := map[int]bool{}
-	all, own := 0.0, 0.0
-	for i := range s.list {
-		b := &s.list[i]
+	totalWeight, ownWeight := 0.0, 0.0
+	for i := range s.byKey {
+		b := &s.byKey[i]
 		zones[b.Zone] = true
-		all += weightOf(b)
+		totalWeight += weightOf(b)
 		if b.Zone == s.cfg.Zone {
-			own += weightOf(b)
+			ownWeight += weightOf(b)
 		}
 	}
-	share := own / all
-	most := min(1-away, share*float64(len(zones)))
-	if share <= 0 || share >= most {
+	ownShare := ownWeight / totalWeight
+	maxShare := min(1-minCrossZoneShare, ownShare*float64(len(zones)))
+	if ownShare <= 0 || ownShare >= maxShare {
 		return 1
 	}
-	return max(1, min(1+pull*max(0, s.cfg.CrossZoneCost-freely), most*(1-share)/(share*(1-most))))
+	return max(1, min(1+zoneWeightPerCost*max(0, s.cfg.CrossZoneCost-freeCrossZoneCost), maxShare*(1-ownShare)/(ownShare*(1-maxShare))))
 }
 
-// fit works out, for each backend, the factor by which every gateway multiplies
-// its part so that what all gateways together give each is as its weight, if all
-// have as much to give and as many in use as this one.
+// fit computes, for each backend, the factor by which every gateway multiplies the
+// backend's share, so that the total load of each backend is proportional to its
+// weight. It assumes that all gateways have the same load and the same number of
+// backends in use as this one.
 func (s *reference) fit() {
-	s.stray = false
-	n, k := len(s.list), s.size
-	alike := !slices.ContainsFunc(s.list, func(b subset.Backend) bool { return weightOf(&b) != weightOf(&s.list[0]) })
-	uses := make([]int32, 0, s.cfg.Gateways*k)
-	heap := make([]pair, 0, k)
+	s.needsFit = false
+	n, k := len(s.byKey), s.size
+	equalWeights := !slices.ContainsFunc(s.byKey, func(b subset.Backend) bool { return weightOf(&b) != weightOf(&s.byKey[0]) })
+	rows := make([]int32, 0, s.cfg.Gateways*k)
+	heap := make([]scoredEntry, 0, k)
 	for j := range s.cfg.Gateways {
 		heap = heap[:0]
 		gateway := mix(uint64(j))
-		for i := range s.list {
-			b := &s.list[i]
-			u, w := draw(gateway, b), 1.0
-			rank := 1 - u // ranks as -ln u does
-			if !alike {
-				w = weightOf(b)
+		for i := range s.byKey {
+			b := &s.byKey[i]
+			u, weight := unitHash(gateway, b), 1.0
+			entryScore := 1 - u // same order as -ln u
+			if !equalWeights {
+				weight = weightOf(b)
 			}
-			if len(heap) == k && rank > heap[0].score*w {
-				continue // -ln u is no less: most need no logarithm
+			if len(heap) == k && entryScore > heap[0].score*weight {
+				continue // -ln u is at least 1-u, so most backends need no logarithm
 			}
-			if !alike {
-				rank = -math.Log(u) / w
+			if !equalWeights {
+				entryScore = -math.Log(u) / weight
 			}
-			heap = keep(heap, k, pair{rank, int32(i)})
+			heap = pushBounded(heap, k, scoredEntry{entryScore, int32(i)})
 		}
 		for _, p := range heap {
-			uses = append(uses, p.to)
+			rows = append(rows, p.index)
 		}
 	}
-	want, total := make([]float64, n), 0.0
-	for i := range s.list {
-		want[i] = weightOf(&s.list[i])
-		total += want[i]
+	target, total := make([]float64, n), 0.0
+	for i := range s.byKey {
+		target[i] = weightOf(&s.byKey[i])
+		total += target[i]
 	}
-	factor, got := make([]float64, n), make([]float64, n)
-	for i := range want {
-		want[i] *= float64(s.cfg.Gateways) / total
+	factor, assigned := make([]float64, n), make([]float64, n)
+	for i := range target {
+		target[i] *= float64(s.cfg.Gateways) / total
 		factor[i] = 1
 	}
-	for range rounds {
-		clear(got)
-		for j := 0; j < len(uses); j += k {
+	for range maxRounds {
+		clear(assigned)
+		for j := 0; j < len(rows); j += k {
 			sum := 0.0
-			for _, i := range uses[j : j+k] {
+			for _, i := range rows[j : j+k] {
 				sum += factor[i]
 			}
 			sum = 1 / sum
-			for _, i := range uses[j : j+k] {
-				got[i] += factor[i] * sum
+			for _, i := range rows[j : j+k] {
+				assigned[i] += factor[i] * sum
 			}
 		}
-		off := 0.0
+		maxError := 0.0
 		for i := range factor {
-			if got[i] > 0 { // nobody uses it otherwise
-				off = max(off, math.Abs(got[i]/want[i]-1))
-				factor[i] *= want[i] / got[i]
+			if assigned[i] > 0 { // otherwise no gateway uses it
+				maxError = max(maxError, math.Abs(assigned[i]/target[i]-1))
+				factor[i] *= target[i] / assigned[i]
 			}
 		}
-		if off < fitted {
+		if maxError < tolerance {
 			break
 		}
 	}
-	s.even = make(map[uint64]float64, n)
+	s.factors = make(map[uint64]float64, n)
 	for i := range factor {
-		s.even[s.list[i].Key] = factor[i]
+		s.factors[s.byKey[i].Key] = factor[i]
 	}
 }
 
-// keep adds a pair to a heap of the k least, the greatest on top.
-func keep(h []pair, k int, p pair) []pair {
-	less := func(a, b pair) bool { return a.score < b.score || a.score == b.score && a.to < b.to }
-	if len(h) < k {
-		h = append(h, p)
-		for i := len(h) - 1; i > 0 && less(h[(i-1)/2], h[i]); i = (i - 1) / 2 {
-			h[(i-1)/2], h[i] = h[i], h[(i-1)/2]
+// pushBounded adds an entry to a max-heap of the k lowest scores.
+func pushBounded(heap []scoredEntry, k int, p scoredEntry) []scoredEntry {
+	less := func(a, b scoredEntry) bool { return a.score < b.score || a.score == b.score && a.index < b.index }
+	if len(heap) < k {
+		heap = append(heap, p)
+		for i := len(heap) - 1; i > 0 && less(heap[(i-1)/2], heap[i]); i = (i - 1) / 2 {
+			heap[(i-1)/2], heap[i] = heap[i], heap[(i-1)/2]
 		}
-		return h
+		return heap
 	}
-	if !less(p, h[0]) {
-		return h
+	if !less(p, heap[0]) {
+		return heap
 	}
-	h[0] = p
+	heap[0] = p
 	for i := 0; ; {
-		c := 2*i + 1
-		if c >= k {
-			return h
+		child := 2*i + 1
+		if child >= k {
+			return heap
 		}
-		if c+1 < k && less(h[c], h[c+1]) {
-			c++
+		if child+1 < k && less(heap[child], heap[child+1]) {
+			child++
 		}
-		if !less(h[i], h[c]) {
-			return h
+		if !less(heap[i], heap[child]) {
+			return heap
 		}
-		h[i], h[c] = h[c], h[i]
-		i = c
+		heap[i], heap[child] = heap[child], heap[i]
+		i = child
 	}
 }
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,17 +1,17 @@
-// Package subset decides which of many backends one of many gateways uses, and
-// for how large a part of its work each. Gateways do not talk: each works the
-// whole assignment out of the same list and the same number of gateways, so that
-// what all of them use comes out even.
+// Package subset selects the backends that one of many gateways uses, and the
+// share of its work that each of them gets. Gateways do not communicate: each
+// computes the whole assignment from the same list and the same number of
+// gateways, so that the load of the backends is even over the fleet.
 //
 // A [Set] is a pure state machine: it has no I/O, no goroutine, no clock and no
-// random numbers. Time is a [time.Duration] on the caller's clock. The same
-// backends give the same set at a gateway, in whatever order they came.
+// random numbers. Time is a [time.Duration] on the caller's clock. At one gateway
+// the same backends give the same set, in whatever order they were listed.
 //
 // The ranking is rendezvous hashing (Thaler and Ravishankar, "Using name-based
-// mappings to increase hit rates", IEEE/ACM ToN 1998), so that a backend which
-// goes moves its own pairs alone. Its parts are evened out by proportional
-// fitting of the assignment (Sinkhorn and Knopp, 1967). docs/design/subsets.md
-// weighs the other ways.
+// mappings to increase hit rates", IEEE/ACM ToN 1998), so that the removal of a
+// backend affects only the gateways that use it. The shares are balanced by
+// iterative proportional fitting (Sinkhorn and Knopp, 1967).
+// docs/design/subsets.md compares the alternatives.
 package subset
 
 import (
@@ -22,73 +22,73 @@
 	"time"
 )
 
-// Settings. Each is a ratio to what Config and the list state.
+// Settings, relative to the values of Config and to the list.
 const (
-	least     = 4    // backends in use at least, where there are so many: choice among them, and what a failure of one takes
-	cover     = 16   // gateways that use each backend at least, on average: unequal traffic evens out over several only
-	nearlyAll = 0.7  // a set of more than this part of all backends is all of them
-	roomOut   = 2.0  // backends in use for each attempt out: so many free ones, warm, are met by the next attempt
-	rateSpans = 2.0  // spans of Config.MaxStaleness over which the rate is averaged while it grows ...
-	restSpans = 30.0 // ... and while it falls: a set shrinks slowly, as its connections are paid for
-	stepUp    = 1.25 // the size changes only where the need is off by more than this, so that noise moves nothing
-	pull      = 20.0 // how much more a backend of the own zone is worth, for each unit of the price of leaving it ...
-	freely    = 0.03 // ... beyond this: for less the zone is left freely, as to prefer it makes the fleet's load uneven
-	away      = 0.25 // part of the work that leaves the zone at least: its loss must not be met by strangers alone
+	minSize               = 4    // minimum of backends in use: leaves a choice, and limits the share that one failure affects
+	minGatewaysPerBackend = 16   // minimum on average: uneven traffic of gateways only averages out over several
+	useAllShare           = 0.7  // a set of at least this share of the list is extended to the whole list
+	backendsPerInFlight   = 2.0  // backends in use per attempt in flight, so that the next one finds idle, warm backends
+	riseTimeConstant      = 2.0  // of the traffic averages while they rise, in units of Config.MaxStaleness
+	fallTimeConstant      = 30.0 // the same while they fall: a set shrinks slowly, as its connections are already set up
+	resizeRatio           = 1.25 // hysteresis: the size changes only if demand is off by more than this, not with noise
+	zoneWeightPerCost     = 20.0 // extra weight of backends in the own zone per unit of CrossZoneCost above freeCrossZoneCost
+	freeCrossZoneCost     = 0.03 // up to this cost the own zone is not preferred, as a preference makes the fleet's load uneven
+	minCrossZoneShare     = 0.25 // minimum share of work outside the zone: if the zone fails, backends in use must remain
 )
 
-// Config is what a deployment states to each gateway.
+// Config holds what a deployment configures for each gateway.
 type Config struct {
-	Gateways      int           // that share the backends
-	Self          int           // number of this one, from 0
+	Gateways      int           // number of gateways that share the backends
+	Self          int           // index of this gateway, from 0
 	Zone          int           // of this gateway
-	CrossZoneCost float64       // price of a request that leaves the zone, as a part of its worth
-	MaxStaleness  time.Duration // what was seen of a backend tells little after this
+	CrossZoneCost float64       // cost of sending a request to another zone, as a fraction of its worth
+	MaxStaleness  time.Duration // age from which an observation of a backend says little about it
 }
 
-// Backend is one that takes new work.
+// Backend is a backend that accepts new work.
 type Backend struct {
-	ID     uint32 // the caller's number for it
-	Key    uint64 // the same at every gateway, different for each backend: see KeyOf
+	ID     uint32 // the caller's identifier
+	Key    uint64 // unique, and the same at every gateway; see KeyOf
 	Zone   int
-	Weight float64 // its size among the others'; 0 or less: 1
+	Weight float64 // capacity relative to the other backends; 0 or less counts as 1
 }
 
-// Candidate is one backend in the order in which a gateway turns to them.
+// Candidate is one backend in a gateway's order of preference.
 type Candidate struct {
 	ID         uint32
-	PickWeight float64 // of the gateway's work while the first Size are in use, 1 on average; beyond them an estimate
+	PickWeight float64 // relative share of the gateway's work: 1 on average over the first Size, an estimate beyond them
 }
 
-// Set is what one gateway uses. It is not safe for concurrent use. It keeps about
-// 120 bytes for each backend, and in a large fleet what a fit leaves for the next:
-// see fitting.
+// Set is the set of backends that one gateway uses. It is not safe for concurrent
+// use. It takes about 120 bytes for each backend, and in a large fleet the data
+// that one fit keeps for the next; see fitter.
 type Set struct {
-	cfg    Config
-	list   []*member // by key
-	ranked []*member // by score; nil while all are in use
-	own    float64   // how much more the own zone counts in these scores
-	size   int
-	order  []Candidate
-	fit    fitting
-	stray  bool // the list has changed since the last fit began
+	cfg              Config
+	byKey            []*member // all backends, sorted by key
+	ranked           []*member // sorted by score; nil while all backends are in use
+	rankedZoneWeight float64   // weight of the own zone in the scores of ranked
+	size             int
+	order            []Candidate
+	fit              fitter
+	needsFit         bool // the list or the size has changed since the last fit was started
 
-	rate  float64 // attempts a second
-	out   float64 // attempts out, most of late
-	level float64 // size that the traffic asks for
-	sent  int     // since the last step
-	peak  int     // attempts out at most since then
-	next  time.Duration
+	attemptRate  float64 // moving average, per second
+	inFlight     float64 // moving average of the peaks
+	trafficSize  float64 // size that the traffic requires
+	attempts     int     // since the last update of the size
+	peakInFlight int     // maximum of attempts in flight since then
+	nextUpdate   time.Duration
 }
 
-// member is one backend of the list, as this gateway ranks it.
+// member is a backend of the list with its rank data at this gateway.
 type member struct {
 	Backend
-	draw  float64 // -ln of the gateway's draw for it; 0: not drawn yet
-	score float64 // that over its weight
-	part  float64 // factor as last fitted
+	negLogHash float64 // -ln of the gateway's hash for the backend; 0: not computed yet
+	score      float64 // negLogHash over the weight
+	factor     float64 // of its pick weight, from the last fit
 }
 
-// New makes a set. Its error names the field of cfg that cannot be served.
+// New returns an empty set. An error names the invalid field of cfg.
 func New(cfg Config, now time.Duration) (*Set, error) {
 	switch {
 	case cfg.Gateways < 1:
@@ -96,20 +96,20 @@
 	case cfg.Self < 0 || cfg.Self >= cfg.Gateways:
 		return nil, fmt.Errorf("subset: Config.Self is %d, outside the %d gateways", cfg.Self, cfg.Gateways)
 	case cfg.MaxStaleness <= 0:
-		return nil, fmt.Errorf("subset: Config.Stale is %v, want more than 0", cfg.MaxStaleness)
+		return nil, fmt.Errorf("subset: Config.MaxStaleness is %v, want more than 0", cfg.MaxStaleness)
 	case !(cfg.CrossZoneCost >= 0) || math.IsInf(cfg.CrossZoneCost, 1):
 		return nil, fmt.Errorf("subset: Config.CrossZoneCost is %v, want 0 or more", cfg.CrossZoneCost)
 	}
-	return &Set{cfg: cfg, next: now + cfg.MaxStaleness}, nil
+	return &Set{cfg: cfg, nextUpdate: now + cfg.MaxStaleness}, nil
 }
 
-// KeyOf turns a backend's name into its key.
+// KeyOf returns the key of the backend with this name.
 func KeyOf(name string) uint64 {
-	h := uint64(14695981039346656037) // FNV-1a, then mixed: its high bits alone are poor
+	hash := uint64(14695981039346656037) // FNV-1a, then mixed, as its high bits are poorly distributed
 	for i := range len(name) {
-		h = (h ^ uint64(name[i])) * 1099511628211
+		hash = (hash ^ uint64(name[i])) * 1099511628211
 	}
-	return mix(h)
+	return mix(hash)
 }
 
 // mix is the finalizer of splitmix64 (Steele, Lea and Flood, "Fast splittable
@@ -121,11 +121,11 @@
 	return z ^ z>>31
 }
 
-// draw is a gateway's number for a backend, even over 0 to 1. Ranked by -ln of it
-// over the weight, the least first, backends come as often as they weigh (weighted
-// rendezvous hashing: Schindelhauer and Schomaker, "Weighted distributed hash
-// tables", SPAA 2005).
-func draw(gateway, key uint64) float64 {
+// unitHash hashes a gateway and a backend to a number uniform over 0 to 1. In
+// ascending order of -ln(unitHash) / weight, a backend ranks first with a
+// probability proportional to its weight (weighted rendezvous hashing:
+// Schindelhauer and Schomaker, "Weighted distributed hash tables", SPAA 2005).
+func unitHash(gateway, key uint64) float64 {
 	return (float64(mix(key^gateway)>>11) + 0.5) / (1 << 53)
 }
 
@@ -136,231 +136,236 @@
 	return 1
 }
 
-// SetBackends takes the backends that take new work, all of them, in any order. Of
-// two with one key the first counts. What is in use, and in which order, follows
-// at once; parts are fitted to a list that changes again and again once in each
-// span of Config.MaxStaleness, as that costs time for every gateway and backend.
+// SetBackends replaces the list by all backends that accept new work, in any order.
+// Of two with the same key the first counts. Size and Order follow at once. Pick
+// weights are fitted to a changed list at most once per Config.MaxStaleness, as the
+// cost of a fit grows with the number of gateways and backends.
 func (s *Set) SetBackends(list []Backend) {
-	type place struct {
-		key uint64
-		at  int
+	type entry struct {
+		key   uint64
+		index int
 	}
-	places := make([]place, len(list))
+	entries := make([]entry, len(list))
 	for i := range list {
-		places[i] = place{list[i].Key, i}
+		entries[i] = entry{list[i].Key, i}
 	}
-	slices.SortFunc(places, func(a, b place) int { return cmp.Or(cmp.Compare(a.key, b.key), a.at-b.at) })
-	all := make([]member, 0, len(list))
-	s.list, s.ranked = make([]*member, 0, len(list)), nil
-	for i, p := range places {
-		if i == 0 || p.key != places[i-1].key {
-			all = append(all, member{Backend: list[p.at], part: s.fit.factorOf(p.key)})
-			s.list = append(s.list, &all[len(all)-1])
+	slices.SortFunc(entries, func(a, b entry) int { return cmp.Or(cmp.Compare(a.key, b.key), a.index-b.index) })
+	members := make([]member, 0, len(list)) // never reallocated: s.byKey points into it
+	s.byKey, s.ranked = make([]*member, 0, len(list)), nil
+	for i, p := range entries {
+		if i == 0 || p.key != entries[i-1].key {
+			members = append(members, member{Backend: list[p.index], factor: s.fit.factorOf(p.key)})
+			s.byKey = append(s.byKey, &members[len(members)-1])
 		}
 	}
-	s.changed()
+	s.onListChange()
 }
 
-// Change is one change of the list.
+// Change is one change of the list of backends.
 type Change struct {
 	Backend
-	Removed bool // it takes no new work; its ID and Key alone count
+	Removed bool // it accepts no new work; only ID and Key are used
 }
 
-// Update takes changes of the list, one after the other. It leaves what SetBackends
-// would with the list that they make, but looks only at what has changed. One
-// whose key stands under another ID is left out, as Len shows.
+// Update applies changes to the list, one after the other. The result is that of
+// SetBackends with the resulting list, but only the changed backends are processed.
+// A change whose key is listed under another ID is ignored, which shows in Len.
 func (s *Set) Update(changes []Change) {
 	if len(changes) == 0 {
 		return
 	}
 	for _, c := range changes {
-		i, known := slices.BinarySearchFunc(s.list, c.Key, func(m *member, key uint64) int { return cmp.Compare(m.Key, key) })
-		if known && s.list[i].ID != c.ID || !known && c.Removed {
+		i, found := slices.BinarySearchFunc(s.byKey, c.Key, func(m *member, key uint64) int { return cmp.Compare(m.Key, key) })
+		if found && s.byKey[i].ID != c.ID || !found && c.Removed {
 			continue
 		}
-		if known {
+		if found {
 			if s.ranked != nil {
-				at, _ := slices.BinarySearchFunc(s.ranked, s.list[i], byScore)
-				s.ranked = slices.Delete(s.ranked, at, at+1)
+				rank, _ := slices.BinarySearchFunc(s.ranked, s.byKey[i], compareScores)
+				s.ranked = slices.Delete(s.ranked, rank, rank+1)
 			}
-			s.list = slices.Delete(s.list, i, i+1)
+			s.byKey = slices.Delete(s.byKey, i, i+1)
 		}
 		if !c.Removed {
-			m := &member{Backend: c.Backend, part: s.fit.factorOf(c.Key)}
-			s.list = slices.Insert(s.list, i, m)
+			m := &member{Backend: c.Backend, factor: s.fit.factorOf(c.Key)}
+			s.byKey = slices.Insert(s.byKey, i, m)
 			if s.ranked != nil {
-				s.weigh(m)
-				at, _ := slices.BinarySearchFunc(s.ranked, m, byScore)
-				s.ranked = slices.Insert(s.ranked, at, m)
+				s.setScore(m)
+				rank, _ := slices.BinarySearchFunc(s.ranked, m, compareScores)
+				s.ranked = slices.Insert(s.ranked, rank, m)
 			}
 		}
 	}
-	s.changed()
+	s.onListChange()
 }
 
-// Len is how many backends the list holds.
-func (s *Set) Len() int { return len(s.list) }
+// Len returns the number of backends in the list.
+func (s *Set) Len() int { return len(s.byKey) }
 
-// changed follows the list.
-func (s *Set) changed() {
+// onListChange updates the size and the order after a change of the list. The
+// first fit is run at once and in full.
+func (s *Set) onListChange() {
 	s.resize()
-	s.stray = true
+	s.needsFit = true
 	if s.fit.factors == nil && !s.UsesAll() {
-		s.refit(math.MaxInt)
+		s.advanceFit(math.MaxInt)
 	}
-	s.arrange()
+	s.rebuildOrder()
 }
 
-// RecordAttempt notes a first attempt, with so many attempts out.
-func (s *Set) RecordAttempt(out int) {
-	s.sent++
-	s.peak = max(s.peak, out)
+// RecordAttempt counts a first attempt; inFlight is the number of attempts in flight.
+func (s *Set) RecordAttempt(inFlight int) {
+	s.attempts++
+	s.peakInFlight = max(s.peakInFlight, inFlight)
 }
 
-// Step takes the time. It returns true if Order or Size has changed. In a large
-// fleet one call does a small part of a fit; the parts of before hold meanwhile.
+// Step advances the time. It returns true if Order or Size has changed. In a large
+// fleet one call does a small part of a fit; until it is complete, the previous
+// pick weights stay in force.
 func (s *Set) Step(now time.Duration) bool {
-	due := now >= s.next
-	resized := due && s.follow(now)
-	s.stray = s.stray || resized && s.fit.busy // that fit is for the size of before
-	changed := resized || due && s.stray
-	if !s.UsesAll() && (changed || s.fit.busy) {
-		changed = s.refit(stepWork) || resized
+	due := now >= s.nextUpdate
+	resized := due && s.updateSize(now)
+	s.needsFit = s.needsFit || resized && s.fit.running // the running fit is for the previous size
+	changed := resized || due && s.needsFit
+	if !s.UsesAll() && (changed || s.fit.running) {
+		changed = s.advanceFit(stepWork) || resized
 	}
 	if changed {
-		s.arrange()
+		s.rebuildOrder()
 	}
 	return changed
 }
 
-// follow works out anew, once a span, how many backends the traffic asks for, and
-// tells whether that is another size.
-func (s *Set) follow(now time.Duration) bool {
-	span := (now - s.next + s.cfg.MaxStaleness).Seconds()
-	s.next = now + s.cfg.MaxStaleness
-	follow := func(v *float64, seen float64) {
-		spans := restSpans
-		if seen > *v {
-			spans = rateSpans
+// updateSize recomputes how many backends the traffic requires, once per
+// Config.MaxStaleness, and reports whether the size has changed.
+func (s *Set) updateSize(now time.Duration) bool {
+	elapsed := (now - s.nextUpdate + s.cfg.MaxStaleness).Seconds()
+	s.nextUpdate = now + s.cfg.MaxStaleness
+	smooth := func(average *float64, sample float64) {
+		timeConstant := fallTimeConstant
+		if sample > *average {
+			timeConstant = riseTimeConstant
 		}
-		*v += (1 - math.Exp(-span/s.cfg.MaxStaleness.Seconds()/spans)) * (seen - *v)
+		*average += (1 - math.Exp(-elapsed/s.cfg.MaxStaleness.Seconds()/timeConstant)) * (sample - *average)
 	}
-	follow(&s.rate, float64(s.sent)/span)
-	follow(&s.out, float64(s.peak))
-	s.sent, s.peak = 0, 0
-	if need := max(s.rate*s.cfg.MaxStaleness.Seconds(), roomOut*s.out); need > s.level || need*stepUp < s.level {
-		s.level = need * math.Sqrt(stepUp) // room on both sides, so that the need may wander
+	smooth(&s.attemptRate, float64(s.attempts)/elapsed)
+	smooth(&s.inFlight, float64(s.peakInFlight))
+	s.attempts, s.peakInFlight = 0, 0
+	if need := max(s.attemptRate*s.cfg.MaxStaleness.Seconds(), backendsPerInFlight*s.inFlight); need > s.trafficSize ||
+		need*resizeRatio < s.trafficSize {
+		s.trafficSize = need * math.Sqrt(resizeRatio) // demand may vary in both directions without a resize
 	}
 	return s.resize()
 }
 
-// Size is how many of Order are in use while all of them take work.
+// Size returns how many backends, the first of Order, are in use while all of them
+// accept work.
 func (s *Set) Size() int { return s.size }
 
-// UsesAll tells that all backends are in use: there is nothing to choose.
-func (s *Set) UsesAll() bool { return s.size >= len(s.list) }
+// UsesAll reports whether all backends are in use, which leaves nothing to select.
+func (s *Set) UsesAll() bool { return s.size >= len(s.byKey) }
 
-// Order is all backends, in the order in which this gateway turns to them. It is
-// valid until the next call of SetBackends or Step.
+// Order returns all backends in this gateway's order of preference. It is valid
+// until the next call of SetBackends, Update or Step.
 func (s *Set) Order() []Candidate { return s.order }
 
-// resize works out the size, and tells whether it has changed.
+// resize recomputes the size, and reports whether it has changed.
 func (s *Set) resize() bool {
-	n, before := float64(len(s.list)), s.size
-	size := math.Ceil(max(least, cover*n/float64(s.cfg.Gateways), s.level))
-	if size >= nearlyAll*n {
+	n, previous := float64(len(s.byKey)), s.size
+	size := math.Ceil(max(minSize, minGatewaysPerBackend*n/float64(s.cfg.Gateways), s.trafficSize))
+	if size >= useAllShare*n {
 		size = n
 	}
 	s.size = int(size)
-	return s.size != before
+	return s.size != previous
 }
 
-// arrange makes the order and the parts.
-func (s *Set) arrange() {
+// rebuildOrder recomputes the order and the pick weights.
+func (s *Set) rebuildOrder() {
 	s.order = s.order[:0]
-	if s.UsesAll() { // as the list stands, so that nothing hangs on a rank that means nothing
+	if s.UsesAll() { // in the order of the keys: the rank is meaningless here, and nothing may depend on it
 		s.ranked = nil
-		for _, m := range s.list {
+		for _, m := range s.byKey {
 			s.order = append(s.order, Candidate{m.ID, 1})
 		}
 		return
 	}
-	if own := s.zoneWeight(); s.ranked == nil || own != s.own {
-		s.own = own
-		s.ranked = append(s.ranked[:0], s.list...)
+	if zoneWeight := s.ownZoneWeight(); s.ranked == nil || zoneWeight != s.rankedZoneWeight {
+		s.rankedZoneWeight = zoneWeight
+		s.ranked = append(s.ranked[:0], s.byKey...)
 		for _, m := range s.ranked {
-			s.weigh(m)
+			s.setScore(m)
 		}
-		slices.SortFunc(s.ranked, byScore)
+		slices.SortFunc(s.ranked, compareScores)
 	}
 	sum := 0.0
 	for i, m := range s.ranked {
 		if i < s.size {
-			sum += m.part
+			sum += m.factor
 		}
-		s.order = append(s.order, Candidate{m.ID, m.part})
+		s.order = append(s.order, Candidate{m.ID, m.factor})
 	}
 	for i := range s.order {
 		s.order[i].PickWeight *= float64(s.size) / sum
 	}
 }
 
-// weigh works out the score of a backend at this gateway.
-func (s *Set) weigh(m *member) {
-	if m.draw == 0 {
-		m.draw = -math.Log(draw(mix(uint64(s.cfg.Self)), m.Key))
+// setScore computes the score of a backend at this gateway.
+func (s *Set) setScore(m *member) {
+	if m.negLogHash == 0 {
+		m.negLogHash = -math.Log(unitHash(mix(uint64(s.cfg.Self)), m.Key))
 	}
-	w := weightOf(&m.Backend)
+	weight := weightOf(&m.Backend)
 	if m.Zone == s.cfg.Zone {
-		w *= s.own
+		weight *= s.rankedZoneWeight
 	}
-	m.score = m.draw / w
+	m.score = m.negLogHash / weight
 }
 
-func byScore(a, b *member) int {
+func compareScores(a, b *member) int {
 	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.Key, b.Key))
 }
 
-// zoneWeight is how much more a backend of the own zone counts: as the price of
-// leaving it asks, as far as the zone can carry the gateways that lie in it (of
-// which each zone is taken to have as many), and never so far that its loss
-// would leave nothing in use.
-func (s *Set) zoneWeight() float64 {
-	if s.cfg.CrossZoneCost <= freely {
+// ownZoneWeight returns the weight of a backend in the own zone relative to others.
+// It grows with the cost of leaving the zone, within the capacity of the zone for
+// the gateways in it (assumed to be equally many in each zone). At least
+// minCrossZoneShare of the work leaves the zone, so that backends in use remain if
+// the zone fails.
+func (s *Set) ownZoneWeight() float64 {
+	if s.cfg.CrossZoneCost <= freeCrossZoneCost {
 		return 1
 	}
 	var zones []int
-	all, own := 0.0, 0.0
-	for _, m := range s.list {
+	totalWeight, ownWeight := 0.0, 0.0
+	for _, m := range s.byKey {
 		if !slices.Contains(zones, m.Zone) {
 			zones = append(zones, m.Zone)
 		}
-		all += weightOf(&m.Backend)
+		totalWeight += weightOf(&m.Backend)
 		if m.Zone == s.cfg.Zone {
-			own += weightOf(&m.Backend)
+			ownWeight += weightOf(&m.Backend)
 		}
 	}
-	share := own / all
-	most := min(1-away, share*float64(len(zones)))
-	if share <= 0 || share >= most {
+	ownShare := ownWeight / totalWeight
+	maxShare := min(1-minCrossZoneShare, ownShare*float64(len(zones)))
+	if ownShare <= 0 || ownShare >= maxShare {
 		return 1
 	}
-	return max(1, min(1+pull*max(0, s.cfg.CrossZoneCost-freely), most*(1-share)/(share*(1-most))))
+	return max(1, min(1+zoneWeightPerCost*max(0, s.cfg.CrossZoneCost-freeCrossZoneCost), maxShare*(1-ownShare)/(ownShare*(1-maxShare))))
 }
 
-// refit begins a fit, or goes on with one, for about so many units of work. It
-// tells whether the fit has ended and its parts are in force.
-func (s *Set) refit(work int) bool {
-	if !s.fit.busy {
-		s.stray = false
-		s.fit.begin(s.list, s.cfg.Gateways, s.size)
+// advanceFit starts a fit or continues the running one, for about this many units
+// of work. It reports whether the fit is complete and its factors are in force.
+func (s *Set) advanceFit(work int) bool {
+	if !s.fit.running {
+		s.needsFit = false
+		s.fit.start(s.byKey, s.cfg.Gateways, s.size)
 	}
 	if !s.fit.step(work) {
 		return false
 	}
-	for _, m := range s.list {
-		m.part = s.fit.factorOf(m.Key)
+	for _, m := range s.byKey {
+		m.factor = s.fit.factorOf(m.Key)
 	}
 	return true
 }
