--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -154,7 +154,7 @@
 			return
 		}
 	}
-	if c.first == nil && (c.closing || f.draining) && c.lingerUntil == 0 && (c.hasRequested || c.closing || c.place.Leaving()) {
+	if c.first == nil && (c.closing || f.draining) && c.lingerUntil == 0 && (c.hasRequested || c.closing || c.place.Evicting()) {
 		if !c.closing {
 			c.reason = closedDraining
 		}
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -42,7 +42,7 @@
 	number          uint64       // in the order of acceptance, for logs
 	index           int          // in front.clients
 	invalidCommands int32        // so far
-	place           admission.Place[*client]
+	place           admission.Conn[*client]
 	timer           reactor.Timer
 
 	first, last *slot // replies due, in order
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -216,7 +216,7 @@
 	f.closeQueuedClients(now)
 	f.retryWatches(now)
 	f.accept(now)
-	f.admission.Due(now, f.acceptBlocked(), func(p *admission.Place[*client]) bool { return p.Owner.closeForAdmission() })
+	f.admission.SelectDue(now, f.acceptBlocked(), func(p *admission.Conn[*client]) bool { return p.Owner.closeForAdmission() })
 	if f.acceptReady && !f.emptyingBacklog {
 		f.accept(now) // in the places that have become free
 	}
@@ -298,7 +298,7 @@
 func (f *front) shrink(now time.Duration) {
 	f.admission.Shrink()
 	f.growAt = now + growInterval
-	f.admission.Due(now, true, func(p *admission.Place[*client]) bool { return p.Owner.closeForAdmission() })
+	f.admission.SelectDue(now, true, func(p *admission.Conn[*client]) bool { return p.Owner.closeForAdmission() })
 }
 
 // addClient serves a new connection.
