--- a/choice/attempt.go
+++ b/choice/attempt.go
@@ -1,26 +1,26 @@
 package choice
 
-// Attempts: the next one, what its outcome tells, and when a request gets its final answer.
+// Attempts: when to start the next one, what its outcome shows, and when a request gets its final answer.
 
 import "math"
 
-// Settings, each a ratio to what Config states.
+// Settings, relative to those of Config.
 const (
-	hedgeAims   = 0.65   // aims of waiting before a further attempt may be made for want of an answer
-	retryShare  = 0.08   // further attempts earned by one first attempt
-	retryBank   = 6.0    // further attempts that may be saved up
-	latAims     = 5.0    // longest aims over which a backend's latency is averaged, however few its answers
-	latLeast    = 0.05   // weight of one answer in it at least
-	latUnheard  = 4.0    // a time-out weighs as so many answers
-	leastRises  = 0.0002 // weight of one answer in a class's least mean latency, which falls at once
-	latMost     = 8.0    // means: one answer counts as no slower
-	slowBackend = 2.5    // fleet means at which a backend's latency no longer speaks for the fleet
+	hedgeAims      = 0.65   // aims without an answer until a hedged attempt is allowed
+	retryShare     = 0.08   // further attempts that one first attempt adds to the retry budget
+	maxRetryBudget = 6.0    // max retry budget
+	meanAims       = 5.0    // longest aims: time constant of a backend's mean latency if answers are rare
+	meanWeight     = 0.05   // min weight of one answer in it
+	timeoutWeight  = 4.0    // a timeout weighs as many answers
+	minLatencyRise = 0.0002 // weight of one answer in a rise of a class's lowest latency; it falls at once
+	maxRatio       = 8.0    // max latency of one answer, in means
+	slowRatio      = 2.5    // relative latency from which a backend no longer counts in the fleet's latency
 )
 
-// send starts the next attempt of r, if one is allowed and worth it.
+// send starts the next attempt of r if it is allowed and a backend is available.
 func (g *Gateway) send(r *request) bool {
 	left := r.deadline - g.now
-	if len(r.attempts) >= g.cfg.MaxAttempts || left <= 0 || r.out > 0 && !g.cfg.Hedging {
+	if len(r.attempts) >= g.cfg.MaxAttempts || left <= 0 || r.inFlight > 0 && !g.cfg.Hedging {
 		return false
 	}
 	b := g.pick(r)
@@ -28,20 +28,20 @@
 		return false
 	}
 	if len(r.attempts) == 0 {
-		r.cust.ceiling -= r.Units
-		g.bank = min(g.bank+retryShare, retryBank)
+		r.record.ceilingLevel -= r.Units
+		g.retryBudget = min(g.retryBudget+retryShare, maxRetryBudget)
 		g.probe()
 	}
-	if b.out == 0 {
-		b.waiting = g.now
+	if b.inFlight == 0 {
+		b.waitingSince = g.now
 	}
-	b.out++
+	b.inFlight++
 	b.tokens--
-	g.out++
-	g.most = max(g.most, g.out)
-	r.out++
-	r.cust.open++
-	r.attempts = append(r.attempts, attempt{to: b, sent: g.now})
+	g.inFlight++
+	g.peakInFlight = max(g.peakInFlight, g.inFlight)
+	r.inFlight++
+	r.record.open++
+	r.attempts = append(r.attempts, attempt{target: b, sent: g.now})
 	g.act.Send(r.ID, b.ID, left)
 	if g.cfg.Classes[r.Class].Effect != AtMostOnce && (g.cfg.Hedging || g.cfg.Cancelling) {
 		wait := hedgeAims * g.cfg.Classes[r.Class].Aim.Seconds()
@@ -50,64 +50,66 @@
 	return true
 }
 
-// again makes a further attempt or gives the final answer.
-func (g *Gateway) again(r *request, last Status) {
-	price := 1.0
+// retryOrAnswer starts a further attempt or gives the final answer.
+func (g *Gateway) retryOrAnswer(r *request, last Status) {
+	cost := 1.0
 	if last == ConnectFailed {
-		price = 0 // it cost no backend any work, so it cannot feed an overload
+		cost = 0 // it caused no work, so retrying it can't amplify an overload
 	}
-	if last != Unsent && g.bank >= price && g.send(r) {
-		g.bank -= price
+	if last != Unsent && g.retryBudget >= cost && g.send(r) {
+		g.retryBudget -= cost
 		return
 	}
-	r.over = true
+	r.done = true
 	cl := &g.cfg.Classes[r.Class]
-	safe := r.first() == nil || cl.Effect == Idempotent || cl.Effect == Deduplicated && cl.Group == GroupAll
+	safe := r.firstRun() == nil || cl.Effect == Idempotent ||
+		cl.Effect == Deduplicated && cl.Group == GroupAll
 	if safe && g.now < r.deadline {
-		g.act.Refuse(r.ID, g.advice)
+		g.act.Refuse(r.ID, g.retryAfter)
 	} else {
 		g.act.Fail(r.ID)
 	}
 }
 
-// learn takes what an outcome says of the backend and of the fleet.
-func (g *Gateway) learn(r *request, a *attempt, o Outcome) {
+// recordOutcome updates the statistics of the backend and of the fleet.
+func (g *Gateway) recordOutcome(r *request, a *attempt, o Outcome) {
 	cl := &g.classes[r.Class]
 	aim := g.cfg.Classes[r.Class].Aim.Seconds()
-	lat := o.Elapsed.Seconds()
-	w := max(latLeast, 1-math.Exp(-(g.now-a.to.heard).Seconds()/latAims/g.longest.Seconds()))
+	latency := o.Elapsed.Seconds()
+	weight := max(meanWeight, 1-math.Exp(-(g.now-a.target.outcomeAt).Seconds()/meanAims/g.maxAim.Seconds()))
 	if o.Status == OK || o.Status == Timeout {
-		if a.to.lat < slowBackend {
-			g.limit.Observe(r.Class, lat/aim, o.Elapsed)
+		if a.target.latency < slowRatio {
+			g.limiter.Observe(r.Class, latency/aim, o.Elapsed)
 		}
-		unheard := 1.0
+		answers := 1.0
 		if o.Status == Timeout {
-			unheard = latUnheard
+			answers = timeoutWeight
 		}
-		a.to.lat += min(1, w*unheard) * (min(lat/max(cl.mean, 1e-6), latMost) - a.to.lat)
+		a.target.latency += min(1, weight*answers) *
+			(min(latency/max(cl.mean, 1e-6), maxRatio) - a.target.latency)
 	}
 	switch o.Status {
 	case OK:
-		if a.to.lat < slowBackend {
-			cl.mean += latLeast / 2 * (lat - cl.mean)
-			cl.least = min(cl.mean, cl.least+leastRises*(cl.mean-cl.least))
+		if a.target.latency < slowRatio {
+			cl.mean += meanWeight / 2 * (latency - cl.mean)
+			cl.lowest = min(cl.mean, cl.lowest+minLatencyRise*(cl.mean-cl.lowest))
 		}
 	case Refused:
-		g.limit.Observe(r.Class, math.Inf(1), o.Elapsed)
+		g.limiter.Observe(r.Class, math.Inf(1), o.Elapsed)
 	}
 	if o.Status == OK || o.Status == Refused || o.Status == Error {
-		a.to.waiting = g.now
+		a.target.waitingSince = g.now
 	}
 	if o.Status != Refused && o.Status != Cancelled && o.Status != Unsent {
-		a.to.heard = g.now
-		g.judge(a.to, o.Status != OK, w)
+		a.target.outcomeAt = g.now
+		g.recordFailure(a.target, o.Status != OK, weight)
 	}
 }
 
-// first is the first attempt that may have run, or is out.
-func (r *request) first() *attempt {
+// firstRun returns the first attempt that is in flight or may have run, or nil.
+func (r *request) firstRun() *attempt {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; !a.never {
+		if a := &r.attempts[i]; !a.neverRan {
 			return a
 		}
 	}
--- a/choice/ceiling_test.go
+++ b/choice/ceiling_test.go
@@ -161,7 +161,7 @@
 		t.Errorf("one who has used up his share is known no more: %d passed", passed)
 	}
 	ask(g, rec, time.Hour, choice.Request{ID: 4_000_000, Customer: 1 << 41, Spread: 4}, -1)
-	if n := choice.HeldCustomers(g); n != 1 {
+	if n := choice.RetainedCustomers(g); n != 1 {
 		t.Errorf("an hour later %d records are held for one who asks", n)
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -673,7 +673,7 @@
 			t.Errorf("request %d went to the backend that is gone", id)
 		}
 	}
-	if n := choice.Known(g); n != 1 {
+	if n := choice.KnownBackends(g); n != 1 {
 		t.Errorf("%d backends are kept, want 1", n)
 	}
 }
--- a/choice/concurrency.go
+++ b/choice/concurrency.go
@@ -1,176 +1,178 @@
 package choice
 
-// Pressure. When the fleet itself is full, requests miss their aim together; a limit on attempts out keeps
-// the rest inside it, its last part for the work of most worth. Nobody tells how much a fleet takes, so the
-// limit finds its size: it begins wide, falls when latency does, from what is really out, and grows while it
-// alone holds work back. docs/design/concurrency-limit.md weighs the ways to do so.
+// Limit on attempts in flight. When the backends are overloaded, all requests miss their aims together. The
+// limit keeps the load below that point and reserves its last part for the requests of most worth. The
+// fleet's capacity is unknown, so the limit adapts: it starts high, is cut from the measured peak in flight
+// when latency rises, and grows while it alone holds requests back. docs/design/concurrency-limit.md compares
+// the alternatives.
 
 import (
 	"math"
 	"time"
 )
 
-// Settings of the limit.
+// Settings of the limit. Its unit is the baseline, and a latency ratio is relative to the target latency.
 const (
-	calmAims    = 0.35 // latency, as a part of what the work itself leaves of the aim, at which it is pressed
-	limitCut    = 0.50 // most that a cut takes off the limit
-	limitGrow   = 0.10 // most that one step adds to it: below the prior of itself, beyond it of that
-	limitCalm   = 0.7  // ratio below which it grows beyond the prior
-	limitForget = 30.0 // seconds after which a limit that holds nothing back is what it was at the start
-	pressLatest = 0.3  // most weight of one step's answers in the mean latency, once there are some
-	pressMost   = 2.0  // calm latencies as which one answer counts at most, near a median
-	pressFull   = 8.0  // calm latencies as which a backend's refusal counts: one in eight is tolerated
-	pressAnswer = 0.2  // weight of one answer in it
-	pressDoubt  = 3.0  // answers that a calm fleet counts as behind a cut, until others have come
-	stillMost   = 0.6  // part of an aim that latency without load is taken for at most
-	stillAnswer = 0.05 // weight of one answer in a class's mean latency, and of one step in what stays of it
-	priorOut    = 5.0  // attempts out that each ready backend is taken to work well with, before it has shown
-	limitWidest = 2.0  // priors that the limit begins with ...
-	limitStart  = 64.0 // attempts of all gateways together that it lets out in any case until it has fallen
-	limitLeast  = 0.2  // prior that stays open
-	limitSlack  = 1.0  // deviations by which chance may take the attempts out beyond the prior
-	limitSpare  = 0.5  // share of the limit kept for the work of most worth
-	peakFades   = 3.0  // seconds in which the most attempts out of late is forgotten
-	unitSteps   = 5.0  // steps in which growth beyond the prior doubles after a cut
+	targetAims         = 0.35 // target latency above the base latency, as a share of the rest of the aim
+	maxCut             = 0.50 // max share of the limit that one cut removes
+	maxGrowth          = 0.10 // max growth per step, relative to the smaller of limit and baseline
+	growBelow          = 0.7  // latency ratio below which it grows beyond the baseline
+	driftSeconds       = 30.0 // time constant of the return to the initial limit while nothing is held back
+	maxStepWeight      = 0.3  // max weight of one step's answers in the mean ratio, after the first ones
+	maxAnswerRatio     = 2.0  // max ratio of one answer, so that the mean is near the median
+	refusalRatio       = 8.0  // ratio of a refusal by a backend: one in eight answers is tolerated
+	answerWeight       = 0.2  // weight of one answer in the mean ratio
+	postCutWeight      = 3.0  // answers at the target ratio that are assumed after a cut, until others come
+	maxBase            = 0.6  // max base latency, as a share of the aim
+	baseWeight         = 0.05 // weight of an answer in a class's mean latency, of a step in its base latency
+	backendBaseline    = 5.0  // attempts in flight that a ready backend is assumed to handle well
+	initialFactor      = 2.0  // initial limit, in baselines
+	freeInFlight       = 64.0 // attempts of all gateways together that are not held back before the first cut
+	minFactor          = 0.2  // min limit, in baselines
+	baselineDeviations = 1.0  // standard deviations of random arrivals that the baseline allows for
+	reserved           = 0.5  // share of the limit that is reserved for the requests of most worth
+	peakSeconds        = 3.0  // time constant in which the recent peak decays
+	growthSteps        = 5.0  // steps after a cut until growth beyond the baseline has doubled
 )
 
-// Limiter bounds the attempts out of one gateway, in parts of a prior: what its share of the fleet is taken
-// to work well with before anything has shown.
+// Limiter limits the attempts in flight of one gateway. Its unit is the baseline: the attempts that this
+// gateway's share of the fleet is assumed to handle well before anything has been measured.
 type Limiter interface {
 	// Observe takes the latency of an answer or timeout, as a multiple of its class's aim and as a duration.
 	// A refusal by an overloaded backend counts as +Inf aims.
 	Observe(class int, aims float64, took time.Duration)
-	// Step takes the time and what has been since the last step. It returns how many priors may be out.
+	// Step takes the time and the figures since the last step. It returns the limit in baselines.
 	Step(now time.Duration, s StepStats) float64
 }
 
-// StepStats is what has been since a Limiter's last step.
+// StepStats are the figures of the time since a Limiter's last step.
 type StepStats struct {
-	MaxInFlight float64 // attempts out at most
-	Baseline    float64 // attempts, as it is now
-	Limited     bool    // the limit has held work back
+	MaxInFlight float64 // max attempts in flight
+	Baseline    float64 // current baseline, attempts
+	Limited     bool    // the limit has held requests back
 }
 
-// limit is the gateway's own Limiter: additive growth that quickens with the time since the last cut, as in
-// H-TCP (Leith and Shorten, PFLDnet 2004), and cuts in proportion to how far latency is beyond the calm one.
-// Behind a cut it waits for as long as answers take, and then takes their mean afresh: what comes sooner
-// tells of what was out before.
-type limit struct {
-	opened float64       // priors that may be out
-	ratio  float64       // mean latency over the calm one, smoothed
-	weight float64       // answers that it rests on
-	sum, n float64       // latencies over the calm one since the last step
-	took   float64       // mean latency, seconds
-	peak   float64       // most priors out, of late
-	step   time.Duration // that a step takes
-	last   time.Duration // the last step
-	cut    time.Duration // the last cut
-	deaf   time.Duration // until then answers tell of what was out before it
-	mean   []float64     // by class: latency in aims
-	still  []float64     // by class: what of it stays with the limit at its least: load can't be its cause
+// latencyLimiter is the gateway's own Limiter. It grows additively, faster with the time since the last cut,
+// as in H-TCP (Leith and Shorten, PFLDnet 2004), and cuts in proportion to the latency above the target.
+// After a cut it ignores answers for one mean latency, as they reflect the attempts in flight before the cut,
+// and then starts a new mean.
+type latencyLimiter struct {
+	factor               float64       // limit in baselines
+	ratio                float64       // mean latency ratio, smoothed
+	ratioWeight          float64       // answers in that mean
+	ratioSum, ratioCount float64       // latency ratios since the last step
+	meanLatency          float64       // seconds
+	peak                 float64       // recent max in flight, in baselines
+	interval             time.Duration // between steps
+	lastStep             time.Duration
+	lastCut              time.Duration
+	ignoreUntil          time.Duration // answers before this reflect the attempts before the last cut
+	latency              []float64     // by class: mean latency in aims
+	base                 []float64     // by class: latency at the min limit, not caused by load
 }
 
-func newLimit(classes int, step, now time.Duration) *limit {
-	l := limit{opened: limitWidest, step: step, last: now, cut: now, deaf: now}
-	l.mean, l.still = make([]float64, classes), make([]float64, classes)
+func newLatencyLimiter(classes int, step, now time.Duration) *latencyLimiter {
+	l := latencyLimiter{factor: initialFactor, interval: step, lastStep: now, lastCut: now, ignoreUntil: now}
+	l.latency, l.base = make([]float64, classes), make([]float64, classes)
 	return &l
 }
 
-func (l *limit) Observe(class int, aims float64, took time.Duration) {
-	l.took += pressAnswer * (took.Seconds() - l.took)
-	if l.last < l.deaf {
-		return // it tells of what was out before the cut
+func (l *latencyLimiter) Observe(class int, aims float64, took time.Duration) {
+	l.meanLatency += answerWeight * (took.Seconds() - l.meanLatency)
+	if l.lastStep < l.ignoreUntil {
+		return // it reflects the attempts in flight before the cut
 	}
-	ratio := pressFull
+	ratio := refusalRatio
 	if !math.IsInf(aims, 1) {
-		l.mean[class] += stillAnswer * (aims - l.mean[class])
-		ratio = (aims - l.still[class]) / (calmAims * (1 - l.still[class]))
-		ratio = max(0, min(pressMost, ratio))
+		l.latency[class] += baseWeight * (aims - l.latency[class])
+		ratio = (aims - l.base[class]) / (targetAims * (1 - l.base[class]))
+		ratio = max(0, min(maxAnswerRatio, ratio))
 	}
-	l.sum += ratio
-	l.n++
+	l.ratioSum += ratio
+	l.ratioCount++
 }
-func (l *limit) Step(now time.Duration, s StepStats) float64 {
-	span, out := (now - l.last).Seconds(), s.MaxInFlight/max(s.Baseline, 1e-9)
-	l.last = now
-	l.peak = max(out, l.peak*math.Exp(-span/peakFades))
-	if now < l.deaf {
-		return l.opened
+func (l *latencyLimiter) Step(now time.Duration, s StepStats) float64 {
+	elapsed, inFlight := (now - l.lastStep).Seconds(), s.MaxInFlight/max(s.Baseline, 1e-9)
+	l.lastStep = now
+	l.peak = max(inFlight, l.peak*math.Exp(-elapsed/peakSeconds))
+	if now < l.ignoreUntil {
+		return l.factor
 	}
-	if l.n > 0 || out == 0 { // with nothing out it is calm
-		n := max(l.n, 1)
-		l.weight += n
-		l.ratio += max(n/l.weight, min(pressLatest, pressAnswer*n)) * (l.sum/n - l.ratio)
+	if l.ratioCount > 0 || inFlight == 0 { // an idle gateway counts as one answer of ratio 0
+		n := max(l.ratioCount, 1)
+		l.ratioWeight += n
+		l.ratio += max(n/l.ratioWeight, min(maxStepWeight, answerWeight*n)) * (l.ratioSum/n - l.ratio)
 	}
-	l.sum, l.n = 0, 0
-	for c := range l.still {
-		if l.opened <= limitLeast {
-			l.still[c] = min(stillMost, l.still[c]+stillAnswer*(l.mean[c]-l.still[c]))
+	l.ratioSum, l.ratioCount = 0, 0
+	for c := range l.base {
+		if l.factor <= minFactor {
+			l.base[c] = min(maxBase, l.base[c]+baseWeight*(l.latency[c]-l.base[c]))
 		} else {
-			l.still[c] = min(l.still[c], l.mean[c])
+			l.base[c] = min(l.base[c], l.latency[c])
 		}
 	}
-	since := (now - l.cut).Seconds() / l.step.Seconds() / unitSteps
+	sinceCut := (now - l.lastCut).Seconds() / l.interval.Seconds() / growthSteps
 	switch {
-	case l.ratio > 1: // from what is out in truth: a limit that held nothing says nothing
-		l.opened = max(limitLeast, min(l.opened, max(1, l.peak))*(1-min(limitCut, limitCut*(l.ratio-1))))
-		l.cut, l.deaf = now, now+seconds(l.took)
-		l.ratio, l.weight, l.peak = 1, pressDoubt, out
-	case l.opened < 1:
-		l.opened = min(1, l.opened*(1+min(limitGrow, limitCut*(1-l.ratio))))
+	case l.ratio > 1: // cut from the peak: a limit that wasn't reached tells nothing about the fleet
+		l.factor = max(minFactor, min(l.factor, max(1, l.peak))*(1-min(maxCut, maxCut*(l.ratio-1))))
+		l.lastCut, l.ignoreUntil = now, now+seconds(l.meanLatency)
+		l.ratio, l.ratioWeight, l.peak = 1, postCutWeight, inFlight
+	case l.factor < 1:
+		l.factor = min(1, l.factor*(1+min(maxGrowth, maxCut*(1-l.ratio))))
 	case !s.Limited:
-		l.opened += (1 - math.Exp(-span/limitForget)) * (limitWidest - l.opened)
-	case l.ratio < limitCalm:
-		l.opened += limitGrow * (1 + since*since)
+		l.factor += (1 - math.Exp(-elapsed/driftSeconds)) * (initialFactor - l.factor)
+	case l.ratio < growBelow:
+		l.factor += maxGrowth * (1 + sinceCut*sinceCut)
 	}
-	return l.opened
+	return l.factor
 }
 
-// pressed tells whether the limit holds r back. Where nothing has shown what the fleet takes, the first few
-// attempts out are never too many. A request that its customer's store covers has a claim to the whole prior,
-// whatever the chance.
-func (g *Gateway) pressed(r *request, chance float64, covered bool) bool {
-	room, top := g.room(), 0.0
+// overLimit reports whether the limit holds r back. Before the first cut, the first few attempts in flight
+// are never too many. A request that its customer's token bucket covers may use the whole baseline, whatever
+// its admission probability.
+func (g *Gateway) overLimit(r *request, probability float64, covered bool) bool {
+	limit, maxRate := g.limit(), 0.0
 	for i := range g.cfg.Classes {
-		top = max(top, g.worth(i))
+		maxRate = max(maxRate, g.worthRate(i))
 	}
-	if chance < 1 { // beyond its quota, it seems: it has no claim to what the fleet has shown to take besides
-		if room = min(room, g.prior()); !covered {
-			room *= 1 - limitSpare*(1-chance)
+	if probability < 1 { // probably beyond its quota: may not use the limit beyond the baseline
+		if limit = min(limit, g.baseline()); !covered {
+			limit *= 1 - reserved*(1-probability)
 		}
-	} else if g.opened >= limitWidest && float64(g.out) < limitStart/float64(g.cfg.Gateways) {
+	} else if g.limitFactor >= initialFactor && float64(g.inFlight) < freeInFlight/float64(g.cfg.Gateways) {
 		return false
 	}
-	part := 1 - limitSpare*(1-g.worth(r.Class)/top)
-	held := float64(g.out) >= math.Floor(room*part+g.rng.Float64())
-	g.bound = g.bound || held && chance >= 1
-	return held
+	share := 1 - reserved*(1-g.worthRate(r.Class)/maxRate)
+	over := float64(g.inFlight) >= math.Floor(limit*share+g.rng.Float64())
+	g.limited = g.limited || over && probability >= 1
+	return over
 }
 
-// room is how many attempts may be out. Below one it is met by chance, so that the sum over gateways keeps.
-func (g *Gateway) room() float64 { return g.opened * g.prior() }
+// limit is the max attempts in flight. Callers round it at random, so that the sum over all gateways holds.
+func (g *Gateway) limit() float64 { return g.limitFactor * g.baseline() }
 
-// prior is this gateway's part of what the fleet is taken to work well with and what chance arrivals may add.
-func (g *Gateway) prior() float64 {
-	part := priorOut * float64(len(g.fleet)) / float64(g.cfg.Gateways)
-	return part + limitSlack*math.Sqrt(part)
+// baseline is this gateway's share of what the fleet is assumed to handle well, and room for random arrivals.
+func (g *Gateway) baseline() float64 {
+	share := backendBaseline * float64(len(g.fleet)) / float64(g.cfg.Gateways)
+	return share + baselineDeviations*math.Sqrt(share)
 }
 
-// limitStep is as long as an answer takes at most while nothing is pressed.
-func (g *Gateway) limitStep() time.Duration { return seconds(calmAims * g.longest.Seconds()) }
+// limitInterval is the max latency of an answer at the target: the time between two steps of the limit.
+func (g *Gateway) limitInterval() time.Duration { return seconds(targetAims * g.maxAim.Seconds()) }
 
-func (g *Gateway) worth(class int) float64 {
-	return g.cfg.Classes[class].Worth / g.classes[class].least
+// worthRate is a class's worth per second of its latency without load.
+func (g *Gateway) worthRate(class int) float64 {
+	return g.cfg.Classes[class].Worth / g.classes[class].lowest
 }
 
-// step does what time brings: the sweep, and the limit's next step.
-func (g *Gateway) step(now time.Duration) {
+// advance sets the time, sweeps idle customers and steps the limit if they are due.
+func (g *Gateway) advance(now time.Duration) {
 	g.now = now
 	g.sweep()
-	if now < g.nextStep {
+	if now < g.nextLimitStep {
 		return
 	}
-	g.nextStep = now + g.limitStep()
-	g.opened = g.limit.Step(now, StepStats{float64(g.most), g.prior(), g.bound})
-	g.most, g.bound = g.out, false
+	g.nextLimitStep = now + g.limitInterval()
+	g.limitFactor = g.limiter.Step(now, StepStats{float64(g.peakInFlight), g.baseline(), g.limited})
+	g.peakInFlight, g.limited = g.inFlight, false
 }
--- a/choice/config.go
+++ b/choice/config.go
@@ -1,6 +1,6 @@
 package choice
 
-// What a Config may say, and what a gateway begins with. Nothing in this file decides.
+// Validation of a Config and the initial state of a gateway. Nothing in this file decides.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// New makes a gateway. Its error names the field of cfg that cannot be served.
+// New creates a gateway. Its error names the invalid field of cfg.
 func New(cfg Config, seed uint64, now time.Duration, act Actions) (*Gateway, error) {
 	if act == nil {
 		return nil, fmt.Errorf("choice: Actions is nil")
@@ -20,35 +20,36 @@
 	}
 	g := &Gateway{
 		cfg: cfg, act: act, rng: rand.New(rand.NewPCG(seed, uint64(cfg.Self))),
-		now: now, born: now, begun: now, changed: now,
-		slot:      max(cfg.MeterPeriod, 100*time.Millisecond) / slotsPeriod,
-		customers: map[account]*customer{}, requests: map[uint32]*request{}, backends: map[uint32]*backend{},
-		zones:   map[int]float64{},
-		classes: make([]classSeen, len(cfg.Classes)), bank: retryBank / 2, opened: limitWidest, clear: 1,
-		inflight: slices.Index(cfg.ReportFields, "inflight"),
-		meter:    meterClock{lag: lagGuess * slotsPeriod},
+		now: now, created: now, ceilingsEmptyAt: now, ceilingChangedAt: now,
+		slotLength: max(cfg.MeterPeriod, 100*time.Millisecond) / slotsPerPeriod,
+		customers:  map[account]*customer{}, requests: map[uint32]*request{}, backends: map[uint32]*backend{},
+		zoneFailures: map[int]float64{},
+		classes:      make([]classLatency, len(cfg.Classes)), retryBudget: maxRetryBudget / 2,
+		limitFactor: initialFactor, notShed: 1,
+		inflightField: slices.Index(cfg.ReportFields, "inflight"),
+		meter:         meterClock{lag: initialLag * slotsPerPeriod},
 	}
 	for i, c := range cfg.Classes {
-		g.longest = max(g.longest, c.Aim)
-		g.firstGap = g.longest.Seconds()
-		g.classes[i] = classSeen{c.Aim.Seconds() / 4, c.Aim.Seconds() / 4}
+		g.maxAim = max(g.maxAim, c.Aim)
+		g.firstGap = g.maxAim.Seconds()
+		g.classes[i] = classLatency{c.Aim.Seconds() / 4, c.Aim.Seconds() / 4}
 	}
 	g.addPlans()
-	if g.limit = cfg.Limit; g.limit == nil {
-		g.limit = newLimit(len(cfg.Classes), g.limitStep(), now)
+	if g.limiter = cfg.Limit; g.limiter == nil {
+		g.limiter = newLatencyLimiter(len(cfg.Classes), g.limitInterval(), now)
 	}
-	g.advise()
+	g.setRetryAfter()
 	return g, nil
 }
 
-// advise sets the advice given with a refusal.
-func (g *Gateway) advise() {
+// setRetryAfter sets the delay given with a refusal.
+func (g *Gateway) setRetryAfter() {
 	if g.cfg.RetryAfter {
-		g.advice = g.cfg.MaxRetryAfter / adviceParts
+		g.retryAfter = g.cfg.MaxRetryAfter / retryAfterParts
 	}
 }
 
-// check returns an error that names the field that cannot be served.
+// check returns an error that names the first invalid field.
 func (cfg *Config) check() error {
 	switch {
 	case cfg.Gateways < 1:
--- a/choice/export_test.go
+++ b/choice/export_test.go
@@ -1,14 +1,14 @@
 package choice
 
-// Known tells how many backends a gateway keeps.
-func Known(g *Gateway) int { return len(g.backends) }
+// KnownBackends tells how many backends a gateway keeps.
+func KnownBackends(g *Gateway) int { return len(g.backends) }
 
 // KnownCustomers is the number of customers' records kept.
 func KnownCustomers(g *Gateway) int { return len(g.customers) }
 
-// HeldCustomers is the number of records that the row holds on to, those behind its end among them.
-func HeldCustomers(g *Gateway) (n int) {
-	for _, c := range g.kept[:cap(g.kept)] {
+// RetainedCustomers is the number of records that the row holds on to, those behind its end among them.
+func RetainedCustomers(g *Gateway) (n int) {
+	for _, c := range g.records[:cap(g.records)] {
 		if c != nil {
 			n++
 		}
--- a/choice/health.go
+++ b/choice/health.go
@@ -1,25 +1,25 @@
 package choice
 
-// Health of backends: outlier ejection, and slow start of cold ones.
+// Health of backends: outlier ejection and slow start.
 
-// Settings, each a ratio to what Config states.
+// Settings, relative to those of Config.
 const (
-	failAverage = 0.15 // weight of one outcome in a backend's share of failures
-	ejectOver   = 0.5  // share of failures at which a backend is ejected
-	ejectMost   = 0.4  // share of the ready fleet that may be ejected at once
-	ejectAims   = 8.0  // longest aims that an ejection lasts
-	silentAims  = 0.4  // longest aims without any answer while attempts are out: the backend is silent
-	coldTimes   = 1.5  // warmths of a backend's usual work that a cold one gets, of FallMultiple
-	coldBurst   = 1.5  // attempts saved up for a cold backend at most
+	failureWeight    = 0.15 // min weight of one outcome in a backend's failure rate
+	ejectAbove       = 0.5  // failure rate above which a backend is ejected
+	maxEjected       = 0.4  // max share of the ready backends that is ejected at once
+	ejectAims        = 8.0  // mean duration of an ejection, in longest aims
+	unresponsiveAims = 0.4  // longest aims with attempts in flight and no answer, until it is unresponsive
+	coldFactor       = 1.5  // rate to a cold backend, relative to its capacity; it crashes at CrashMultiple
+	coldBurst        = 1.5  // size of a cold backend's token bucket
 )
 
-// silent tells of a backend that takes attempts and answers none.
-func (g *Gateway) silent(b *backend) bool {
-	return b.out > 0 && (g.now-b.waiting).Seconds() > silentAims*g.longest.Seconds()
+// unresponsive reports whether b has attempts in flight and has answered none of them for a time.
+func (g *Gateway) unresponsive(b *backend) bool {
+	return b.inFlight > 0 && (g.now-b.waitingSince).Seconds() > unresponsiveAims*g.maxAim.Seconds()
 }
 
-// warmth is the least part of its capacity that a backend can have now.
-func (g *Gateway) warmth(b *backend) float64 {
+// capacity is the min share of its full capacity that a backend has now.
+func (g *Gateway) capacity(b *backend) float64 {
 	age := g.now - b.Started
 	if !b.StartKnown || g.cfg.WarmUpTime <= 0 || age >= g.cfg.WarmUpTime {
 		return 1
@@ -28,48 +28,48 @@
 	return from + (1-from)*max(0, age.Seconds())/g.cfg.WarmUpTime.Seconds()
 }
 
-// coldRoom bounds what goes to a cold backend by a token bucket that fills at so many times its warmth of
-// what this gateway gives each backend it uses. A warm one bears what all gateways give it together, so a
-// cold one is sent no more than that multiple of what it can do, however many gateways there are.
-func (g *Gateway) coldRoom(b *backend) bool {
-	w := g.warmth(b)
+// coldAllows limits what is sent to a cold backend by a token bucket. It fills at coldFactor times the
+// backend's capacity times the mean rate that this gateway sends to a backend. A warm backend handles the sum
+// of these rates, so a cold one gets at most coldFactor times its capacity, however many gateways there are.
+func (g *Gateway) coldAllows(b *backend) bool {
+	w := g.capacity(b)
 	if w >= 1 {
 		return true
 	}
 	each := 1 / max(g.firstGap, 1e-9) / float64(max(1, min(g.inUse(), len(g.fleet))))
-	span := (g.now - b.filled).Seconds()
-	b.tokens, b.filled = min(coldBurst, b.tokens+span*coldTimes*w*each), g.now
+	span := (g.now - b.tokensAt).Seconds()
+	b.tokens, b.tokensAt = min(coldBurst, b.tokens+span*coldFactor*w*each), g.now
 	return b.tokens >= 1
 }
 
-// inUse is how many backends take this gateway's work at a time.
+// inUse is the number of backends that this gateway uses at a time.
 func (g *Gateway) inUse() int {
-	if len(g.order) > 0 {
-		return g.size
+	if len(g.candidates) > 0 {
+		return g.subsetSize
 	}
 	return len(g.fleet)
 }
 
-// judge ejects a backend that fails far more than the fleet does.
-func (g *Gateway) judge(b *backend, failed bool, weight float64) {
+// recordFailure updates the failure rates and ejects a backend that fails too often.
+func (g *Gateway) recordFailure(b *backend, failed bool, weight float64) {
 	v := 0.0
 	if failed {
 		v = 1
 	}
-	b.fails += max(failAverage, weight) * (v - b.fails)
-	g.zones[b.Zone] += failAverage * (v - g.zones[b.Zone])
+	b.failureRate += max(failureWeight, weight) * (v - b.failureRate)
+	g.zoneFailures[b.Zone] += failureWeight * (v - g.zoneFailures[b.Zone])
 	if !failed {
 		return
 	}
 	ejected := 1.0
 	for _, o := range g.fleet {
-		if g.now < o.until {
+		if g.now < o.ejectedUntil {
 			ejected++
 		}
 	}
-	if g.now >= b.until && b.fails > ejectOver && ejected <= ejectMost*float64(len(g.fleet)) {
-		span := ejectAims * g.longest.Seconds()
-		b.until = g.now + seconds(span*(0.8+0.4*g.rng.Float64()))
-		b.fails = 0
+	if g.now >= b.ejectedUntil && b.failureRate > ejectAbove && ejected <= maxEjected*float64(len(g.fleet)) {
+		span := ejectAims * g.maxAim.Seconds()
+		b.ejectedUntil = g.now + seconds(span*(0.8+0.4*g.rng.Float64()))
+		b.failureRate = 0
 	}
 }
--- a/choice/meter.go
+++ b/choice/meter.go
@@ -1,25 +1,25 @@
 package choice
 
-// Readings of the platform's meter: which period one tells of, and what it says of a customer.
+// Readings of the platform's meter: which period one belongs to, and what it shows of a customer.
 
 import (
 	"math"
 	"time"
 )
 
-// Settings, each a ratio to what Config states.
+// Settings, relative to those of Config.
 const (
-	smoothUnits = 8.0 // units: the offered rate is averaged over the time the rate takes to fill them
-	smoothLeast = 1.5 // meter periods: the shortest such average
-	smoothOpen  = 2.0 // meter periods: the average where the reading is of open attempts
-	startUnits  = 1.7 // units of quota in a customer's readings that weigh as much as what its plan's show
-	lagMost     = 13  // meter periods of lag that can be told
-	lagReadings = 100 // readings over which the lag is learned
-	slotsPeriod = 4   // slots of own history in one meter period
+	smoothUnits    = 8.0 // units: use is averaged over the time in which the quota's rate yields them
+	minSmoothing   = 1.5 // meter periods: the min of that time
+	smoothOpen     = 2.0 // meter periods: the same for readings of open attempts
+	priorUnits     = 1.7 // units of quota in a customer's readings that weigh as much as its plan's readings
+	maxLag         = 13  // max lag that can be detected, meter periods
+	lagReadings    = 100 // readings over which the lag is estimated
+	slotsPerPeriod = 4   // slots of local history in one meter period
 )
 
-// change narrows down when the shown period changes, from two answers with different readings.
-func (m *meterClock) change(from, to, period time.Duration) {
+// narrowChange narrows the bounds of the meter's switch, from two answers with different readings.
+func (m *meterClock) narrowChange(from, to, period time.Duration) {
 	if !m.known {
 		m.known, m.lo, m.hi = true, from, to
 		return
@@ -33,19 +33,19 @@
 	m.lo, m.hi = lo, hi
 }
 
-// fit learns the lag: the right one makes own use fit best into the readings.
-func (g *Gateway) fit(c *customer, use float64, shown time.Duration) {
+// fitLag estimates the lag as the one at which local use differs least from the readings.
+func (g *Gateway) fitLag(c *customer, use float64, shown time.Duration) {
 	m := &g.meter
 	m.readings++
-	w := 1 / float64(min(m.readings, lagReadings))
+	weight := 1 / float64(min(m.readings, lagReadings))
 	top, best := g.slotOf(shown), 0
-	for j := range m.misfit {
-		own := 0.0
-		for k := max(top-int64(j)-slotsPeriod, c.head-slotsKept+1); k < min(top-int64(j), c.head+1); k++ {
-			own += float64(c.slots[k%slotsKept].passed)
+	for j := range m.lagError {
+		local := 0.0
+		for k := max(top-int64(j)-slotsPerPeriod, c.head-slotsKept+1); k < min(top-int64(j), c.head+1); k++ {
+			local += float64(c.slots[k%slotsKept].passed)
 		}
-		m.misfit[j] += w * ((use-own)*(use-own)/(use+1) - m.misfit[j])
-		if m.misfit[j] < m.misfit[best] {
+		m.lagError[j] += weight * ((use-local)*(use-local)/(use+1) - m.lagError[j])
+		if m.lagError[j] < m.lagError[best] {
 			best = j
 		}
 	}
@@ -54,19 +54,19 @@
 	}
 }
 
-// metered takes a reading that an answer showed at a time: a slow one tells late what was so when it began.
-// Answers repeat a period's reading; the clock of the meter tells which period it is, and each counts once.
-func (g *Gateway) metered(c *customer, used float64, at time.Duration) {
+// applyReading handles a reading as of the time at which its answer began to arrive. Many answers carry the
+// same period's reading; the meter's clock identifies the period, and each period counts once.
+func (g *Gateway) applyReading(c *customer, used float64, at time.Duration) {
 	period := g.cfg.MeterPeriod
-	if period <= 0 || c.measured && at < c.heard {
+	if period <= 0 || c.measured && at < c.readingAt {
 		return
 	}
-	if !g.possible(c.plan, used) {
-		g.misread++
+	if !g.validReading(c.plan, used) {
+		g.invalidReadings++
 		return
 	}
-	if c.measured && used != c.reading && at-c.heard < period {
-		g.meter.change(c.heard, at, period)
+	if c.measured && used != c.reading && at-c.readingAt < period {
+		g.meter.narrowChange(c.readingAt, at, period)
 	}
 	shown := at
 	if g.meter.known {
@@ -75,73 +75,73 @@
 	number := int64(math.Floor(float64(at-shown) / float64(period)))
 	shown += time.Duration(number) * period
 	number = int64(math.Round(float64(shown) / float64(period)))
-	c.reading, c.heard = used, at
+	c.reading, c.readingAt = used, at
 	if c.measured && number <= c.period {
 		return
 	}
-	g.roll(c)
+	g.rollSlots(c)
 	p := c.plan
-	quota, tau := g.quota(p), smoothOpen
+	quota, smoothing := g.quotaPerPeriod(p), smoothOpen
 	if p.Rate > 0 {
-		tau = max(smoothLeast, smoothUnits/quota)
+		smoothing = max(minSmoothing, smoothUnits/quota)
 	}
 	use := used * quota
 	if p.Rate > 0 && g.meter.known && c.measured {
-		g.fit(c, use, shown)
+		g.fitLag(c, use, shown)
 	}
-	end := shown - time.Duration(g.meter.lag)*g.slot
-	gap, w := int64(1), 1.0
+	end := shown - time.Duration(g.meter.lag)*g.slotLength
+	gap, weight := int64(1), 1.0
 	if p.Rate > 0 {
-		w = quota / (quota + startUnits)
+		weight = quota / (quota + priorUnits)
 	}
 	if c.measured {
-		gap = min(number-c.period, slotsKept/slotsPeriod)
-		w = 1 - math.Exp(-float64(gap)/tau)
+		gap = min(number-c.period, slotsKept/slotsPerPeriod)
+		weight = 1 - math.Exp(-float64(gap)/smoothing)
 	}
-	for k := gap - 1; k > 0; k-- { // periods whose readings were never heard
-		own := g.window(c, end-time.Duration(k+1)*period, end-time.Duration(k)*period).passed
-		c.fill(quota - max(own, c.mean))
+	for k := gap - 1; k > 0; k-- { // periods whose readings never arrived
+		local := g.window(c, end-time.Duration(k+1)*period, end-time.Duration(k)*period).passed
+		c.fill(quota - max(local, c.meanUse))
 	}
 	c.fill(quota - use)
-	c.storeAt = end
+	c.shownAt = end
 	sum := g.window(c, end-period, end)
-	c.mean += w * (use - c.mean)
-	c.own += w * (sum.passed - c.own)
-	c.asked += w * (sum.offered - c.asked)
-	applied := max(sum.chance, leastChance)
-	c.applied += w * (applied - c.applied)
-	g.usage[c.key.plan].learn(p, quota, use, applied)
-	c.chance = c.applied * quota / max(c.mean, calmUse*quota)
+	c.meanUse += weight * (use - c.meanUse)
+	c.meanPassed += weight * (sum.passed - c.meanPassed)
+	c.meanOffered += weight * (sum.offered - c.meanOffered)
+	applied := max(sum.probability, minProbability)
+	c.meanApplied += weight * (applied - c.meanApplied)
+	g.usage[c.key.plan].addReading(p, quota, use, applied)
+	c.probability = c.meanApplied * quota / max(c.meanUse, minUse*quota)
 	c.measured, c.period = true, number
 	c.dither = g.rng.Float64()
 }
 
-// quota is what a reading is a part of: the units of a meter period, or an open plan's cap.
-func (g *Gateway) quota(p *Plan) float64 {
+// quotaPerPeriod is what a reading is relative to: the units of a meter period, or 1 without a rate.
+func (g *Gateway) quotaPerPeriod(p *Plan) float64 {
 	if p.Rate <= 0 {
 		return 1
 	}
 	return p.Rate * g.cfg.MeterPeriod.Seconds()
 }
 
-// possible tells whether the meter can have shown a use. No customer passes its ceiling, which counts a unit
-// of each request at least, while the meter may count MaxUnits of it: units can be settled after the answer.
-func (g *Gateway) possible(p *Plan, used float64) bool {
-	most := math.MaxFloat64
+// validReading reports whether the meter can have shown a use. No customer exceeds its ceiling, which counts
+// at least one unit per request, while the meter may count MaxUnits: units can be settled after the answer.
+func (g *Gateway) validReading(p *Plan, used float64) bool {
+	maxUse := math.MaxFloat64
 	if p.Rate > 0 && p.CeilingRate > 0 {
-		most = p.CeilingBurst + p.CeilingTolerance + p.CeilingRate*g.cfg.MeterPeriod.Seconds()
-		most *= max(1, g.cfg.MaxUnits)
+		maxUse = p.CeilingBurst + p.CeilingTolerance + p.CeilingRate*g.cfg.MeterPeriod.Seconds()
+		maxUse *= max(1, g.cfg.MaxUnits)
 	}
-	return used >= 0 && used*g.quota(p) <= most
+	return used >= 0 && used*g.quotaPerPeriod(p) <= maxUse
 }
 
 // LateReading takes a meter reading that arrived after its attempt had ended; age is as in Outcome.
-func (g *Gateway) LateReading(now time.Duration, who uint64, plan int, used float64, age time.Duration) {
-	g.step(now)
-	if c := g.customers[account{who, plan}]; c != nil {
-		g.metered(c, used, now-age)
+func (g *Gateway) LateReading(now time.Duration, id uint64, plan int, used float64, age time.Duration) {
+	g.advance(now)
+	if c := g.customers[account{id, plan}]; c != nil {
+		g.applyReading(c, used, now-age)
 	}
 }
 
-// fill moves the store by a period's gain, never below nothing nor above the burst.
-func (c *customer) fill(units float64) { c.store = min(max(c.store+units, 0), c.plan.Burst) }
+// fill adds a period's net units to the bucket level, between 0 and the burst.
+func (c *customer) fill(units float64) { c.shownLevel = min(max(c.shownLevel+units, 0), c.plan.Burst) }
--- a/choice/terms.go
+++ b/choice/terms.go
@@ -1,6 +1,6 @@
 package choice
 
-// Terms that change while a gateway runs. All gateways of a fleet take them, each at a moment of its own.
+// Change of terms at run time. Each gateway of a fleet applies them at a different time.
 
 import (
 	"fmt"
@@ -8,48 +8,48 @@
 	"time"
 )
 
-// SetTerms takes new terms. What is known of customers stays, and what this gateway's part of each ceiling
-// holds, filled by the old terms until now. The error names what cannot be served: then all stays.
+// SetTerms applies new terms. It keeps the state of customers and the level of this gateway's share of each
+// ceiling, refilled by the old terms until now. An error names the invalid field, and nothing changes.
 func (g *Gateway) SetTerms(now time.Duration, t Terms) error {
-	g.step(now)
+	g.advance(now)
 	next, old := g.cfg, g.cfg.Plans
 	next.Plans, next.MaxAttempts, next.MaxRetryAfter = slices.Clone(t.Plans), t.MaxAttempts, t.MaxRetryAfter
 	if err := next.check(); err != nil {
 		return err
 	} else if len(next.Plans) < len(old) {
-		return fmt.Errorf("choice: Terms.Plans holds %d, want the %d there are", len(next.Plans), len(old))
+		return fmt.Errorf("choice: Terms.Plans has %d entries, want at least %d", len(next.Plans), len(old))
 	}
-	filled := make([]time.Duration, len(next.Plans))
-	for i, is := range next.Plans {
-		filled[i] = g.fills(i)
-		if i < len(old) && old[i] != is && old[i].CeilingRate > 0 && is.CeilingRate > 0 {
-			part := min(old[i].CeilingBurst, (now-filled[i]).Seconds()*old[i].CeilingRate)
-			filled[i], g.changed = now-seconds(part/is.CeilingRate), now
+	planEmptyAt := make([]time.Duration, len(next.Plans))
+	for i, after := range next.Plans {
+		planEmptyAt[i] = g.emptyAt(i)
+		if i < len(old) && old[i] != after && old[i].CeilingRate > 0 && after.CeilingRate > 0 {
+			level := min(old[i].CeilingBurst, (now-planEmptyAt[i]).Seconds()*old[i].CeilingRate)
+			planEmptyAt[i], g.ceilingChangedAt = now-seconds(level/after.CeilingRate), now
 		}
 	}
-	for _, c := range g.kept {
-		g.ceilingHolds(c, 0) // fills it up to now
+	for _, c := range g.records {
+		g.ceilingCovers(c, 0) // refills it by the old terms
 	}
-	g.cfg, g.filled = next, filled
+	g.cfg, g.planEmptyAt = next, planEmptyAt
 	g.addPlans()
-	g.advise()
-	for _, c := range g.kept {
-		was, is := c.plan, &g.cfg.Plans[c.key.plan]
-		c.plan = is
-		if (was.Rate > 0) != (is.Rate > 0) { // readings are in other units from now on
-			g.unread(c)
-		} else if c.store = min(c.store, is.Burst); c.measured && is.Rate > 0 {
-			quota := g.quota(is)
-			c.chance = c.applied * quota / max(c.mean, calmUse*quota)
+	g.setRetryAfter()
+	for _, c := range g.records {
+		before, after := c.plan, &g.cfg.Plans[c.key.plan]
+		c.plan = after
+		if (before.Rate > 0) != (after.Rate > 0) { // readings have another unit from now on
+			g.resetEstimates(c)
+		} else if c.shownLevel = min(c.shownLevel, after.Burst); c.measured && after.Rate > 0 {
+			quota := g.quotaPerPeriod(after)
+			c.probability = c.meanApplied * quota / max(c.meanUse, minUse*quota)
 		}
 	}
 	return nil
 }
 
-// fills tells when the ceilings of a plan began to fill for customers that are not known.
-func (g *Gateway) fills(plan int) time.Duration {
-	if plan < len(g.filled) {
-		return max(g.begun, g.filled[plan])
+// emptyAt is when the ceiling shares of a plan's customers without a record were empty.
+func (g *Gateway) emptyAt(plan int) time.Duration {
+	if plan < len(g.planEmptyAt) {
+		return max(g.ceilingsEmptyAt, g.planEmptyAt[plan])
 	}
-	return g.begun
+	return g.ceilingsEmptyAt
 }
--- a/choice/view.go
+++ b/choice/view.go
@@ -1,64 +1,64 @@
 package choice
 
-// What a gateway tells of itself. Nothing in this file decides.
+// Status of a gateway for operators. Nothing in this file decides.
 
 import "time"
 
-// Cause is why a try was refused at once.
+// Cause is why a request was refused without an attempt.
 type Cause int
 
-// The causes, in the order in which a try meets them.
+// The causes, in the order of the checks.
 const (
-	ByOverload     Cause = iota // the limit on attempts out
-	ByCeiling                   // this gateway's part of the hard ceiling
-	ByOpenAttempts              // its part of the attempts that the plan lets be open
-	ByUncertainty               // others may have drawn what the meter last showed
+	ByOverload     Cause = iota // the limit on attempts in flight
+	ByCeiling                   // this gateway's share of the hard limit
+	ByOpenAttempts              // its share of the plan's limit on open attempts
+	ByUncertainty               // other gateways may have used the tokens that the meter last showed
 	ByProbability               // the admission probability
-	ByNoBackend                 // no backend takes it
-	causes
+	ByNoBackend                 // no backend is available
+	causeCount
 )
 
-// String names a cause as operators see it.
+// String returns the name of a cause in status output.
 func (c Cause) String() string {
 	return [...]string{"pressure", "ceiling", "open", "doubt", "chance", "backends"}[c]
 }
 
-// Causes are all of them.
+// Causes returns all causes.
 func Causes() (all []Cause) {
-	for c := range causes {
+	for c := range causeCount {
 		all = append(all, c)
 	}
 	return all
 }
 
-// Refusals is how many tries this gateway has refused for a cause.
+// Refusals returns how many requests this gateway has refused for a cause.
 func (g *Gateway) Refusals(c Cause) uint64 { return g.refusals[c] }
 
-// InvalidReadings is how many readings this gateway has set aside because no meter can show them: negative, not a
-// number, or beyond the customer's ceiling.
-func (g *Gateway) InvalidReadings() uint64 { return g.misread }
+// InvalidReadings returns how many readings this gateway has dropped because no meter can show them:
+// negative, not a number, or beyond the customer's ceiling.
+func (g *Gateway) InvalidReadings() uint64 { return g.invalidReadings }
 
-// LimitView is how the limit on attempts out stands.
+// LimitView is the state of the limit on attempts in flight.
 type LimitView struct {
-	MaxInFlight  float64 // attempts that may be out
-	Baseline     float64 // attempts that its share of the fleet is taken to work well with, before it has shown
-	InFlight     int     // attempts out
-	LatencyRatio float64 // of answers, over the calm one: above 1 the limit falls; 0: not known
+	MaxInFlight  float64 // max attempts in flight
+	Baseline     float64 // attempts that its share of the fleet is assumed to handle well
+	InFlight     int     // attempts in flight
+	LatencyRatio float64 // mean latency over the target: above 1 the limit is cut; 0: unknown
 }
 
-// Limit tells how the limit stands.
+// Limit returns the state of the limit.
 func (g *Gateway) Limit() LimitView {
-	v := LimitView{MaxInFlight: g.room(), Baseline: g.prior(), InFlight: g.out}
-	if l, own := g.limit.(*limit); own {
+	v := LimitView{MaxInFlight: g.limit(), Baseline: g.baseline(), InFlight: g.inFlight}
+	if l, own := g.limiter.(*latencyLimiter); own {
 		v.LatencyRatio = l.ratio
 	}
 	return v
 }
 
-// View tells what is known of each ready backend, in the order in which they are turned to.
+// View returns what is known of each ready backend, in order of preference.
 func (g *Gateway) View(now time.Duration) (all []BackendView) {
 	g.now = now
-	order, size := g.order, float64(g.size)
+	order, size := g.candidates, float64(g.subsetSize)
 	if len(order) == 0 {
 		order, size = g.fleet, float64(len(g.fleet))
 	}
@@ -67,8 +67,9 @@
 		if b.State != Ready {
 			continue
 		}
-		v := BackendView{ID: b.ID, PickWeight: b.part, Capacity: g.warmth(b), Latency: b.lat, FailureRate: b.fails}
-		v.InFlight, v.Ejected, v.Unresponsive = b.out, now < b.until, g.silent(b)
+		v := BackendView{ID: b.ID, PickWeight: b.pickWeight, Capacity: g.capacity(b),
+			Latency: b.latency, FailureRate: b.failureRate}
+		v.InFlight, v.Ejected, v.Unresponsive = b.inFlight, now < b.ejectedUntil, g.unresponsive(b)
 		if v.Used = !v.Ejected && !v.Unresponsive && warm < size; v.Used {
 			warm += v.Capacity
 		}
@@ -77,11 +78,11 @@
 	return all
 }
 
-// UnavailableBackends is how many of the listed backends get no work now but for want of others.
+// UnavailableBackends returns how many of the listed backends get work only if no other is available.
 func (g *Gateway) UnavailableBackends(now time.Duration) (n int) {
 	g.now = now
 	for _, b := range g.backends {
-		if b.State == Draining || b.State == Ready && (now < b.until || g.silent(b)) {
+		if b.State == Draining || b.State == Ready && (now < b.ejectedUntil || g.unresponsive(b)) {
 			n++
 		}
 	}
