--- a/internal/ingress/closing.go
+++ b/internal/ingress/closing.go
@@ -25,9 +25,9 @@
 // anew by its client; one that was read would be taken, and lost.
 func (c *client) shut() {
 	if c.first != nil {
-		c.front.loop.violates(lifecycle.Close(c.pending, false), c.first.request)
+		c.front.loop.recordViolation(lifecycle.CheckClose(c.pending, false), c.first.request)
 	}
-	c.front.loop.events.closed(c, c.why, nil)
+	c.front.loop.events.connectionClosed(c, c.why, nil)
 	c.net.CloseWrite()
 	c.closing = true
 	c.keep(nil)
@@ -47,7 +47,7 @@
 	c.speaks()
 	c.pump()
 	if c.inputClosed = true; c.net != nil && !c.closing && !c.behind {
-		c.end(closedFinished)
+		c.end(closedShutdown)
 	}
 }
 
@@ -102,7 +102,7 @@
 			c.endBy = now + lingerTime
 			break
 		}
-		c.close(closedEnded, nil)
+		c.close(closedLingerExpired, nil)
 		return
 	case over(&c.writeBy):
 		c.close(closedSlowReader, nil)
@@ -121,10 +121,10 @@
 		if c.net == nil || c.readBy > 0 || !c.timed {
 			break // it was whole, or has moved the bound
 		}
-		if len(c.half) > 0 {
-			c.fail(closedHalf, errHalf)
+		if len(c.partial) > 0 {
+			c.fail(closedIncompleteCommand, errHalf)
 		} else {
-			c.fail(closedSilent, errSilent)
+			c.fail(closedNoCommand, errSilent)
 		}
 		c.reportActivity()
 	}
@@ -138,8 +138,8 @@
 	if c.net == nil {
 		return
 	}
-	if c.endBy == 0 && why != closedEnded { // its end has been told already
-		f.loop.events.closed(c, why, err)
+	if c.endBy == 0 && why != closedLingerExpired { // its end has been told already
+		f.loop.events.connectionClosed(c, why, err)
 	}
 	c.net.Close()
 	c.net = nil
@@ -148,7 +148,7 @@
 	f.admission.Release(&c.place)
 	open := c.forsake()
 	if len(open) > 0 {
-		f.loop.violates(lifecycle.Close(len(open), why.frees()), open[0])
+		f.loop.recordViolation(lifecycle.CheckClose(len(open), why.allowsOpenRequests()), open[0])
 	}
 	f.loop.gone(open)
 }
@@ -158,7 +158,7 @@
 // takes the answers before with it.
 func (c *client) breakOff() {
 	open := c.forsake()
-	c.why = closedValueBroken
+	c.why = closedValueTruncated
 	c.shut()
 	c.front.loop.gone(open)
 }
@@ -168,10 +168,10 @@
 	f := c.front
 	if c.stall != nil {
 		f.unstall(c)
-		f.held -= c.unread
+		f.held -= c.replyBytes
 	}
-	f.loop.memory.give(c.unread)
-	c.unread, c.unwritten = 0, nil
+	f.loop.memory.give(c.replyBytes)
+	c.replyBytes, c.unwritten = 0, nil
 	c.keep(nil)
 	for s := c.first; s != nil; s = s.next {
 		if !s.filled && s.request != nil {
--- a/internal/ingress/figures.go
+++ b/internal/ingress/figures.go
@@ -7,14 +7,14 @@
 	"wickarch/choice"
 )
 
-// ClassFigures are the counts of one class since the process started. A request
+// ClassCounters are the counts of one class since the process started. A request
 // counts once it has its final answer; one that its client gave up, nowhere.
-type ClassFigures struct {
+type ClassCounters struct {
 	Success, Busy, Failure uint64 // requests served, refused, failed
 	Calls                  uint64 // attempts written whole to backends
 }
 
-func (c *ClassFigures) count(k kind) {
+func (c *ClassCounters) count(k outcomeKind) {
 	switch k {
 	case served:
 		c.Success++
@@ -25,17 +25,17 @@
 	}
 }
 
-// figures are what the second address tells.
-type figures struct {
-	classes []ClassFigures // by the number of the class
-	open    int            // requests taken that have no final answer
+// metrics are what the second address tells.
+type metrics struct {
+	classes []ClassCounters // by the number of the class
+	open    int             // requests taken that have no final answer
 }
 
 // figuresPrefix begins each name, as the platform's page has them.
 const figuresPrefix = "edge_node."
 
-// AppendFigures appends the figures as they are now, a name=value a line.
-func (i *Ingress) AppendFigures(b []byte) []byte {
+// AppendMetrics appends the figures as they are now, a name=value a line.
+func (i *Ingress) AppendMetrics(b []byte) []byte {
 	l := i.loop
 	line := func(name, class string, v uint64) {
 		b = append(append(b, figuresPrefix...), name...)
@@ -53,7 +53,7 @@
 		line("backend_calls", name, c.Calls)
 	}
 	line("inflight", "", uint64(l.figures.open))
-	line("hosts_listed", "", uint64(l.pool.Listed()))
+	line("hosts_listed", "", uint64(l.pool.BackendCount()))
 	line("hosts_down", "", uint64(l.gateway.UnavailableBackends(l.Now())))
 	if t := l.terms; t != nil {
 		line("config_version", "", t.version)
@@ -68,7 +68,7 @@
 func (i *Ingress) AppendBackends(b []byte) []byte {
 	l := i.loop
 	names := map[uint32]string{}
-	for name, id := range l.pool.Known() {
+	for name, id := range l.pool.BackendIDs() {
 		names[id] = name
 	}
 	for _, v := range l.gateway.View(l.Now()) {
