--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -8,11 +8,11 @@
 	"wickarch/choice"
 )
 
-// BenchmarkRequest measures one request with its outcome, at a small deployment and at a large one.
+// BenchmarkRequest measures one request and its outcome, in small and large deployments.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range [...]struct{ gateways, backends int }{{3, 10}, {400, 87}, {3, 300}, {3, 3000}} {
 		b.Run(fmt.Sprintf("%dx%d", size.gateways, size.backends), func(b *testing.B) {
-			cfg := plain()
+			cfg := testConfig()
 			cfg.Gateways = size.gateways
 			rec := &lastSend{}
 			g, err := choice.New(cfg, 7, 0, rec)
@@ -33,7 +33,7 @@
 	}
 }
 
-// lastSend remembers the last attempt sent.
+// lastSend records the last attempt sent.
 type lastSend struct{ id, backend uint32 }
 
 func (l *lastSend) Send(id, backend uint32, _ time.Duration) { l.id, l.backend = id, backend }
@@ -43,10 +43,10 @@
 func (l *lastSend) Probe(uint32)                             {}
 func (l *lastSend) SetTimer(time.Duration, uint64)           {}
 
-// BenchmarkDelta measures what the list costs a gateway: one member changed, and the order named anew.
+// BenchmarkDelta measures a change of one backend, and a new order of the candidates.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range [...]int{59, 840, 4200} {
-		g, err := choice.New(plain(), 7, 0, &lastSend{})
+		g, err := choice.New(testConfig(), 7, 0, &lastSend{})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -7,8 +7,8 @@
 	"wickarch/choice"
 )
 
-// A printer is the least Actions: a gateway would start the attempt, write the
-// answer or set the timer.
+// A printer is a minimal Actions. A real one starts the attempt, writes the
+// answer or sets the timer.
 type printer struct{}
 
 func (printer) Send(id, backend uint32, timeout time.Duration) {
--- a/choice/export_test.go
+++ b/choice/export_test.go
@@ -1,12 +1,12 @@
 package choice
 
-// KnownBackends tells how many backends a gateway keeps.
+// KnownBackends returns the number of backends that a gateway knows.
 func KnownBackends(g *Gateway) int { return len(g.backends) }
 
-// KnownCustomers is the number of customers' records kept.
+// KnownCustomers returns the number of customer records.
 func KnownCustomers(g *Gateway) int { return len(g.customers) }
 
-// RetainedCustomers is the number of records that the row holds on to, those behind its end among them.
+// RetainedCustomers returns the number of records that the slice's array references, also beyond its length.
 func RetainedCustomers(g *Gateway) (n int) {
 	for _, c := range g.records[:cap(g.records)] {
 		if c != nil {
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -8,9 +8,9 @@
 	"unicode/utf8"
 )
 
-// The users hold what decides on a request, in all its files together, to a size
-// that one person can read, on paper that takes so many characters a line.
-func TestPolicyKeepsItsSize(t *testing.T) {
+// The files that hold the decision logic must stay small enough for one person to
+// read: 1,200 lines in all, of at most 110 characters. The users require it.
+func TestDecisionFilesKeepTheirSize(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -32,6 +32,6 @@
 		}
 	}
 	if len(files) < 2 || lines > 1200 {
-		t.Errorf("%d files of the policy hold %d lines, want at most 1200", len(files), lines)
+		t.Errorf("%d files of the decision logic have %d lines, want at most 1200", len(files), lines)
 	}
 }
--- a/choice/population_test.go
+++ b/choice/population_test.go
@@ -8,18 +8,18 @@
 	"wickarch/choice"
 )
 
-// The plans of these tests, by what their customers are shown to use.
+// The plans of these tests, by the use that the meter shows of their customers.
 const (
 	calmPlan = iota
 	heavyPlan
-	harmlessPlan // as heavy, but what passes beyond the quota costs nothing
+	harmlessPlan // as heavyPlan, but use beyond the quota costs nothing
 	ceilingPlan
 	plansOfManyGateways
 )
 
-// manyGateways is a deployment in which a customer comes through all of a hundred gateways.
+// manyGateways is a deployment in which each customer uses all of 100 gateways.
 func manyGateways() choice.Config {
-	cfg := plain()
+	cfg := testConfig()
 	cfg.Gateways = 100
 	cfg.Plans = make([]choice.Plan, plansOfManyGateways)
 	for i := range cfg.Plans {
@@ -30,7 +30,7 @@
 	return cfg
 }
 
-// population asks for customers that no one has met before.
+// population sends requests of customers that the gateway has no record of.
 type population struct {
 	gateway  *choice.Gateway
 	recorder *recorder
@@ -40,12 +40,12 @@
 
 func newPopulation(t *testing.T) *population {
 	t.Helper()
-	g, rec := open(t, manyGateways(), backends(40))
+	g, rec := newGateway(t, manyGateways(), backends(40))
 	return &population{gateway: g, recorder: rec, now: 10 * time.Second}
 }
 
-// ask has so many new customers of a plan ask once, and tells the part of them that passes. The answer of each
-// shows this use of its customer, or none where that is below 0.
+// ask sends one request of each of some new customers of a plan and returns the share that is admitted. Each
+// answer carries used as its reading, or no reading if used is below 0.
 func (p *population) ask(plan, customers int, used float64) float64 {
 	passed := 0
 	for range customers {
@@ -61,25 +61,25 @@
 
 const noReading = -1
 
-// A gateway that has heard nothing of a customer goes by what the readings of the plan's others show. Without
-// that it passed all of them, and hundreds of gateways together passed many times the quota.
-func TestCustomerWithoutReadingMeetsWhatItsPlanShows(t *testing.T) {
+// For a customer without a reading, a gateway must use the readings of the plan's other customers. Without them
+// it admitted all requests, and hundreds of gateways together admitted many times the quota.
+func TestCustomerWithoutReadingGetsThePlansEstimate(t *testing.T) {
 	p := newPopulation(t)
 	p.ask(calmPlan, 60, 0.3)
 	p.ask(heavyPlan, 60, 4)
 	p.ask(harmlessPlan, 60, 4)
 	if got := p.ask(calmPlan, 500, noReading); got < 0.98 {
-		t.Errorf("plan of calm customers: %.2f of the new ones pass, want all", got)
+		t.Errorf("plan of customers below their quota: %.2f of the new ones pass, want all", got)
 	}
 	if got := p.ask(heavyPlan, 500, noReading); got > 0.6 || got < 0.02 {
 		t.Errorf("plan of customers at four times their quota: %.2f of the new ones pass, want some, at most 0.6", got)
 	}
 	if got := p.ask(harmlessPlan, 500, noReading); got < 0.98 {
-		t.Errorf("plan in which nothing beyond the quota costs: %.2f of the new ones pass, want all", got)
+		t.Errorf("plan without a cost beyond the quota: %.2f of the new ones pass, want all", got)
 	}
 }
 
-// A plan's customers come to use more, and less again: the latest readings count.
+// When a plan's customers use more, and then less again, the latest readings must count.
 func TestPlansReadingsAreFollowed(t *testing.T) {
 	p := newPopulation(t)
 	p.ask(heavyPlan, 3000, 0.1)
@@ -93,9 +93,9 @@
 	}
 }
 
-// Customers that are shown at four times their quota while half of their requests were refused have asked for
-// more than four times.
-func TestUseIsTakenForWhatWasAskedByTheChanceApplied(t *testing.T) {
+// If the meter shows four times the quota while half of the requests were refused, customers have requested more
+// than four times the quota. The estimate must divide by the admission probability applied.
+func TestAppliedProbabilityCorrectsTheUse(t *testing.T) {
 	p := newPopulation(t)
 	p.ask(heavyPlan, 400, 4)
 	if got := p.ask(heavyPlan, 1000, noReading); got > 0.2 {
@@ -103,8 +103,8 @@
 	}
 }
 
-// What cannot be a reading is counted and left out; one that is merely absurd weighs as one customer's.
-func TestImpossibleReadingsAreSetAside(t *testing.T) {
+// An impossible reading must be counted and ignored; a possible but absurd one must count as one customer's.
+func TestImpossibleReadingsAreDropped(t *testing.T) {
 	p := newPopulation(t)
 	p.ask(calmPlan, 60, 0.3)
 	p.ask(ceilingPlan, 60, 0.3)
@@ -113,22 +113,22 @@
 		p.asked++
 		p.gateway.Request(p.now, choice.Request{ID: p.asked, Customer: uint64(p.asked), Spread: 100, Units: 1, TimeLeft: time.Second})
 		if len(p.recorder.sent[p.asked]) == 0 {
-			t.Fatalf("a calm customer was refused behind %v", used)
+			t.Fatalf("a customer below its quota was refused before the reading %v", used)
 		}
 		p.gateway.Outcome(p.now, choice.Outcome{ID: p.asked, Status: choice.OK, Done: true, Metered: true, Used: used})
 	}
 	if got := p.gateway.InvalidReadings(); got != 13 {
-		t.Errorf("%d readings counted as set aside, want 13", got)
+		t.Errorf("%d readings counted as invalid, want 13", got)
 	}
 	p.ask(calmPlan, 1, 1e12)
 	for plan, name := range map[int]string{calmPlan: "without", ceilingPlan: "with"} {
 		if got := p.ask(plan, 500, noReading); got < 0.9 {
-			t.Errorf("plan %s a ceiling: %.2f of the new customers pass behind false readings, want all", name, got)
+			t.Errorf("plan %s a ceiling: %.2f of the new customers pass after false readings, want all", name, got)
 		}
 	}
 }
 
-// A plan that comes while the gateway runs begins with no readings of its own.
+// A plan that is added at run time must start without readings.
 func TestNewPlanBeginsWithoutReadings(t *testing.T) {
 	p := newPopulation(t)
 	p.ask(heavyPlan, 60, 4)
@@ -141,17 +141,18 @@
 	}
 }
 
-// A ceiling takes the units that a request names; the meter may show more, where these are settled afterwards.
-func TestReadingOfSettledUnitsMayPassTheCeiling(t *testing.T) {
+// A ceiling counts the units that a request names. The meter may show more if units are settled afterwards: such
+// a reading must not be dropped.
+func TestReadingOfSettledUnitsMayExceedTheCeiling(t *testing.T) {
 	cfg := manyGateways()
 	cfg.MaxUnits = 6
-	g, rec := open(t, cfg, backends(4))
+	g, rec := newGateway(t, cfg, backends(4))
 	ask(g, rec, time.Second, choice.Request{ID: 1, Customer: 1, Plan: ceilingPlan, Spread: 1}, 1200) // 600 units, of 6 x 350
 	if got := g.InvalidReadings(); got != 0 {
-		t.Errorf("a reading of 600 units was set aside, though 350 requests may have counted 6 each")
+		t.Errorf("a reading of 600 units was dropped, though 350 requests may have counted 6 each")
 	}
 	ask(g, rec, 2*time.Second, choice.Request{ID: 2, Customer: 2, Plan: ceilingPlan, Spread: 1}, 6000)
 	if got := g.InvalidReadings(); got != 1 {
-		t.Errorf("%d readings set aside, want that of 3,000 units", got)
+		t.Errorf("%d readings dropped, want only that of 3,000 units", got)
 	}
 }
