--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -9,14 +9,14 @@
 	"wickarch/internal/fleet"
 )
 
-// BenchmarkDelta measures one member that drains or is back, from the list to the order that is in force, and
-// the same with the fit of the parts that follows once in a span.
+// BenchmarkDelta measures the change of one backend between draining and ready, from the list to the new order:
+// alone, and with the fit of the shares that follows once in a time span.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range [...]uint32{59, 840, 4200} {
 		for _, gateways := range [...]int{23, 300, 480, 1000} {
 			cfg := config
 			cfg.Gateways = gateways
-			g := &gate{sent: map[uint32]uint32{}, times: map[uint32]int{}}
+			g := &testGateway{backendOf: map[uint32]uint32{}, attempts: map[uint32]int{}}
 			var err error
 			if g.Gateway, err = choice.New(cfg, 1, 0, g); err != nil {
 				b.Fatal(err)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,6 @@
-// Package fleet keeps the subset of backends that a gateway uses in step with
-// the list and with the gateway's own traffic. It joins packages subset and
-// choice for whoever runs a gateway, on sockets or on the simulator's wire, and
-// decides nothing itself.
+// Package fleet updates the subset of backends that a gateway uses when
+// discovery's list or the gateway's traffic changes. It connects packages subset
+// and choice for the ingress and the simulators, and decides nothing itself.
 package fleet
 
 import (
@@ -15,37 +14,37 @@
 )
 
 const (
-	staleAims = 1.0 // how many of the longest aims an answer tells of its backend
-	fewOf     = 8   // changes up to one in so many of the list are told one by one: more are cheaper as a list
+	maxStaleAims = 1.0 // longest aims for which an answer counts as current for its backend
+	deltaDivisor = 8   // changes up to 1/8 of the list are applied one by one; for more, a full list is cheaper
 )
 
-// Fleet is the backends of one gateway. Its methods must not be called from
-// within the gateway's actions, but for Sent.
+// Fleet holds the backends of one gateway. Its methods must not be called from
+// within the gateway's actions, except Sent.
 type Fleet struct {
-	gateway *choice.Gateway
-	set     *subset.Set
-	ready   map[uint32]subset.Backend // those that take new work
-	out     int                       // attempts
-	uses    []choice.Candidate
-	changes []subset.Change // scratch
+	gateway    *choice.Gateway
+	selection  *subset.Set
+	ready      map[uint32]subset.Backend // ready backends by ID
+	inFlight   int                       // attempts in flight
+	candidates []choice.Candidate
+	changes    []subset.Change // scratch
 }
 
-// New makes a fleet for a gateway that was made with cfg.
+// New creates a Fleet for a gateway that was created with cfg.
 func New(cfg choice.Config, gateway *choice.Gateway, now time.Duration) (*Fleet, error) {
 	longest := time.Duration(0)
 	for _, c := range cfg.Classes {
 		longest = max(longest, c.Aim)
 	}
 	set, err := subset.New(subset.Config{Gateways: cfg.Gateways, Self: cfg.Self, Zone: cfg.Zone,
-		CrossZoneCost: cfg.CrossZoneCost, Stale: time.Duration(staleAims * float64(longest))}, now)
+		CrossZoneCost: cfg.CrossZoneCost, Stale: time.Duration(maxStaleAims * float64(longest))}, now)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	return &Fleet{gateway: gateway, set: set, ready: map[uint32]subset.Backend{}}, nil
+	return &Fleet{gateway: gateway, selection: set, ready: map[uint32]subset.Backend{}}, nil
 }
 
-// Members takes a list of backends. key names each by the same number at every
-// gateway.
+// Members applies a list of backends. key returns a backend's number, which must be
+// the same at every gateway.
 func (f *Fleet) Members(now time.Duration, kind choice.ListKind, list []choice.Backend, key func(choice.Backend) uint64) {
 	f.gateway.Members(now, kind, list)
 	if kind == choice.Failed {
@@ -53,68 +52,68 @@
 	}
 	f.changes = f.changes[:0]
 	if kind != choice.Delta {
-		named := make(map[uint32]bool, len(list))
+		listed := make(map[uint32]bool, len(list))
 		for _, b := range list {
-			named[b.ID] = true
+			listed[b.ID] = true
 		}
-		for id, is := range f.ready {
-			if !named[id] {
+		for id, current := range f.ready {
+			if !listed[id] {
 				delete(f.ready, id)
-				f.changes = append(f.changes, subset.Change{Backend: is, Gone: true})
+				f.changes = append(f.changes, subset.Change{Backend: current, Gone: true})
 			}
 		}
 	}
 	for _, b := range list {
-		is, known := f.ready[b.ID]
+		current, known := f.ready[b.ID]
 		if b.State == choice.Ready {
-			if now := (subset.Backend{ID: b.ID, Key: key(b), Zone: b.Zone, Weight: b.Weight}); !known || is != now {
+			if now := (subset.Backend{ID: b.ID, Key: key(b), Zone: b.Zone, Weight: b.Weight}); !known || current != now {
 				f.ready[b.ID] = now
 				f.changes = append(f.changes, subset.Change{Backend: now})
 			}
 		} else if known {
 			delete(f.ready, b.ID)
-			f.changes = append(f.changes, subset.Change{Backend: is, Gone: true})
+			f.changes = append(f.changes, subset.Change{Backend: current, Gone: true})
 		}
 	}
-	few := len(f.changes) <= len(f.ready)/fewOf
-	if few {
-		f.set.Update(f.changes)
+	incremental := len(f.changes) <= len(f.ready)/deltaDivisor
+	if incremental {
+		f.selection.Update(f.changes)
 	}
-	// Of two ids with one key the set knows one; that the other takes its place no change tells.
-	if !few || f.set.Len() != len(f.ready) {
-		f.set.Members(slices.Collect(maps.Values(f.ready)))
+	// Of two backends with one key, the subset holds one. No change reports that the other replaces it.
+	if !incremental || f.selection.Len() != len(f.ready) {
+		f.selection.Members(slices.Collect(maps.Values(f.ready)))
 	}
-	f.use(now)
+	f.updateCandidates(now)
 }
 
-// use tells the gateway what to use.
-func (f *Fleet) use(now time.Duration) {
-	if f.set.Whole() {
+// updateCandidates passes the subset to the gateway.
+func (f *Fleet) updateCandidates(now time.Duration) {
+	if f.selection.Whole() {
 		f.gateway.SetCandidates(now, nil, 0)
 		return
 	}
-	f.uses = f.uses[:0]
-	for _, u := range f.set.Order() {
-		f.uses = append(f.uses, choice.Candidate{Backend: u.ID, PickWeight: u.Part})
+	f.candidates = f.candidates[:0]
+	for _, use := range f.selection.Order() {
+		f.candidates = append(f.candidates, choice.Candidate{Backend: use.ID, PickWeight: use.Part})
 	}
-	f.gateway.SetCandidates(now, f.uses, f.set.Size())
+	f.gateway.SetCandidates(now, f.candidates, f.selection.Size())
 }
 
-// Sent notes an attempt.
+// Sent counts an attempt that starts.
 func (f *Fleet) Sent() {
-	f.out++
-	f.set.Sent(f.out)
+	f.inFlight++
+	f.selection.Sent(f.inFlight)
 }
 
-// Ended notes the end of one.
-func (f *Fleet) Ended() { f.out-- }
+// Ended counts an attempt that has ended.
+func (f *Fleet) Ended() { f.inFlight-- }
 
-// Step takes the time, behind each request.
+// Step advances the time. It must be called after each request.
 func (f *Fleet) Step(now time.Duration) {
-	if f.set.Step(now) {
-		f.use(now)
+	if f.selection.Step(now) {
+		f.updateCandidates(now)
 	}
 }
 
-// Size is how many backends are in use, and of how many.
-func (f *Fleet) Size() (used, of int) { return f.set.Size(), len(f.ready) }
+// Size returns the number of backends in use and the number of ready backends.
+func (f *Fleet) Size() (used, of int) { return f.selection.Size(), len(f.ready) }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,27 +15,27 @@
 
 const ms = time.Millisecond
 
-// gate is one of 300 gateways over 100 backends, and where its attempts went.
-type gate struct {
+// testGateway is one of 300 gateways with 100 backends. It counts its attempts by backend.
+type testGateway struct {
 	*choice.Gateway
 	*fleet.Fleet
-	t      *testing.T
-	now    time.Duration
-	lastID uint32
-	sent   map[uint32]uint32 // the backend by request
-	times  map[uint32]int    // attempts by backend
+	t         *testing.T
+	now       time.Duration
+	lastID    uint32
+	backendOf map[uint32]uint32 // backend by request
+	attempts  map[uint32]int    // number by backend
 }
 
-func (g *gate) Send(id, backend uint32, _ time.Duration) {
-	g.sent[id] = backend
-	g.times[backend]++
+func (g *testGateway) Send(id, backend uint32, _ time.Duration) {
+	g.backendOf[id] = backend
+	g.attempts[backend]++
 	g.Fleet.Sent()
 }
-func (g *gate) Refuse(uint32, time.Duration)   {}
-func (g *gate) Fail(uint32)                    {}
-func (g *gate) Cancel(uint32, int)             {}
-func (g *gate) Probe(uint32)                   {}
-func (g *gate) SetTimer(time.Duration, uint64) {}
+func (g *testGateway) Refuse(uint32, time.Duration)   {}
+func (g *testGateway) Fail(uint32)                    {}
+func (g *testGateway) Cancel(uint32, int)             {}
+func (g *testGateway) Probe(uint32)                   {}
+func (g *testGateway) SetTimer(time.Duration, uint64) {}
 
 func key(b choice.Backend) uint64 { return subset.KeyOf(fmt.Sprint("s-", b.ID)) }
 
@@ -53,10 +53,10 @@
 	ColdCapacity: 0.15, WarmUpTime: 10 * time.Second, CrashMultiple: 3, CrashAfter: 1500 * ms,
 }
 
-func open(t *testing.T) *gate { return openWith(t, config) }
+func newGateway(t *testing.T) *testGateway { return newGatewayWith(t, config) }
 
-func openWith(t *testing.T, cfg choice.Config) *gate {
-	g := &gate{t: t, sent: map[uint32]uint32{}, times: map[uint32]int{}}
+func newGatewayWith(t *testing.T, cfg choice.Config) *testGateway {
+	g := &testGateway{t: t, backendOf: map[uint32]uint32{}, attempts: map[uint32]int{}}
 	var err error
 	if g.Gateway, err = choice.New(cfg, 1, 0, g); err != nil {
 		t.Fatal(err)
@@ -68,48 +68,48 @@
 	return g
 }
 
-// ask sends one request and returns its backend; it must not be refused.
-func (g *gate) ask() (id, backend uint32) {
+// ask sends one request, which must not be refused, and returns its backend.
+func (g *testGateway) ask() (id, backend uint32) {
 	g.t.Helper()
 	g.now += 100 * ms
 	g.lastID++
 	g.Request(g.now, choice.Request{ID: g.lastID, Customer: uint64(g.lastID), Spread: 1, Units: 1, TimeLeft: 30 * time.Second})
 	g.Step(g.now)
-	backend, ok := g.sent[g.lastID]
+	backend, ok := g.backendOf[g.lastID]
 	if !ok {
-		g.t.Fatalf("request %d is refused, with %d attempts out", g.lastID, g.lastID)
+		g.t.Fatalf("request %d is refused, with up to %d attempts in flight", g.lastID, g.lastID)
 	}
 	return g.lastID, backend
 }
 
-func (g *gate) end(id uint32, status choice.Status) {
+func (g *testGateway) end(id uint32, status choice.Status) {
 	g.Fleet.Ended()
-	g.Outcome(g.now+20*ms, choice.Outcome{ID: id, Backend: g.sent[id], Status: status, Elapsed: 20 * ms, Done: status == choice.OK})
+	g.Outcome(g.now+20*ms, choice.Outcome{ID: id, Backend: g.backendOf[id], Status: status, Elapsed: 20 * ms, Done: status == choice.OK})
 }
 
-// warm has the gateway serve for a while, and returns what it uses.
-func (g *gate) warm() map[uint32]int {
-	g.times = map[uint32]int{}
+// warmUp sends 200 requests and returns the backends used.
+func (g *testGateway) warmUp() map[uint32]int {
+	g.attempts = map[uint32]int{}
 	for range 200 {
 		id, _ := g.ask()
 		g.end(id, choice.OK)
 	}
-	return maps.Clone(g.times)
+	return maps.Clone(g.attempts)
 }
 
-func TestFewBackendsAreUsed(t *testing.T) {
-	g := open(t)
-	used := g.warm()
+func TestOnlyASubsetIsUsed(t *testing.T) {
+	g := newGateway(t)
+	used := g.warmUp()
 	if n, of := g.Size(); len(used) > n || n > 20 || of != 100 {
-		t.Errorf("%d backends are met, %d of %d are in use", len(used), n, of)
+		t.Errorf("%d backends got attempts, %d of %d are in use, want 20 of 100 at most", len(used), n, of)
 	}
 }
 
-// All that a gateway uses goes, in whatever way: the next request goes to others
-// at once, and is neither refused nor made to wait.
-func TestAllOfTheSubsetGone(t *testing.T) {
-	for name, lose := range map[string]func(g *gate, used map[uint32]int){
-		"draining": func(g *gate, used map[uint32]int) {
+// All backends that a gateway uses are lost at once. Its next requests must go to
+// other backends without refusals or delays.
+func TestLossOfTheWholeSubset(t *testing.T) {
+	for name, lose := range map[string]func(g *testGateway, used map[uint32]int){
+		"draining": func(g *testGateway, used map[uint32]int) {
 			var list []choice.Backend
 			for _, b := range backends(1, 100) {
 				if used[b.ID] > 0 {
@@ -119,7 +119,7 @@
 			}
 			g.Fleet.Members(g.now, choice.Delta, list, key)
 		},
-		"removed": func(g *gate, used map[uint32]int) {
+		"removed": func(g *testGateway, used map[uint32]int) {
 			var list []choice.Backend
 			for _, b := range backends(1, 100) {
 				if used[b.ID] == 0 {
@@ -128,14 +128,14 @@
 			}
 			g.Fleet.Members(g.now, choice.Full, list, key)
 		},
-		"replaced": func(g *gate, used map[uint32]int) {
+		"replaced": func(g *testGateway, used map[uint32]int) {
 			clear(used)
 			for id := range uint32(100) {
 				used[id+1] = 1
 			}
 			g.Fleet.Members(g.now, choice.Full, backends(501, 100), key)
 		},
-		"cold": func(g *gate, used map[uint32]int) {
+		"cold": func(g *testGateway, used map[uint32]int) {
 			var list []choice.Backend
 			for _, b := range backends(1, 100) {
 				if used[b.ID] > 0 {
@@ -153,17 +153,17 @@
 				g.end(id, choice.OK)
 			}
 			if cold > 5 {
-				g.t.Errorf("%d of 30 requests went to cold backends, beside 90 that are warm", cold)
+				g.t.Errorf("%d of 30 requests went to cold backends, though 90 are warm, want 5 at most", cold)
 			}
 			clear(used)
 		},
-		"silent": func(g *gate, used map[uint32]int) {
+		"unresponsive": func(g *testGateway, used map[uint32]int) {
 			_, one := g.ask()
 			_, two := g.ask()
 			maps.DeleteFunc(used, func(id uint32, _ int) bool { return id != one && id != two })
 			g.now += 200 * ms
 		},
-		"failing": func(g *gate, used map[uint32]int) {
+		"failing": func(g *testGateway, used map[uint32]int) {
 			lost := 0
 			for n := range 150 {
 				id, b := g.ask()
@@ -176,20 +176,20 @@
 					lost++
 				}
 			}
-			if lost > 20 { // now and then each is tried again
-				g.t.Errorf("%d of 100 requests went to backends that fail all", lost)
+			if lost > 20 { // each is tried again from time to time
+				g.t.Errorf("%d of 100 requests went to backends that fail all, want 20 at most", lost)
 			}
 			clear(used)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := open(t)
-			used := g.warm()
+			g := newGateway(t)
+			used := g.warmUp()
 			lose(g, used)
 			for range 5 {
 				id, b := g.ask()
 				if used[b] > 0 {
-					t.Errorf("a request goes to %d, which is lost", b)
+					t.Errorf("a request went to backend %d, which is lost", b)
 				}
 				g.end(id, choice.OK)
 			}
@@ -197,13 +197,13 @@
 	}
 }
 
-// Deltas, a run of them and whole lists that make one list make one order.
-func TestDeltasMakeTheOrderOfTheList(t *testing.T) {
+// Small and large deltas and full lists must give the same order for the same list.
+func TestDeltasAndFullListsGiveTheSameOrder(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		cfg := config
 		cfg.Gateways = []int{300, 1000}[seed%2]
-		deltas, whole := openWith(t, cfg), openWith(t, cfg)
+		deltas, whole := newGatewayWith(t, cfg), newGatewayWith(t, cfg)
 		list := backends(1, 100)
 		for n := range 60 {
 			var changed []choice.Backend
@@ -222,32 +222,32 @@
 				deltas.Fleet.Members(deltas.now, choice.Delta, changed, key)
 			}
 			whole.Fleet.Members(whole.now, choice.Full, listed, key)
-			order := func(g *gate) (ids []uint32) {
+			order := func(g *testGateway) (ids []uint32) {
 				for _, v := range g.View(g.now) {
 					ids = append(ids, v.ID)
 				}
 				return ids
 			}
 			a, of := deltas.Size()
-			b, also := whole.Size()
-			if got, want := order(deltas), order(whole); !slices.Equal(got, want) || a != b || of != also {
-				t.Fatalf("seed %d, change %d: %d of %d %v, want %d of %d %v", seed, n, a, of, got, b, also, want)
+			b, wantOf := whole.Size()
+			if got, want := order(deltas), order(whole); !slices.Equal(got, want) || a != b || of != wantOf {
+				t.Fatalf("seed %d, change %d: %d of %d %v, want %d of %d %v", seed, n, a, of, got, b, wantOf, want)
 			}
 		}
 	}
 }
 
-// Of two with one key one is in use; when it goes the other takes its place.
-func TestTwoWithOneKey(t *testing.T) {
-	g := open(t)
-	twin := choice.Backend{ID: 500, Weight: 1}
-	same := func(b choice.Backend) uint64 {
+// Of two backends with one key, one must be in use. When it is removed, the other must replace it.
+func TestTwoBackendsWithOneKey(t *testing.T) {
+	g := newGateway(t)
+	duplicate := choice.Backend{ID: 500, Weight: 1}
+	sameKey := func(b choice.Backend) uint64 {
 		if b.ID == 500 {
 			b.ID = 7
 		}
 		return key(b)
 	}
-	has := func() (n int) {
+	count := func() (n int) {
 		for _, v := range g.View(g.now) {
 			if v.ID == 7 || v.ID == 500 {
 				n++
@@ -255,14 +255,14 @@
 		}
 		return n
 	}
-	for _, gone := range []uint32{7, 500} {
-		g.Fleet.Members(g.now, choice.Delta, []choice.Backend{{ID: 7, Weight: 1}, twin}, same)
-		if has() != 1 {
-			t.Errorf("with both listed %d are in the order", has())
+	for _, removed := range []uint32{7, 500} {
+		g.Fleet.Members(g.now, choice.Delta, []choice.Backend{{ID: 7, Weight: 1}, duplicate}, sameKey)
+		if count() != 1 {
+			t.Errorf("with both listed, %d are in the order, want 1", count())
 		}
-		g.Fleet.Members(g.now, choice.Delta, []choice.Backend{{ID: gone, State: choice.Removed}}, same)
-		if has() != 1 {
-			t.Errorf("when %d has gone %d are in the order", gone, has())
+		g.Fleet.Members(g.now, choice.Delta, []choice.Backend{{ID: removed, State: choice.Removed}}, sameKey)
+		if count() != 1 {
+			t.Errorf("after backend %d was removed, %d are in the order, want 1", removed, count())
 		}
 	}
 }
