--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -448,7 +448,7 @@
 // Under overload every answer misses its aim. The limit must fall until they meet it.
 func TestOverloadLowersTheLimit(t *testing.T) {
 	g, rec := newGateway(t, testConfig(), backends(4))
-	id, most := uint32(0), 0
+	id, maxHeld := uint32(0), 0
 	held := []uint32{}
 	for now := time.Duration(0); now < 8*time.Second; now += 10 * ms {
 		id++
@@ -457,7 +457,7 @@
 			held = append(held, id)
 		}
 		if now > 6*time.Second {
-			most = max(most, len(held))
+			maxHeld = max(maxHeld, len(held))
 		}
 		if len(held) > 0 && now%(50*ms) == 0 {
 			g.Outcome(now, choice.Outcome{ID: held[0], Backend: rec.sent[held[0]][0], Status: choice.OK,
@@ -465,8 +465,8 @@
 			held = held[1:]
 		}
 	}
-	if most > 3 {
-		t.Errorf("%d attempts in flight after seconds of answers at twice the aim, want 3 at most", most)
+	if maxHeld > 3 {
+		t.Errorf("%d attempts in flight after seconds of answers at twice the aim, want 3 at most", maxHeld)
 	}
 }
 
@@ -585,7 +585,7 @@
 		}
 	}
 	if passed != 40 {
-		t.Errorf("%d passed beside another plan's requests, want the share of 40", passed)
+		t.Errorf("%d passed among another plan's requests, want the share of 40", passed)
 	}
 }
 
--- a/choice/health.go
+++ b/choice/health.go
@@ -13,7 +13,7 @@
 	coldBurst        = 1.5  // size of a cold backend's token bucket
 )
 
-// unresponsive reports whether b has attempts in flight and has answered none of them for a time.
+// unresponsive reports whether b has attempts in flight but has sent no answer for a time.
 func (g *Gateway) unresponsive(b *backend) bool {
 	return b.inFlight > 0 && (g.now-b.waitingSince).Seconds() > unresponsiveAims*g.maxAim.Seconds()
 }
@@ -32,13 +32,13 @@
 // backend's capacity times the mean rate that this gateway sends to a backend. A warm backend handles the sum
 // of these rates, so a cold one gets at most coldFactor times its capacity, however many gateways there are.
 func (g *Gateway) coldAllows(b *backend) bool {
-	w := g.capacity(b)
-	if w >= 1 {
+	share := g.capacity(b)
+	if share >= 1 {
 		return true
 	}
-	each := 1 / max(g.firstGap, 1e-9) / float64(max(1, min(g.inUse(), len(g.fleet))))
-	span := (g.now - b.tokensAt).Seconds()
-	b.tokens, b.tokensAt = min(coldBurst, b.tokens+span*coldFactor*w*each), g.now
+	meanRate := 1 / max(g.firstGap, 1e-9) / float64(max(1, min(g.inUse(), len(g.fleet))))
+	elapsed := (g.now - b.tokensAt).Seconds()
+	b.tokens, b.tokensAt = min(coldBurst, b.tokens+elapsed*coldFactor*share*meanRate), g.now
 	return b.tokens >= 1
 }
 
--- a/choice/population_test.go
+++ b/choice/population_test.go
@@ -35,7 +35,7 @@
 	gateway  *choice.Gateway
 	recorder *recorder
 	now      time.Duration
-	asked    uint32
+	lastID   uint32
 }
 
 func newPopulation(t *testing.T) *population {
@@ -49,9 +49,9 @@
 func (p *population) ask(plan, customers int, used float64) float64 {
 	passed := 0
 	for range customers {
-		p.asked++
+		p.lastID++
 		p.now += 10 * ms
-		request := choice.Request{ID: p.asked, Customer: uint64(p.asked), Plan: plan, Spread: 100}
+		request := choice.Request{ID: p.lastID, Customer: uint64(p.lastID), Plan: plan, Spread: 100}
 		if ask(p.gateway, p.recorder, p.now, request, used) {
 			passed++
 		}
@@ -110,12 +110,12 @@
 	p.ask(ceilingPlan, 60, 0.3)
 	p.ask(ceilingPlan, 10, 2000) // 1,000 units in a period, over a ceiling of 300 and 50
 	for _, used := range []float64{math.NaN(), math.Inf(1), -3} {
-		p.asked++
-		p.gateway.Request(p.now, choice.Request{ID: p.asked, Customer: uint64(p.asked), Spread: 100, Units: 1, TimeLeft: time.Second})
-		if len(p.recorder.sent[p.asked]) == 0 {
+		p.lastID++
+		p.gateway.Request(p.now, choice.Request{ID: p.lastID, Customer: uint64(p.lastID), Spread: 100, Units: 1, TimeLeft: time.Second})
+		if len(p.recorder.sent[p.lastID]) == 0 {
 			t.Fatalf("a customer below its quota was refused before the reading %v", used)
 		}
-		p.gateway.Outcome(p.now, choice.Outcome{ID: p.asked, Status: choice.OK, Done: true, Metered: true, Used: used})
+		p.gateway.Outcome(p.now, choice.Outcome{ID: p.lastID, Status: choice.OK, Done: true, Metered: true, Used: used})
 	}
 	if got := p.gateway.InvalidReadings(); got != 13 {
 		t.Errorf("%d readings counted as invalid, want 13", got)
--- a/choice/quota.go
+++ b/choice/quota.go
@@ -10,10 +10,10 @@
 
 // Settings, relative to those of Config.
 const (
-	surgeUnits      = 0.4  // units above the expected use from which a surge is assumed
+	surgeUnits      = 0.4  // units added to requested and expected use: a few requests are no surge
 	surgeRetry      = 1.5  // extra units that a client's retry counts: another gateway has refused it
 	openMeanShare   = 0.4  // mean number of open attempts in a period, relative to the peak
-	doubtDeviations = 2.0  // standard deviations of other gateways' use since, kept in the bucket
+	doubtDeviations = 2.0  // standard deviations of other gateways' use since, held in reserve
 	maxLevelAge     = 6.0  // meter periods after which the level last shown is outdated
 	minProbability  = 0.02 // min admission probability, so that some answers always bring readings
 	slotsKept       = 64   // slots of local history per customer: maxLag periods and a few more
