--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,15 +1,17 @@
-// Package admission decides which connections keep their places at an ingress.
+// Package admission limits the number of client connections of an ingress, and
+// selects those to close when places, the connections that may be open at once,
+// run short.
 //
-// Idle connections cost little until places run short; then they keep out the
-// clients that have something to ask. A [Controller] knows every connection in
-// one of three states: silent (it has never sent a request), busy (it has a
-// request open, part of a command, or an answer that is not written) and idle.
-// It never closes busy ones. The others are closed least recently used first, the
-// sooner the fewer places are free.
+// Idle connections cost little until then, but they would keep out clients that
+// have requests to send. A [Controller] tracks every connection in one of three
+// states: silent (it has never sent a request), busy (it has a request open, part
+// of a command, or an answer that is not written) and idle. It never selects busy
+// ones. The others are closed least recently used first, after a timeout that
+// gets shorter the fewer places are free.
 //
 // The package does no I/O, starts no goroutine and reads no clock: the owner
-// reports events with their times, and closes what [Controller.SelectDue] selects. All
-// operations take constant time, whatever the number of connections.
+// reports events with their times, and closes what [Controller.SelectDue] selects.
+// All operations take constant time, whatever the number of connections.
 package admission
 
 import (
@@ -19,61 +21,62 @@
 	"time"
 )
 
-// Limits are the bounds that a Controller keeps. All counts are of connections.
+// Limits are the limits that a Controller enforces. All counts are of connections.
 type Limits struct {
-	// Places is how many there may be at once. With none left, the next ones
+	// Places is the maximum number of open connections. With none left, new ones
 	// wait in the listener's queue.
 	Places int
-	// Spare of the places are kept free: from Places-Spare on, connections that
-	// say nothing are closed, so that one that comes finds a place.
+	// Spare is how many places are kept free: from Places-Spare on, silent
+	// connections are closed, so that a new one finds a place.
 	Spare int
 
-	// Useful is how many of those that have asked their clients can hold; they
-	// may have bounds of their own, below Places, and find no connection past
-	// it. High is the high-water mark: with more than so many, idle ones
-	// are closed until no more than Low are left. Floor is the count up to
-	// which none that has asked is closed, however short places are.
+	// The next four limits count connections that have sent a request. Useful is
+	// the maximum that clients can hold: a limit on their side may be below
+	// Places, and past it they get no further connection. High is the high-water
+	// mark: above it idle connections are closed until at most Low are left.
+	// Up to Floor of them none is closed, however short places are.
 	Useful, High, Low, Floor int
 
-	// IdleMax is how long a connection is idle before it may be closed while
-	// just above High; IdleMin when Useful or all Places are taken. In
-	// between, the time shrinks evenly in its logarithm.
+	// IdleMax is the idle timeout just above High, IdleMin that with Useful or
+	// all Places taken. In between the timeout falls exponentially.
 	IdleMax, IdleMin time.Duration
-	// SilentMax and SilentMin are the same for the time that a connection
-	// has for its first request, from Places-Spare on to no place left.
+	// SilentMax and SilentMin are the same for the timeout of a connection's
+	// first request, from Places-Spare taken to no place left.
 	SilentMax, SilentMin time.Duration
 
-	// Batch is how many are closed at a time, and Pause the time between two
-	// batches: closing tens of thousands at once would hold up the others.
+	// Batch is the maximum number of connections closed at a time, and Pause the
+	// time between two batches: closing tens of thousands at once would delay
+	// the others.
 	Batch int
 	Pause time.Duration
 }
 
-// Check tells what is wrong with the limits, naming the field.
+// Check returns an error for the first invalid limit. Up to the colon its text is the
+// key in the configuration file, or the common prefix of two keys.
 func (l Limits) Check() error {
 	switch {
 	case l.Places < 1:
-		return fmt.Errorf("places: %d, want 1 or more", l.Places)
+		return fmt.Errorf("places: %d, want at least 1", l.Places)
 	case l.Spare < 0 || l.Spare >= l.Places:
 		return fmt.Errorf("spare: %d, want 0 to %d", l.Spare, l.Places-1)
 	case l.Floor < 0 || l.Low < l.Floor:
-		return fmt.Errorf("floor: %d, want 0 to the low mark, %d", l.Floor, l.Low)
+		return fmt.Errorf("floor: %d, want 0 to %d (the low-water mark)", l.Floor, l.Low)
 	case l.High < l.Low:
-		return fmt.Errorf("low: %d, want no more than the high mark, %d", l.Low, l.High)
+		return fmt.Errorf("low: %d, want at most %d (the high-water mark)", l.Low, l.High)
 	case l.Useful < l.High || l.Useful > l.Places:
-		return fmt.Errorf("useful: %d, want %d (the high mark) to %d (the places)", l.Useful, l.High, l.Places)
+		return fmt.Errorf("useful: %d, want %d (the high-water mark) to %d (the places)", l.Useful, l.High, l.Places)
 	case l.IdleMin <= 0 || l.IdleMax < l.IdleMin:
-		return errors.New("rest: the least time must be above 0 and not above the most")
+		return errors.New("rest: the minimum must be above 0 and at most the maximum")
 	case l.SilentMin <= 0 || l.SilentMax < l.SilentMin:
-		return errors.New("silent: the least time must be above 0 and not above the most")
+		return errors.New("silent: the minimum must be above 0 and at most the maximum")
 	case l.Batch < 1 || l.Pause <= 0:
-		return errors.New("batch: at least 1, with a pause above 0")
+		return errors.New("batch: want at least 1, and a pause above 0")
 	}
 	return nil
 }
 
-// Defaults are limits for so many places, of which clients can hold useful ones
-// for requests.
+// Defaults returns the limits for this number of places, of which clients can hold
+// useful ones with requests.
 func Defaults(places, useful int) Limits {
 	useful = min(places, max(1, useful))
 	high := useful / 2
@@ -89,36 +92,36 @@
 type state uint8
 
 const (
-	absent state = iota
+	unmanaged state = iota // not admitted yet, or released
 	silent
 	busy
 	idle
-	leaving // selected by Due; holds its place until Release
+	evicting // selected by SelectDue; holds its place until Release
 )
 
 // Conn is the record of one connection. The zero Conn is ready for
-// [Controller.Admit]. Owner is the caller's and is never read here.
+// [Controller.Admit]. Owner belongs to the caller; this package never reads it.
 type Conn[T any] struct {
 	Owner T
 
 	prev, next *Conn[T]
-	since      time.Duration // when it came, or was last used
+	since      time.Duration // time of arrival, or of the last use
 	state      state
-	asked      bool
+	requested  bool // has sent a request
 }
 
-// Idle reports whether nothing is open on the connection.
+// Idle reports whether the connection has nothing open.
 func (p *Conn[T]) Idle() bool { return p.state == idle || p.state == silent }
 
-// Evicting reports whether SelectDue has selected it.
-func (p *Conn[T]) Evicting() bool { return p.state == leaving }
+// Evicting reports whether SelectDue has selected the connection.
+func (p *Conn[T]) Evicting() bool { return p.state == evicting }
 
-// queue is a list of places, the longest unused first.
-type queue[T any] struct {
+// lruList is a list of connections, the least recently used first.
+type lruList[T any] struct {
 	first, last *Conn[T]
 }
 
-func (q *queue[T]) push(p *Conn[T]) {
+func (q *lruList[T]) push(p *Conn[T]) {
 	p.prev, p.next = q.last, nil
 	if q.last != nil {
 		q.last.next = p
@@ -128,7 +131,7 @@
 	q.last = p
 }
 
-func (q *queue[T]) remove(p *Conn[T]) {
+func (q *lruList[T]) remove(p *Conn[T]) {
 	if p.prev != nil {
 		p.prev.next = p.next
 	} else {
@@ -142,250 +145,255 @@
 	p.prev, p.next = nil, nil
 }
 
-// Controller decides which connections are closed. Times are on one monotonic clock of the owner's, and
-// must not go back.
+// Controller admits connections and selects those to close. Times are on one
+// monotonic clock of the owner's and must not go back.
 type Controller[T any] struct {
-	limits   Limits
-	want     Limits // before any Shrink
-	silent   queue[T]
-	idle     queue[T]
-	count    int // all but those that are leaving
-	leaving  int // selected by Due, not released yet
-	asked    int // of count, those that have asked
-	trimming bool
-	draining bool
-	next     time.Duration // the next batch comes no sooner
-	step     int           // places that Grow gave back last, since Shrink
-	closed   Closed
-}
-
-// Closed counts the connections that Due has selected, by cause.
+	limits     Limits
+	configured Limits // limits before any Shrink
+	silent     lruList[T]
+	idle       lruList[T]
+	remaining  int // all but those that are evicting
+	evicting   int // selected by SelectDue, not released yet
+	requested  int // of remaining, those that have sent a request
+	trimming   bool
+	draining   bool
+	nextBatch  time.Duration // earliest time of the next batch
+	growStep   int           // places that the last Grow restored; 0 after Shrink
+	closed     Closed
+}
+
+// Closed counts the connections that SelectDue has selected, by cause.
 type Closed struct {
-	Silent  uint64 // never asked, and places ran short
+	Silent  uint64 // never sent a request, and places ran short
 	Full    uint64 // idle, and no place was left
 	Trimmed uint64 // idle, above the high-water mark
-	Drained uint64 // the ingress ends
+	Drained uint64 // the ingress drains
 }
 
-// New makes a controller. It returns the error of [Limits.Check].
+// New returns a controller, or the error of [Limits.Check].
 func New[T any](l Limits) (*Controller[T], error) {
 	if err := l.Check(); err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
 	}
-	return &Controller[T]{limits: l, want: l}, nil
+	return &Controller[T]{limits: l, configured: l}, nil
 }
 
-// Admit gives a new connection its place.
-func (c *Controller[T]) Admit(p *Conn[T], now time.Duration) {
-	p.state, p.since, p.asked = silent, now, false
-	c.silent.push(p)
-	c.count++
+// Admit registers a new connection, which takes a place.
+func (c *Controller[T]) Admit(conn *Conn[T], now time.Duration) {
+	conn.state, conn.since, conn.requested = silent, now, false
+	c.silent.push(conn)
+	c.remaining++
 }
 
-// MarkBusy records that a connection has something open. asked says whether that is
-// a request: part of a command, or what is no request, leaves the connection silent.
-func (c *Controller[T]) MarkBusy(p *Conn[T], asked bool) {
-	switch p.state {
-	case absent, leaving:
+// MarkBusy records that a connection has something open. requested tells whether it
+// is a request: part of a command, or input that is no request, leaves the
+// connection silent.
+func (c *Controller[T]) MarkBusy(conn *Conn[T], requested bool) {
+	switch conn.state {
+	case unmanaged, evicting:
 		return
 	case silent:
-		c.silent.remove(p)
+		c.silent.remove(conn)
 	case idle:
-		c.idle.remove(p)
+		c.idle.remove(conn)
 	}
-	p.state = busy
-	if asked && !p.asked {
-		p.asked = true
-		c.asked++
+	conn.state = busy
+	if requested && !conn.requested {
+		conn.requested = true
+		c.requested++
 	}
 }
 
 // MarkIdle records that a connection has nothing open any more. One that has never
-// sent a request counts as silent from its arrival: malformed input buys no time.
-func (c *Controller[T]) MarkIdle(p *Conn[T], now time.Duration) {
-	if p.state != busy {
+// sent a request counts as silent from its arrival, so that malformed input does
+// not extend its timeout.
+func (c *Controller[T]) MarkIdle(conn *Conn[T], now time.Duration) {
+	if conn.state != busy {
 		return
 	}
-	if !p.asked {
-		p.state = silent
-		c.insert(p)
+	if !conn.requested {
+		conn.state = silent
+		c.reinsertSilent(conn)
 		return
 	}
-	p.state, p.since = idle, now
-	c.idle.push(p)
+	conn.state, conn.since = idle, now
+	c.idle.push(conn)
 }
 
-// insert puts a place back among the silent ones in order of its coming. It
-// looks from the end that is likely nearer: those that speak do so early.
-func (c *Controller[T]) insert(p *Conn[T]) {
+// reinsertSilent puts a connection back into the silent list, in order of arrival.
+// It searches from the end: most connections that send something do so soon after
+// arrival, so that their position is near the end.
+func (c *Controller[T]) reinsertSilent(conn *Conn[T]) {
 	after := c.silent.last
-	for steps := 0; after != nil && after.since > p.since; steps++ {
-		if steps == insertSteps {
-			// Bounded: so far back, the exact place does not matter. It goes to
-			// the front, among the first to be closed.
+	for steps := 0; after != nil && after.since > conn.since; steps++ {
+		if steps == maxInsertSteps {
+			// Bounds the search: so far back the exact position does not matter.
+			// The connection goes to the front, among the first to be closed.
 			after = nil
 			break
 		}
 		after = after.prev
 	}
 	if after == c.silent.last {
-		c.silent.push(p)
+		c.silent.push(conn)
 		return
 	}
-	p.prev = after
+	conn.prev = after
 	if after != nil {
-		p.next, after.next = after.next, p
+		conn.next, after.next = after.next, conn
 	} else {
-		p.next, c.silent.first = c.silent.first, p
+		conn.next, c.silent.first = c.silent.first, conn
 	}
-	p.next.prev = p
+	conn.next.prev = conn
 }
 
-const insertSteps = 64
+const maxInsertSteps = 64
 
-// Release frees the place of a connection that is closed.
-func (c *Controller[T]) Release(p *Conn[T]) {
-	switch p.state {
-	case absent:
+// Release frees the place of a closed connection.
+func (c *Controller[T]) Release(conn *Conn[T]) {
+	switch conn.state {
+	case unmanaged:
 		return
 	case silent:
-		c.silent.remove(p)
+		c.silent.remove(conn)
 	case idle:
-		c.idle.remove(p)
-	case leaving:
-		c.leaving--
-		p.state = absent
+		c.idle.remove(conn)
+	case evicting:
+		c.evicting--
+		conn.state = unmanaged
 		return
 	}
-	c.countOut(p)
-	p.state = absent
+	c.removeFromCounts(conn)
+	conn.state = unmanaged
 }
 
-// countIn puts a place on the counts.
-func (c *Controller[T]) countIn(p *Conn[T]) {
-	c.count++
-	if p.asked {
-		c.asked++
+// addToCounts adds a connection to the counts.
+func (c *Controller[T]) addToCounts(conn *Conn[T]) {
+	c.remaining++
+	if conn.requested {
+		c.requested++
 	}
 }
 
-// countOut takes a place off the counts.
-func (c *Controller[T]) countOut(p *Conn[T]) {
-	c.count--
-	if p.asked {
-		c.asked--
+// removeFromCounts removes a connection from the counts.
+func (c *Controller[T]) removeFromCounts(conn *Conn[T]) {
+	c.remaining--
+	if conn.requested {
+		c.requested--
 	}
 }
 
-// HasRoom tells whether a further connection may be taken. Those that are leaving
-// hold their descriptors still.
-func (c *Controller[T]) HasRoom() bool { return c.count+c.leaving < c.limits.Places }
+// HasRoom reports whether another connection may be accepted. Those that are
+// evicting count, as they still hold their descriptors.
+func (c *Controller[T]) HasRoom() bool { return c.remaining+c.evicting < c.limits.Places }
 
-// Drain makes Due select every connection that has nothing open, from now on.
-// Those that have not asked yet keep SilentMax for it: clients still come.
+// Drain makes SelectDue select every connection that has nothing open, from now on.
+// Silent ones still have SilentMax for a request, as clients still arrive.
 func (c *Controller[T]) Drain() { c.draining = true }
 
-// Resume ends a drain: from now on connections are judged by the limits again.
+// Resume ends a drain: the limits apply again.
 func (c *Controller[T]) Resume() { c.draining = false }
 
-// Shrink lowers the places to what the process has turned out to get: it ran
-// out of descriptors with so many connections open. An eighth is left to all
-// else that needs one; with none left, neither a backend could be reached nor
-// the configuration read. The other limits follow. While more are open than the
-// places already lowered, it does nothing. Places do not go below one.
+// Shrink lowers Places to what the process can get, after it has run out of
+// descriptors with the connections that are open now. An eighth is left for all
+// other descriptors: with none left, neither a backend could be reached nor the
+// configuration read. The other limits follow in proportion. While more
+// connections are open than the lowered limit, Shrink does nothing. Places does
+// not go below one.
 func (c *Controller[T]) Shrink() {
-	c.step = 0
-	if open := c.count + c.leaving; open <= c.limits.Places {
-		c.set(max(1, open-1-open/8))
+	c.growStep = 0
+	if open := c.remaining + c.evicting; open <= c.limits.Places {
+		c.setPlaces(max(1, open-1-open/8))
 	}
 }
 
-// Grow gives back some of the places that Shrink took, and tells whether more
-// are missing. The descriptors may have been short for a moment alone: each time
-// in a row it gives back twice as many, so that clients do not wait for minutes
-// for places that are there. One that does not last costs a further Shrink.
+// Grow restores some of the places that Shrink removed, and reports whether more
+// are missing. The shortage of descriptors may have been short: each successive
+// call restores twice as many, so that clients do not wait for minutes for places
+// that are available. A step too far costs another Shrink.
 func (c *Controller[T]) Grow() (more bool) {
-	c.step = max(2*c.step, 1+c.limits.Places/growParts)
-	c.set(min(c.want.Places, c.limits.Places+c.step))
-	return c.limits.Places < c.want.Places
+	c.growStep = max(2*c.growStep, 1+c.limits.Places/growDivisor)
+	c.setPlaces(min(c.configured.Places, c.limits.Places+c.growStep))
+	return c.limits.Places < c.configured.Places
 }
 
-const growParts = 64
+const growDivisor = 64
 
-// Restore takes all shrinking back: descriptors have turned out not to be short.
+// Restore undoes all shrinking, once descriptors have turned out not to be short.
 func (c *Controller[T]) Restore() {
-	c.step = 0
-	c.set(c.want.Places)
+	c.growStep = 0
+	c.setPlaces(c.configured.Places)
 }
 
-// Shrunk tells whether there are fewer places than the limits allow.
-func (c *Controller[T]) Shrunk() bool { return c.limits.Places < c.want.Places }
+// Shrunk reports whether there are fewer places than configured.
+func (c *Controller[T]) Shrunk() bool { return c.limits.Places < c.configured.Places }
 
-// set changes the places. The other limits keep their shares of them: a floor as
-// high as all places would let nobody in.
-func (c *Controller[T]) set(places int) {
-	m := c.want
-	for _, mark := range []*int{&m.Spare, &m.Useful, &m.High, &m.Low, &m.Floor} {
-		*mark = *mark * places / m.Places
+// setPlaces changes the number of places. The other limits are scaled with it: a
+// floor as high as all places would admit no new connection.
+func (c *Controller[T]) setPlaces(places int) {
+	scaled := c.configured
+	for _, limit := range []*int{&scaled.Spare, &scaled.Useful, &scaled.High, &scaled.Low, &scaled.Floor} {
+		*limit = *limit * places / scaled.Places
 	}
-	m.Places = places
-	c.limits = m
+	scaled.Places = places
+	c.limits = scaled
 }
 
-// SelectDue selects the connections to be closed now. waiting tells that one waits to
-// be taken and finds no room. The owner calls it after what happened, and at
-// NextDue at the latest. A connection selected holds its place until Release, unless
-// closing finds that something has come on it and returns true: then it stays,
-// counts as busy, and the owner calls MarkBusy or MarkIdle once it has looked.
-func (c *Controller[T]) SelectDue(now time.Duration, waiting bool, closing func(*Conn[T]) (stays bool)) {
-	if now < c.next {
+// SelectDue selects the connections to close now, at most a batch, and calls
+// closeConn for each. waiting tells that a client waits to be accepted and there is
+// no room. The owner calls SelectDue after events, and at NextDue at the latest. A
+// selected connection holds its place until Release, unless closeConn finds that
+// something has arrived on it and returns true: then it stays and counts as busy,
+// and the owner calls MarkBusy or MarkIdle once it has read the input.
+func (c *Controller[T]) SelectDue(now time.Duration, waiting bool, closeConn func(*Conn[T]) (keep bool)) {
+	if now < c.nextBatch {
 		return
 	}
 	for range c.limits.Batch {
-		p, cause := c.pick(now, waiting)
-		if p == nil {
+		conn, cause := c.selectNext(now, waiting)
+		if conn == nil {
 			return
 		}
-		c.countOut(p)
-		c.leaving++
-		p.state = leaving
-		if closing(p) {
-			c.leaving--
-			c.countIn(p)
-			p.state = busy
+		c.removeFromCounts(conn)
+		c.evicting++
+		conn.state = evicting
+		if closeConn(conn) {
+			c.evicting--
+			c.addToCounts(conn)
+			conn.state = busy
 			continue
 		}
 		*cause++
 	}
-	c.next = now + c.limits.Pause
+	c.nextBatch = now + c.limits.Pause
 }
 
-// pick takes the one connection off its list that is to be closed first, and
-// tells which count its closing belongs to.
-func (c *Controller[T]) pick(now time.Duration, waiting bool) (*Conn[T], *uint64) {
+// selectNext removes the connection that is to be closed first from its list. It
+// returns nil if none is due, and otherwise also the counter for the cause.
+func (c *Controller[T]) selectNext(now time.Duration, waiting bool) (*Conn[T], *uint64) {
 	if c.draining {
 		if p := c.silent.first; p != nil && now-p.since >= c.limits.SilentMax {
-			return c.take(&c.silent, &c.closed.Drained)
+			return c.popFirst(&c.silent, &c.closed.Drained)
 		}
-		return c.take(&c.idle, &c.closed.Drained)
+		return c.popFirst(&c.idle, &c.closed.Drained)
 	}
-	if p := c.silent.first; p != nil && c.scarce(waiting) && now-p.since >= c.silentTime() {
-		return c.take(&c.silent, &c.closed.Silent)
+	if p := c.silent.first; p != nil && c.spareExhausted(waiting) && now-p.since >= c.silentTimeout() {
+		return c.popFirst(&c.silent, &c.closed.Silent)
 	}
 	p := c.idle.first
-	if p == nil || c.asked <= c.limits.Floor {
+	if p == nil || c.requested <= c.limits.Floor {
 		return nil, nil
 	}
-	if c.trim() && now-p.since >= c.idleTime() {
-		return c.take(&c.idle, &c.closed.Trimmed)
+	if c.updateTrimming() && now-p.since >= c.idleTimeout() {
+		return c.popFirst(&c.idle, &c.closed.Trimmed)
 	}
-	if (c.full(waiting) || c.count > c.limits.Places) && now-p.since >= c.limits.IdleMin {
-		return c.take(&c.idle, &c.closed.Full)
+	if (c.clientBlocked(waiting) || c.remaining > c.limits.Places) && now-p.since >= c.limits.IdleMin {
+		return c.popFirst(&c.idle, &c.closed.Full)
 	}
 	return nil, nil
 }
 
-func (c *Controller[T]) take(q *queue[T], cause *uint64) (*Conn[T], *uint64) {
+func (c *Controller[T]) popFirst(q *lruList[T], cause *uint64) (*Conn[T], *uint64) {
 	p := q.first
 	if p != nil {
 		q.remove(p)
@@ -393,95 +401,97 @@
 	return p, cause
 }
 
-// trim reports whether idle connections are closed down to the low-water mark.
-func (c *Controller[T]) trim() bool {
-	if c.asked > c.limits.High {
+// updateTrimming reports whether idle connections are closed down to the low-water
+// mark. This starts above the high-water mark.
+func (c *Controller[T]) updateTrimming() bool {
+	if c.requested > c.limits.High {
 		c.trimming = true
-	} else if c.asked <= c.limits.Low {
+	} else if c.requested <= c.limits.Low {
 		c.trimming = false
 	}
 	return c.trimming
 }
 
-// scarce tells whether fewer places are free than are to be kept free.
-func (c *Controller[T]) scarce(waiting bool) bool {
-	return c.count > c.limits.Places-c.limits.Spare || c.full(waiting)
+// spareExhausted reports whether fewer than Spare places are free.
+func (c *Controller[T]) spareExhausted(waiting bool) bool {
+	return c.remaining > c.limits.Places-c.limits.Spare || c.clientBlocked(waiting)
 }
 
-// full tells whether one waits for a place that none of those leaving will free.
-func (c *Controller[T]) full(waiting bool) bool {
-	return waiting && c.leaving == 0 && c.count >= c.limits.Places
+// clientBlocked reports whether a client waits for a place, and no connection that
+// is evicting will free one.
+func (c *Controller[T]) clientBlocked(waiting bool) bool {
+	return waiting && c.evicting == 0 && c.remaining >= c.limits.Places
 }
 
-// idleTime is how long a connection may be idle now.
-func (c *Controller[T]) idleTime() time.Duration {
-	m := &c.limits
-	return interpolate(m.IdleMax, m.IdleMin, c.asked-m.High, m.Useful-m.High)
+// idleTimeout returns how long a connection may be idle now.
+func (c *Controller[T]) idleTimeout() time.Duration {
+	lim := &c.limits
+	return interpolate(lim.IdleMax, lim.IdleMin, c.requested-lim.High, lim.Useful-lim.High)
 }
 
-// silentTime is how long a connection may go without its first request now.
-func (c *Controller[T]) silentTime() time.Duration {
-	m := &c.limits
-	return interpolate(m.SilentMax, m.SilentMin, c.count-(m.Places-m.Spare), m.Spare)
+// silentTimeout returns how long a connection may go without a first request now.
+func (c *Controller[T]) silentTimeout() time.Duration {
+	lim := &c.limits
+	return interpolate(lim.SilentMax, lim.SilentMin, c.remaining-(lim.Places-lim.Spare), lim.Spare)
 }
 
-// interpolate goes from one time to a shorter one, evenly in the logarithm, as
-// taken goes from 0 to all.
-func interpolate(most, least time.Duration, taken, all int) time.Duration {
+// interpolate falls exponentially from longest to shortest as used grows from 0 to
+// total.
+func interpolate(longest, shortest time.Duration, used, total int) time.Duration {
 	switch {
-	case taken >= all:
-		return least
-	case taken <= 0:
-		return most
-	}
-	part := float64(taken) / float64(all)
-	return max(least, time.Duration(float64(most)*math.Pow(float64(least)/float64(most), part)))
-}
-
-// NextDue tells when Due will have something to select, if nothing else happens
-// before; false while nothing will.
-func (c *Controller[T]) NextDue(waiting bool) (at time.Duration, any bool) {
-	note := func(t time.Duration) {
-		t = max(t, c.next)
-		if !any || t < at {
-			at, any = t, true
+	case used >= total:
+		return shortest
+	case used <= 0:
+		return longest
+	}
+	fraction := float64(used) / float64(total)
+	return max(shortest, time.Duration(float64(longest)*math.Pow(float64(shortest)/float64(longest), fraction)))
+}
+
+// NextDue returns when SelectDue will have a connection to select if no other event
+// comes before; ok is false if there will be none.
+func (c *Controller[T]) NextDue(waiting bool) (at time.Duration, ok bool) {
+	consider := func(t time.Duration) {
+		t = max(t, c.nextBatch)
+		if !ok || t < at {
+			at, ok = t, true
 		}
 	}
 	if c.draining {
 		if p := c.silent.first; p != nil {
-			note(p.since + c.limits.SilentMax)
+			consider(p.since + c.limits.SilentMax)
 		}
 		if c.idle.first != nil {
-			note(c.next)
+			consider(c.nextBatch)
 		}
-		return at, any
+		return at, ok
 	}
-	if p := c.silent.first; p != nil && c.scarce(waiting) {
-		note(p.since + c.silentTime())
+	if p := c.silent.first; p != nil && c.spareExhausted(waiting) {
+		consider(p.since + c.silentTimeout())
 	}
-	if p := c.idle.first; p != nil && c.asked > c.limits.Floor {
-		if c.trim() {
-			note(p.since + c.idleTime())
+	if p := c.idle.first; p != nil && c.requested > c.limits.Floor {
+		if c.updateTrimming() {
+			consider(p.since + c.idleTimeout())
 		}
-		if c.full(waiting) || c.count > c.limits.Places {
-			note(p.since + c.limits.IdleMin)
+		if c.clientBlocked(waiting) || c.remaining > c.limits.Places {
+			consider(p.since + c.limits.IdleMin)
 		}
 	}
-	return at, any
+	return at, ok
 }
 
-// Stats are what an operator watches.
+// Stats holds the counts of a controller.
 type Stats struct {
-	Open      int  // connections that hold a place, those leaving among them
-	Requested int  // of these, those that have asked and are not leaving
-	Evicting  int  // selected to be closed, not released yet
+	Open      int  // connections that hold a place, including those evicting
+	Requested int  // of these, those that have sent a request and are not evicting
+	Evicting  int  // selected by SelectDue, not released yet
 	Trimming  bool // above the high-water mark, or not yet down to the low one
-	Places    int  // as shrunk
+	Places    int  // current limit, after Shrink and Grow
 	Closed    Closed
 }
 
-// Stats tells the counts as they are now.
+// Stats returns the current counts.
 func (c *Controller[T]) Stats() Stats {
-	return Stats{Open: c.count + c.leaving, Requested: c.asked, Evicting: c.leaving, Trimming: c.trimming,
+	return Stats{Open: c.remaining + c.evicting, Requested: c.requested, Evicting: c.evicting, Trimming: c.trimming,
 		Places: c.limits.Places, Closed: c.closed}
 }
