--- a/internal/ingress/events.go
+++ b/internal/ingress/events.go
@@ -137,7 +137,7 @@
 // shutdownPhase records a step of the process's shutdown.
 func (e *eventLog) shutdownPhase(name string) {
 	if e.details != nil {
-		e.details.Info("shutdown phase", "name", name)
+		e.details.Info("phase", "name", name)
 	}
 }
 
