--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -185,9 +185,9 @@
 	}
 	tests := float64(len(strata) * (2*len(classes) + 2))
 	bound := j.gate.Alpha / float64(max(1, j.waves)) * 6 / math.Pow(math.Pi*float64(j.evaluations), 2) / tests
-	check := func(figure, class string, c, u, p float64) {
+	check := func(metric, class string, c, u, p float64) {
 		if p < bound && v.Failure == nil {
-			v.Failure = &GateFailed{Rollout: j.rollout, Metric: figure, Class: class, Changed: c, Unchanged: u, P: p, Bound: bound}
+			v.Failure = &GateFailed{Rollout: j.rollout, Metric: metric, Class: class, Changed: c, Unchanged: u, P: p, Bound: bound}
 		}
 	}
 	for _, zone := range strata {
@@ -247,7 +247,7 @@
 		return 0, 0, 1, 0, 0
 	}
 	pc, pu = bc/nc, bu/nu
-	// The difference is tested against the margin. Half a request at least, below, keeps the variance above 0.
+	// The difference is tested against the margin. The half request (0.5/nu) below keeps the variance above 0.
 	q := pu + margin
 	v := q * (1 - q)
 	phi := 0.0
--- a/rollout/leader.go
+++ b/rollout/leader.go
@@ -20,7 +20,7 @@
 	ReportInterval    time.Duration // interval between an agent's reports
 	MaxStaleness      time.Duration // an older report is ignored, and its member counts as out
 	LearnPeriod       time.Duration // a new leader grants nothing for this long: every live agent has reported by then
-	BeginTimeout      time.Duration // maximum time from the report that asked for a grant to its begin at the agent
+	BeginTimeout      time.Duration // an agent begins a grant at most this long after the report that the grant answers
 	OverBudgetTimeout time.Duration // losses may exceed a budget for this long before rollouts halt
 	WatchInterval     time.Duration // interval at which a leader logs for how long it has watched a rollout
 }
