--- a/rollout/member.go
+++ b/rollout/member.go
@@ -218,7 +218,7 @@
 	case b.Name == "":
 		return &BadRequest{"a budget must have a name"}
 	case b.ExpectedMembers < 0 || b.MaxOut < 0 || b.Share < 0 || b.Share > 1 || b.MaxOut == 0 && b.Share == 0:
-		return &BadRequest{fmt.Sprintf("budget %s: most and of must be numbers of members, share above 0 and up to 1, and one of the two must be set",
+		return &BadRequest{fmt.Sprintf("budget %s: most and of must be numbers of members, share must be up to 1, and most or share above 0",
 			b.Name)}
 	case b.GroupBy != "" && b.GroupBy != "zone" && b.GroupBy != "cell":
 		return &BadRequest{fmt.Sprintf("budget %s: each must be zone or cell, not %q", b.Name, b.GroupBy)}
