--- a/internal/ingress/events.go
+++ b/internal/ingress/events.go
@@ -75,7 +75,8 @@
 		e.retries++
 	}
 	if e.details != nil {
-		e.details.Info("attempt started", "request", fmt.Sprintf("%016x", r.requestID), "attempt", a.Number, "backend", a.Backend, "deadline", a.Deadline)
+		e.details.Info("attempt started", "request", fmt.Sprintf("%016x", r.requestID), "attempt", a.Number, "backend", a.Backend,
+			"deadline", a.Deadline)
 	}
 }
 
@@ -98,7 +99,8 @@
 // requestAbandoned records a request whose client has disconnected.
 func (e *eventLog) requestAbandoned(r *request) {
 	if e.details != nil {
-		e.details.Info("request abandoned", "request", fmt.Sprintf("%016x", r.requestID), "attempts", len(r.attempts), "out", r.state.InFlight())
+		e.details.Info("request abandoned", "request", fmt.Sprintf("%016x", r.requestID), "attempts", len(r.attempts),
+			"out", r.state.InFlight())
 	}
 }
 
@@ -106,8 +108,8 @@
 func (e *eventLog) connectionClosed(c *client, why closeReason, err error) {
 	e.connectionCloses[why]++
 	if e.details != nil {
-		e.details.Info("connection closed", "connection", c.number, "reason", why, "error", err, "pending", c.pending, "half", len(c.partial),
-			"unread", c.replyBytes)
+		e.details.Info("connection closed", "connection", c.number, "reason", why, "error", err, "pending", c.pending,
+			"half", len(c.partial), "unread", c.replyBytes)
 	}
 }
 
--- a/internal/ingress/outage_test.go
+++ b/internal/ingress/outage_test.go
@@ -319,7 +319,8 @@
 		a.connects, a.outageResponse = true, sendThenTrickle(chunkedHead, " ", 300*time.Millisecond)
 	},
 	"half a response, then trickles": func(a *fakeAgent) {
-		a.connects, a.outageResponse = true, sendThenTrickle(fmt.Sprintf("%s%x\r\n%s\r\n", chunkedHead, len(partialList), partialList), " ", 300*time.Millisecond)
+		a.connects, a.outageResponse = true, sendThenTrickle(
+			fmt.Sprintf("%s%x\r\n%s\r\n", chunkedHead, len(partialList), partialList), " ", 300*time.Millisecond)
 	},
 	"empty lines only": func(a *fakeAgent) {
 		a.connects, a.outageResponse = true, sendThenTrickle(chunkedHead, "\n", 2*time.Second)
@@ -365,7 +366,8 @@
 				}
 				for s, span := range spans {
 					c := (w + r + s + r/4) % len(cuts)
-					a := &fakeAgent{outageStart: 5*time.Second + time.Duration(c)*700*time.Millisecond, watchCut: cuts[c].do, drainCount: int((span + 9*time.Second) / changeInterval)}
+					a := &fakeAgent{outageStart: 5*time.Second + time.Duration(c)*700*time.Millisecond, watchCut: cuts[c].do,
+						drainCount: int((span + 9*time.Second) / changeInterval)}
 					a.outageEnd = a.outageStart + span
 					outages[way](a)
 					recoveries[back](a)
@@ -420,7 +422,8 @@
 						time.Sleep(changeInterval)
 						mu.Lock()
 						if now := time.Since(testStart); inForce == 0 && now-last > 2*changeInterval {
-							t.Errorf("down for %v: at %v nothing was delivered for %v: the old address is no longer in force", span, now, now-last)
+							t.Errorf("down for %v: at %v nothing was delivered for %v: the old address is no longer in force",
+								span, now, now-last)
 						}
 						mu.Unlock()
 					}
--- a/internal/ingress/runtimeconfig.go
+++ b/internal/ingress/runtimeconfig.go
@@ -99,7 +99,9 @@
 	if err != nil {
 		return err
 	}
-	if err := l.gateway.SetTerms(l.Now(), choice.Terms{Plans: plans, MaxAttempts: int(attempts), MaxRetryAfter: millis(after)}); err != nil {
+	if err := l.gateway.SetTerms(l.Now(), choice.Terms{
+		Plans: plans, MaxAttempts: int(attempts), MaxRetryAfter: millis(after),
+	}); err != nil {
 		return err
 	}
 	l.cfg.plans, l.cfg.Choice.MaxUnits = known, units
--- a/internal/ingress/runtimeconfig_test.go
+++ b/internal/ingress/runtimeconfig_test.go
@@ -59,7 +59,8 @@
 	want("basic", served)
 	want("gold", unknown)
 	gold := distribution.Plan{Price: 2}
-	put(newVersion(t, 1, map[distribution.Key]any{"plan/gold": gold, "limit/attempts": distribution.Limit{Value: 1}, "limit/retry_after_ms": distribution.Limit{Value: 1e9}}))
+	put(newVersion(t, 1, map[distribution.Key]any{"plan/gold": gold, "limit/attempts": distribution.Limit{Value: 1},
+		"limit/retry_after_ms": distribution.Limit{Value: 1e9}}))
 	want("gold", served)
 	want("basic", unknown)
 	r.onLoop(func(l *loop) {
@@ -96,7 +97,8 @@
 // A resource that this ingress can't use is reported with key and line, and changes nothing.
 func TestUnusableResourceIsReported(t *testing.T) {
 	r := newRig(t, nil, Member{ID: "b", HostPort: "127.0.0.1:1", Phase: PhaseServing, Size: 1})
-	good := newVersion(t, 1, map[distribution.Key]any{"route/a": distribution.Route{Service: "s", Class: "lookup"}, "route/b": distribution.Route{Service: "s"}})
+	good := newVersion(t, 1, map[distribution.Key]any{"route/a": distribution.Route{Service: "s", Class: "lookup"},
+		"route/b": distribution.Route{Service: "s"}})
 	if err := r.server.CheckConfig(good.Set.List()); err != nil {
 		t.Error(err)
 	}
--- a/internal/ingress/watch_test.go
+++ b/internal/ingress/watch_test.go
@@ -17,7 +17,8 @@
 // scriptedDiscovery starts a discovery that answers list requests with the given list and
 // handles each watch by the next step; the last step handles all further watches. It returns
 // a client of it, the queries received and the lists delivered.
-func scriptedDiscovery(t *testing.T, list string, steps ...func(w io.Writer, req *http.Request)) (d *discoveryClient, queries chan string, got chan MemberList) {
+func scriptedDiscovery(t *testing.T, list string, steps ...func(w io.Writer, req *http.Request),
+) (d *discoveryClient, queries chan string, got chan MemberList) {
 	queries, got = make(chan string, 1000), make(chan MemberList, 1000)
 	var watches atomic.Int32 // a cancelled watch may still be ending while the next one starts
 	s := standin.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -161,7 +161,8 @@
 			continue
 		}
 		name, _, hasValue := strings.Cut(l, "=")
-		if hasValue && strings.Trim(strings.TrimSpace(name), `"`) == last && (current == table || table == "" && strings.HasPrefix(key, current+".")) {
+		if hasValue && strings.Trim(strings.TrimSpace(name), `"`) == last &&
+			(current == table || table == "" && strings.HasPrefix(key, current+".")) {
 			return i + 1
 		}
 	}
