--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -182,7 +182,7 @@
 			return rapid.SampledFrom(matching).Draw(t, kind)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"admit": func(t *rapid.T) {
+			"new connection": func(t *rapid.T) {
 				if !controller.HasRoom() {
 					t.Skip("full")
 				}
@@ -207,20 +207,20 @@
 				}
 				m.conns = slices.DeleteFunc(m.conns, func(p *Conn[int]) bool { return p.state == unmanaged })
 			},
-			"mark busy": func(t *rapid.T) {
+			"turn busy": func(t *rapid.T) {
 				p := pick(t, "connection", func(p *Conn[int]) bool { return true })
 				controller.MarkBusy(p, rapid.Bool().Draw(t, "requested"))
 			},
-			"mark idle": func(t *rapid.T) {
+			"set idle": func(t *rapid.T) {
 				controller.MarkIdle(pick(t, "busy connection", func(p *Conn[int]) bool { return p.state == busy }), now)
 			},
-			"release": func(t *rapid.T) {
+			"release one": func(t *rapid.T) {
 				p := pick(t, "connection", func(p *Conn[int]) bool { return true })
 				controller.Release(p)
 				controller.Release(p) // a second release has no effect
 				m.conns = slices.DeleteFunc(m.conns, func(o *Conn[int]) bool { return o == p })
 			},
-			"advance time": func(t *rapid.T) {
+			"time passes": func(t *rapid.T) {
 				now += time.Duration(rapid.SampledFrom([]int{0, 1, 5, 60, 300, 2500}).Draw(t, "ms")) * ms
 			},
 			"drain": func(t *rapid.T) {
@@ -229,7 +229,7 @@
 					m.draining = true
 				}
 			},
-			"select due": func(t *rapid.T) {
+			"due": func(t *rapid.T) {
 				m.checkSelectDue(t, controller, now, !controller.HasRoom() && rapid.Bool().Draw(t, "waiting"))
 			},
 			"": func(t *rapid.T) { m.checkCounts(t, controller) },
