--- a/internal/distsim/coordinator.go
+++ b/internal/distsim/coordinator.go
@@ -60,16 +60,16 @@
 		MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: raftlog.Silent{}})
 	c.w.must(err)
 	c.catalog, c.waiting, c.polls = distribution.NewCatalog(), map[string]func(error){}, map[string]func(uint64, distribution.Reply){}
-	c.Begin()
+	c.Start()
 	c.restless()
-	life := c.Life()
+	life := c.Incarnation()
 	var beat func()
 	beat = func() {
-		if c.Life() != life {
+		if c.Incarnation() != life {
 			return
 		}
 		if c.Paused() {
-			c.w.At(c.Resumes(), beat)
+			c.w.At(c.ResumesAt(), beat)
 			return
 		}
 		c.do(c.beat)
@@ -80,12 +80,12 @@
 
 func (c *coordinator) kill() {
 	c.node, c.pub, c.leads = nil, nil, false
-	c.End()
+	c.Stop()
 }
 
 // do runs something here, now or when a pause is over.
 func (c *coordinator) do(f func()) {
-	if c.node == nil || c.Hold(f) {
+	if c.node == nil || c.HoldIfPaused(f) {
 		return
 	}
 	f()
--- a/internal/distsim/world.go
+++ b/internal/distsim/world.go
@@ -315,7 +315,7 @@
 		w.After(tick, sample)
 	}
 	sample()
-	for len(w.Faults()) < virtualtime.MostFaults {
+	for len(w.Faults()) < virtualtime.MaxFaults {
 		event, more := w.Next(w.End)
 		if !more {
 			break
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -111,7 +111,7 @@
 	if c.dead || c.r != nil {
 		return
 	}
-	c.Begin()
+	c.Start()
 	stored, err := c.disk.load()
 	if err != nil {
 		c.w.Note("coordinator %d does not start: %v", c.id, err)
@@ -119,7 +119,7 @@
 		return
 	}
 	r, err := replica.New(replica.Config{ID: c.id, Rollout: c.w.Config, TickInterval: c.w.RaftTick, ElectionTicks: 6, CompactAfter: 200, DecideInterval: c.w.Decide},
-		stored, &c.disk, c.w.Seed*31+c.id+uint64(c.Life())<<40, c.clock.of(c.w.Now()))
+		stored, &c.disk, c.w.Seed*31+c.id+uint64(c.Incarnation())<<40, c.clock.of(c.w.Now()))
 	if err != nil {
 		c.w.Note("coordinator %d does not start: %v", c.id, err)
 		c.dead = true
@@ -127,14 +127,14 @@
 	}
 	c.w.Note("coordinator %d starts", c.id)
 	c.r = r
-	life := c.Life()
+	life := c.Incarnation()
 	var tick func()
 	tick = func() {
-		if c.Life() != life || c.r == nil {
+		if c.Incarnation() != life || c.r == nil {
 			return
 		}
 		if c.Paused() {
-			c.w.At(c.Resumes(), tick)
+			c.w.At(c.ResumesAt(), tick)
 			return
 		}
 		c.do(func() { _ = c.r.Tick(c.clock.of(c.w.Now())) }) // a lasting fault is kept for Err, which do looks at
@@ -149,12 +149,12 @@
 	}
 	c.w.Note("coordinator %d dies", c.id)
 	c.r = nil
-	c.End()
+	c.Stop()
 }
 
 // do runs something at the coordinator, and sends what comes of it.
 func (c *coordinator) do(f func()) {
-	if c.r == nil || c.Hold(f) {
+	if c.r == nil || c.HoldIfPaused(f) {
 		return
 	}
 	led := c.r.IsLeader()
@@ -185,7 +185,7 @@
 			c.w.After(c.w.between(2*time.Second, 20*time.Second), func() { c.w.replace(c.place) })
 		}
 		c.r = nil
-		c.End()
+		c.Stop()
 	}
 }
 
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -103,11 +103,11 @@
 			return
 		}
 		nc, err := s.ln.Accept()
-		if errors.Is(err, reactor.ErrWait) {
+		if errors.Is(err, reactor.ErrWouldBlock) {
 			s.acceptPending = false
 			return
 		}
-		if err != nil && !s.ln.Waiting() {
+		if err != nil && !s.ln.HasPending() {
 			s.acceptPending = false // the last descriptor went to the connection accepted before
 			return
 		}
@@ -115,7 +115,7 @@
 			// Descriptors have run out. The oldest caller, whose request is still
 			// incomplete, is closed for the waiting one, which may send a whole request.
 			// Without callers, clients hold all descriptors, and an idle client is closed.
-			if errors.Is(err, reactor.ErrFiles) {
+			if errors.Is(err, reactor.ErrOutOfResources) {
 				s.makeRoom()
 			}
 			s.acceptAt = now + acceptBackoff
@@ -165,20 +165,20 @@
 
 // Ready handles an event of the connection.
 func (c *conn) Ready(e reactor.Event) {
-	if e&reactor.Gone != 0 {
+	if e&reactor.Disconnected != 0 {
 		c.close()
 		return
 	}
 	if e&reactor.Writable != 0 && len(c.unwritten) > 0 {
 		c.write()
 	}
-	if e&(reactor.Readable|reactor.Ended) != 0 {
+	if e&(reactor.Readable|reactor.ReadClosed) != 0 {
 		c.read()
 	}
 }
 
 // Ring closes the connection when its time is up.
-func (c *conn) Ring() { c.close() }
+func (c *conn) TimerFired() { c.close() }
 
 func (c *conn) close() {
 	if c.net == nil {
@@ -194,7 +194,7 @@
 func (c *conn) read() {
 	for c.net != nil {
 		n, err := c.net.Read(c.server.buf)
-		if errors.Is(err, reactor.ErrWait) {
+		if errors.Is(err, reactor.ErrWouldBlock) {
 			return
 		}
 		if err != nil {
@@ -276,7 +276,7 @@
 	n, err := c.net.Write(c.unwritten)
 	c.unwritten = c.unwritten[n:]
 	switch {
-	case errors.Is(err, reactor.ErrWait):
+	case errors.Is(err, reactor.ErrWouldBlock):
 		return
 	case err != nil && !errors.Is(err, io.EOF):
 		c.close()
--- a/internal/front/admin/admin_test.go
+++ b/internal/front/admin/admin_test.go
@@ -31,10 +31,10 @@
 
 func serve(t *testing.T, maxConns int) (*Server, *reactor.Loop) {
 	t.Helper()
-	return serveOn(t, maxConns, func(s *reactor.Sockets) reactor.World { return s })
+	return serveOn(t, maxConns, func(s *reactor.Sockets) reactor.Driver { return s })
 }
 
-func serveOn(t *testing.T, maxConns int, newWorld func(*reactor.Sockets) reactor.World) (*Server, *reactor.Loop) {
+func serveOn(t *testing.T, maxConns int, newWorld func(*reactor.Sockets) reactor.Driver) (*Server, *reactor.Loop) {
 	t.Helper()
 	sockets, err := reactor.NewSockets()
 	if err != nil {
@@ -196,7 +196,7 @@
 
 func (l *oneDescriptorListener) Accept() (reactor.Conn, error) {
 	if l.world.inUse {
-		return nil, reactor.ErrFiles
+		return nil, reactor.ErrOutOfResources
 	}
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -214,7 +214,7 @@
 // A caller that holds the last descriptor is closed only if another one waits: a failed
 // Accept alone, without a waiting connection, must not close it.
 func TestCallerWithTheLastDescriptorIsServed(t *testing.T) {
-	s, loop := serveOn(t, 4, func(s *reactor.Sockets) reactor.World { return &oneDescriptor{Sockets: s} })
+	s, loop := serveOn(t, 4, func(s *reactor.Sockets) reactor.Driver { return &oneDescriptor{Sockets: s} })
 	loop.Do(func() { s.callTimeout = time.Hour })
 	first := dial(t, s)
 	const requestLine, rest = "GET /status HTTP/1.1\r\n", "Host: x\r\n\r\n"
@@ -252,7 +252,7 @@
 // If clients hold all descriptors, the node is asked to free one for a waiting caller.
 func TestClientsFreeADescriptorForACaller(t *testing.T) {
 	world := &oneDescriptor{inUse: true}
-	s, loop := serveOn(t, 4, func(s *reactor.Sockets) reactor.World {
+	s, loop := serveOn(t, 4, func(s *reactor.Sockets) reactor.Driver {
 		world.Sockets = s
 		return world
 	})
--- a/internal/ingress/admin_test.go
+++ b/internal/ingress/admin_test.go
@@ -269,7 +269,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return func(cfg *Config) { cfg.Listen, cfg.InheritedListener = listener.Addr().String(), reactor.Inherited(fd) }
+	return func(cfg *Config) {
+		cfg.Listen, cfg.InheritedListener = listener.Addr().String(), reactor.InheritedAddress(fd)
+	}
 }
 
 // Guards against two processes of one ingress serving clients at once, which would fill its
--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -50,7 +50,7 @@
 )
 
 // Disconnected reports whether the client has disconnected.
-func (s *slot) Disconnected() bool { return s.client.net == nil || s.client.net.Gone() }
+func (s *slot) Disconnected() bool { return s.client.net == nil || s.client.net.Disconnected() }
 
 // Answer fills the slot with the final outcome of its request.
 func (s *slot) Answer(o outcome) {
@@ -180,14 +180,14 @@
 	}
 	switch {
 	case err == nil:
-	case errors.Is(err, reactor.ErrWait) && c.stallEntry != nil:
+	case errors.Is(err, reactor.ErrWouldBlock) && c.stallEntry != nil:
 		c.unwritten = b[n:]
 		if n > 0 { // the client reads, if slowly
 			c.writeDeadline = f.loop.Now() + writeTimeout
 			c.resetTimer()
 		}
 		return false
-	case errors.Is(err, reactor.ErrWait):
+	case errors.Is(err, reactor.ErrWouldBlock):
 		c.unwritten = append([]byte(nil), b[n:]...)
 		c.writeDeadline = f.loop.Now() + writeTimeout
 		c.stallEntry = f.stalled.PushBack(c)
--- a/internal/ingress/attempttime_test.go
+++ b/internal/ingress/attempttime_test.go
@@ -47,15 +47,15 @@
 			}
 		}},
 		"no descriptor for a backend connection": {attempts: 1, sent: func(sim *simulation) {
-			sim.node.Files = sim.node.Open()
+			sim.node.MaxDescriptors = sim.node.OpenDescriptors()
 			sim.advance(waitTime)
-			sim.node.Files = 0
+			sim.node.MaxDescriptors = 0
 		}},
 		"no descriptor to accept the client": {attempts: 1,
-			before: func(sim *simulation) { sim.node.Files = sim.node.Open() },
+			before: func(sim *simulation) { sim.node.MaxDescriptors = sim.node.OpenDescriptors() },
 			sent: func(sim *simulation) {
 				sim.advance(waitTime)
-				sim.node.Files = 0
+				sim.node.MaxDescriptors = 0
 			}},
 		"pipelined behind many commands": {attempts: 1,
 			commandsAhead: maxPending,
--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -45,7 +45,7 @@
 			b = append(b, "\r\n"...) // the terminator is sent only once the value is proven complete
 			s.endStream(true)
 			c.popSlot()
-		case errors.Is(err, reactor.ErrWait):
+		case errors.Is(err, reactor.ErrWouldBlock):
 			if len(b) == 0 {
 				return false
 			}
@@ -112,7 +112,7 @@
 			c.bufferDeadline = 0
 			s.stream = &bufferedValue{rest: s.buffered}
 			return true
-		case errors.Is(err, reactor.ErrWait):
+		case errors.Is(err, reactor.ErrWouldBlock):
 			return false
 		case err != nil:
 			c.failStream(s)
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -142,11 +142,11 @@
 	// A request's time limit counts from its arrival: it may have waited for an admission place, for its
 	// connection's turn, or while the process was stalled.
 	waited := time.Duration(0)
-	if c.readAt == 0 || c.readDelayed || c.front.loop.Late() {
-		waited = c.net.Waited()
+	if c.readAt == 0 || c.readDelayed || c.front.loop.InputMayBeStale() {
+		waited = c.net.SinceLastReceive()
 	}
 	n, err := c.net.Read(buf)
-	if errors.Is(err, reactor.ErrWait) {
+	if errors.Is(err, reactor.ErrWouldBlock) {
 		c.readable = false
 		return
 	}
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -511,8 +511,8 @@
 	r.server.loop.Do(func() {
 		f := r.server.front
 		for _, c := range f.clients {
-			c.Ready(reactor.Readable | reactor.Ended)
-			c.Ready(reactor.Ended) // a repeated event closes it only once
+			c.Ready(reactor.Readable | reactor.ReadClosed)
+			c.Ready(reactor.ReadClosed) // a repeated event closes it only once
 		}
 		now := f.loop.Now() + time.Hour
 		for _, want := range []int{all, all - closeBatch, all - closeBatch} {
--- a/internal/ingress/closing.go
+++ b/internal/ingress/closing.go
@@ -84,7 +84,7 @@
 }
 
 // Ring handles the deadlines that have passed.
-func (c *client) Ring() {
+func (c *client) TimerFired() {
 	now := c.front.loop.Now()
 	expired := func(deadline *time.Duration) bool {
 		if *deadline == 0 || now < *deadline {
@@ -97,7 +97,7 @@
 	case expired(&c.lingerUntil):
 		// A client that reads slowly has not received its replies yet. Data that crossed the end lies unread, and
 		// closing the socket over it drops what is still to be sent.
-		if c.net.Unsent() && now-c.endedAt < writeTimeout {
+		if c.net.HasUnacked() && now-c.endedAt < writeTimeout {
 			c.lingerUntil = now + lingerTimeout
 			break
 		}
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -133,7 +133,7 @@
 		if err != nil || fd <= 2 {
 			return Config{}, fmt.Errorf("NODE_PASSED_SOCKET: %q is not the number of an inherited descriptor", inherited)
 		}
-		cfg.InheritedListener, cfg.HandoverDir = reactor.Inherited(fd), getenv("TMPDIR")
+		cfg.InheritedListener, cfg.HandoverDir = reactor.InheritedAddress(fd), getenv("TMPDIR")
 	}
 	return cfg, nil
 }
--- a/internal/ingress/connectionend_test.go
+++ b/internal/ingress/connectionend_test.go
@@ -33,11 +33,11 @@
 				}
 				sim.attempts, c.received = nil, nil
 				at := sim.net.Now() + 10*ms
-				sim.net.Until(at + min(0, after) - latency)
+				sim.net.RunUntil(at + min(0, after) - latency)
 				if after < 0 {
 					c.send(encodeRequest("payment", newID(), 1000))
 				}
-				sim.net.Until(at)
+				sim.net.RunUntil(at)
 				end(sim)
 				if after >= 0 {
 					sim.net.After(max(0, after-latency), func() {
--- a/internal/ingress/disconnect_test.go
+++ b/internal/ingress/disconnect_test.go
@@ -31,11 +31,11 @@
 	"slow connect": {backends: 1, class: "payment",
 		afterRequest: func(sim *simulation) { sim.net.Faults.Latency = waitTime }}, // affects only the connect
 	"no descriptor for a backend connection": {backends: 1, class: "payment",
-		afterRequest: func(sim *simulation) { sim.node.Files = sim.node.Open() },
-		endWait:      func(sim *simulation) { sim.node.Files = 0 }},
+		afterRequest: func(sim *simulation) { sim.node.MaxDescriptors = sim.node.OpenDescriptors() },
+		endWait:      func(sim *simulation) { sim.node.MaxDescriptors = 0 }},
 	"no descriptor to accept the client": {backends: 1, class: "payment",
-		beforeRequest: func(sim *simulation) { sim.node.Files = sim.node.Open() },
-		endWait:       func(sim *simulation) { sim.node.Files = 0 }},
+		beforeRequest: func(sim *simulation) { sim.node.MaxDescriptors = sim.node.OpenDescriptors() },
+		endWait:       func(sim *simulation) { sim.node.MaxDescriptors = 0 }},
 	"retry after a rejection": {backends: 2, class: "payment", attempts: 1,
 		endWait: func(sim *simulation) { sim.attempts[0].write("-BUSY\r\n") }},
 	"retry after an error": {backends: 2, class: "lookup", attempts: 1,
@@ -78,19 +78,19 @@
 		t.Fatalf("%d attempts have begun, want %d", len(sim.attempts), w.attempts)
 	}
 	stallAt, leaveAt := endAt+roundDelay-stall, endAt-before
-	sim.net.Until(min(stallAt, leaveAt))
+	sim.net.RunUntil(min(stallAt, leaveAt))
 	if stall > 0 && stallAt <= leaveAt {
 		sim.node.Pause()
 	}
-	sim.net.Until(leaveAt)
+	sim.net.RunUntil(leaveAt)
 	if closedAt = sim.net.Now(); leave != nil {
 		leave(c)
 	}
-	sim.net.Until(min(max(stallAt, leaveAt), endAt))
+	sim.net.RunUntil(min(max(stallAt, leaveAt), endAt))
 	if stall > 0 {
 		sim.node.Pause()
 	}
-	sim.net.Until(endAt)
+	sim.net.RunUntil(endAt)
 	call(w.endWait)
 	if stall > 0 {
 		sim.advance(roundDelay)
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -130,7 +130,7 @@
 // Ready handles an event of the connection.
 func (c *client) Ready(e reactor.Event) {
 	f := c.front
-	if e&(reactor.Gone|reactor.Ended) != 0 {
+	if e&(reactor.Disconnected|reactor.ReadClosed) != 0 {
 		// The end is taken from the event and not from a read: while nothing is read, because of pending replies or
 		// a pause, the end lies behind bytes that nobody waits for any more, and waiting requests would be sent to
 		// backends though their client has disconnected.
@@ -240,9 +240,9 @@
 		case err == nil:
 			f.addClient(nc, now)
 			f.noteAccepted()
-		case errors.Is(err, reactor.ErrWait):
+		case errors.Is(err, reactor.ErrWouldBlock):
 			f.acceptReady = false
-		case errors.Is(err, reactor.ErrFiles): // the next ones wait in the backlog
+		case errors.Is(err, reactor.ErrOutOfResources): // the next ones wait in the backlog
 			f.loop.events.acceptFailed(err)
 			f.noteShortage(now)
 		default:
@@ -380,7 +380,7 @@
 		switch {
 		case err == nil:
 			f.addClient(nc, now)
-		case errors.Is(err, reactor.ErrWait):
+		case errors.Is(err, reactor.ErrWouldBlock):
 			f.endListener()
 		default:
 			f.loop.events.acceptFailed(err)
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -319,7 +319,7 @@
 // updateMembers applies a list of backends from discovery.
 func (l *loop) updateMembers(kind choice.ListKind, list MemberList) {
 	now := l.Now()
-	l.starts.observe(now, l.Wall())
+	l.starts.observe(now, l.WallTime())
 	backends := make([]choice.Backend, 0, len(list.Members))
 	keys := make(map[uint32]uint64, len(list.Members)) // the gateway's numbers are its own
 	listed := make(map[string]bool, len(list.Members))
@@ -433,7 +433,7 @@
 	}
 	// Just after the request was read, its client can't have disconnected unnoticed. Later, the event that reports
 	// the disconnect may be late.
-	return l.Now()-r.takenAt < recentRead && !l.Late() || !r.replyTo.Disconnected()
+	return l.Now()-r.takenAt < recentRead && !l.InputMayBeStale() || !r.replyTo.Disconnected()
 }
 
 // recordViolation counts and logs a step that the rule on requests forbids, and reports whether v is one. The
@@ -517,7 +517,7 @@
 }
 
 // Ring reports the expired timer to the gateway.
-func (a *alarm) Ring() {
+func (a *alarm) TimerFired() {
 	l := a.loop
 	token := a.token
 	a.next, l.freeAlarms = l.freeAlarms, a
--- a/internal/ingress/virtual_test.go
+++ b/internal/ingress/virtual_test.go
@@ -74,12 +74,12 @@
 }
 
 // advance lets virtual time pass.
-func (i *simulation) advance(d time.Duration) { i.net.Until(i.net.Now() + d) }
+func (i *simulation) advance(d time.Duration) { i.net.RunUntil(i.net.Now() + d) }
 
 // do runs f as a part of the ingress's next round.
 func (i *simulation) do(f func()) {
 	i.node.Loop.Post(f)
-	i.net.Until(i.net.Now())
+	i.net.RunUntil(i.net.Now())
 }
 
 // scriptedBackend is a backend that the test plays.
@@ -124,7 +124,7 @@
 	for {
 		begun := simnet.SentAt(c.conn)
 		n, err := c.conn.Read(buf[:])
-		if err == reactor.ErrWait {
+		if err == reactor.ErrWouldBlock {
 			return
 		}
 		if err != nil {
@@ -204,11 +204,11 @@
 	for !c.ended {
 		n, err := c.conn.Read(buf[:])
 		c.received = append(c.received, buf[:n]...)
-		if err == reactor.ErrWait {
+		if err == reactor.ErrWouldBlock {
 			return
 		}
 		c.ended = err != nil
-		c.reset = c.reset || err != nil && e&reactor.Gone != 0
+		c.reset = c.reset || err != nil && e&reactor.Disconnected != 0
 	}
 }
 
--- a/internal/poll/poll.go
+++ b/internal/poll/poll.go
@@ -28,10 +28,10 @@
 // Parts of an Event. Ended means that the other side sends nothing more, Gone
 // that the connection has ended both ways.
 const (
-	Readable Event = syscall.EPOLLIN
-	Ended    Event = syscall.EPOLLRDHUP
-	Writable Event = syscall.EPOLLOUT
-	Gone     Event = syscall.EPOLLERR | syscall.EPOLLHUP
+	Readable     Event = syscall.EPOLLIN
+	ReadClosed   Event = syscall.EPOLLRDHUP
+	Writable     Event = syscall.EPOLLOUT
+	Disconnected Event = syscall.EPOLLERR | syscall.EPOLLHUP
 )
 
 const (
@@ -83,7 +83,7 @@
 // comes back with each event; descriptors are used again, so it should tell an
 // event of a connection that has been closed from one of its successor.
 func (p *Poller) Add(fd int, tag int32) error {
-	e := syscall.EpollEvent{Events: uint32(Readable|Ended|Writable) | edge, Fd: int32(fd), Pad: tag}
+	e := syscall.EpollEvent{Events: uint32(Readable|ReadClosed|Writable) | edge, Fd: int32(fd), Pad: tag}
 	if err := syscall.EpollCtl(p.fd, syscall.EPOLL_CTL_ADD, fd, &e); err != nil {
 		return fmt.Errorf("epoll: %w", err)
 	}
--- a/internal/poll/poll_test.go
+++ b/internal/poll/poll_test.go
@@ -64,7 +64,7 @@
 	if err := syscall.Shutdown(far, syscall.SHUT_RDWR); err != nil {
 		t.Error(err)
 	}
-	until(t, p, func(fd int, tag int32, e Event) bool { return e&Gone != 0 })
+	until(t, p, func(fd int, tag int32, e Event) bool { return e&Disconnected != 0 })
 }
 
 // A byte that comes while the goroutine is on its way to park must wake it.
--- a/internal/reactor/reactor.go
+++ b/internal/reactor/reactor.go
@@ -23,20 +23,20 @@
 // The parts of an Event. Each is told once, when it comes to be so: a handler
 // reads or writes until it would have to wait.
 const (
-	Readable Event = 1 << iota // there is something to read
-	Writable                   // the connection is up, or takes more again
-	Ended                      // the other side sends nothing more
-	Gone                       // the connection has ended both ways, or never came up
+	Readable     Event = 1 << iota // there is something to read
+	Writable                       // the connection is up, or takes more again
+	ReadClosed                     // the other side sends nothing more
+	Disconnected                   // the connection has ended both ways, or never came up
 )
 
 var (
 	// ErrWait tells that there is nothing to read, or that no more can be
 	// written, until the next event.
-	ErrWait = errors.New("would have to wait")
+	ErrWouldBlock = errors.New("would have to wait")
 	// ErrFiles tells that descriptors or memory have run out, of the process or of the whole system.
-	ErrFiles = errors.New("no descriptor is left")
+	ErrOutOfResources = errors.New("no descriptor is left")
 	// ErrBusy tells that the system can't do it now, for no lack that the process could help.
-	ErrBusy = errors.New("the system can't do it now")
+	ErrTemporary = errors.New("the system can't do it now")
 )
 
 // Handler is told what happens on one connection or listener.
@@ -58,13 +58,13 @@
 	Pending() bool
 	// Waited is how long ago the last of what has come did so, read or not; 0
 	// where that can't be told.
-	Waited() time.Duration
+	SinceLastReceive() time.Duration
 	// Gone tells whether the other side has ended the connection or it has broken, read or not,
 	// and whatever events have told. Where that can't be told, it has not.
-	Gone() bool
+	Disconnected() bool
 	// Unsent tells whether bytes that were written are still on their way to the
 	// other side's machine: a Close with something unread would drop them.
-	Unsent() bool
+	HasUnacked() bool
 	// CloseWrite ends the sending alone.
 	CloseWrite()
 	// Close ends the connection. No event is told of it any more.
@@ -79,7 +79,7 @@
 	Accept() (Conn, error)
 	// Waiting tells whether a connection waits. Without a descriptor the system's
 	// Accept fails before it looks.
-	Waiting() bool
+	HasPending() bool
 	// Address is where it listens, as "host:port".
 	Address() string
 	// Close ends it. Connections that wait are reset.
@@ -88,11 +88,11 @@
 
 // World gives connections and time. There are two: Sockets, and the simulated
 // network of the tests.
-type World interface {
+type Driver interface {
 	// Now is a monotonic clock that begins near 0.
 	Now() time.Duration
 	// Wall is the wall clock now. It may be stepped; Now is not.
-	Wall() time.Time
+	WallTime() time.Time
 	// Listen opens an address, "host:port"; port 0 takes a free one. On sockets,
 	// "fd:N" stands for the listening socket that the process inherited as
 	// descriptor N. Others may hold it as well: to close it ends our part alone.
@@ -107,7 +107,7 @@
 	Wait(until time.Duration, any bool) error
 	// Hindered tells whether calls have failed of late that would have told what has come, or
 	// read it: it may have waited.
-	Hindered() bool
+	ReadsDelayed() bool
 	// Wake ends the Wait that is on, or the next one. It may be called from any
 	// goroutine; all else belongs to the loop's.
 	Wake()
@@ -116,11 +116,11 @@
 }
 
 // Alarm is what a timer rings for.
-type Alarm interface{ Ring() }
+type TimerHandler interface{ TimerFired() }
 
 // Timer is one deadline, to be embedded in what it belongs to. Its Owner must be
 // set before the first Set.
-type Timer = timewheel.Timer[Alarm]
+type Timer = timewheel.Timer[TimerHandler]
 
 // Resolution is that of all timers: never early, late by at most so much and by
 // how long the round before takes.
@@ -136,8 +136,8 @@
 
 // Loop runs one ingress on a world.
 type Loop struct {
-	World
-	wheel *timewheel.Wheel[Alarm]
+	Driver
+	wheel *timewheel.Wheel[TimerHandler]
 	tasks []Task
 	stop  bool
 
@@ -152,8 +152,8 @@
 }
 
 // New makes a loop.
-func New(w World) *Loop {
-	return &Loop{World: w, wheel: timewheel.New[Alarm](Resolution), done: make(chan struct{})}
+func New(w Driver) *Loop {
+	return &Loop{Driver: w, wheel: timewheel.New[TimerHandler](Resolution), done: make(chan struct{})}
 }
 
 // Add makes a task part of each round, behind those added before.
@@ -220,12 +220,12 @@
 // Late tells whether what is read now may have come long ago. What came before
 // the last Wait but one began was told by that one. Where much has gathered, it
 // is told in several.
-func (l *Loop) Late() bool {
+func (l *Loop) InputMayBeStale() bool {
 	now := l.Now()
 	if now-l.looked[0] > lateAfter {
 		l.lateUntil = now + lateAfter
 	}
-	return now < l.lateUntil || l.Hindered()
+	return now < l.lateUntil || l.ReadsDelayed()
 }
 
 // Round does what follows the events of one Wait.
@@ -244,7 +244,7 @@
 	l.looked[0], l.looked[1] = l.looked[1], l.Now()
 }
 
-func ring(t *Timer) { t.Owner.Ring() }
+func ring(t *Timer) { t.Owner.TimerFired() }
 
 // Next tells when there is something to do though nothing happens.
 func (l *Loop) Next() (at time.Duration, any bool) {
--- a/internal/reactor/retry.go
+++ b/internal/reactor/retry.go
@@ -50,14 +50,14 @@
 func (k *socket) readLater() error {
 	k.world.hinder()
 	k.tellAgain(Readable, pauseShort)
-	return ErrWait
+	return ErrWouldBlock
 }
 
 // hinder notes that what has come may wait longer than events tell.
 func (s *Sockets) hinder() { s.hinderedUntil = s.Now() + hinderedFor }
 
 // Hindered tells whether calls have failed of late.
-func (s *Sockets) Hindered() bool { return s.hinderedUntil > 0 && s.Now() < s.hinderedUntil }
+func (s *Sockets) ReadsDelayed() bool { return s.hinderedUntil > 0 && s.Now() < s.hinderedUntil }
 
 // hinderedFor is how long what is read may be what waited then.
 const hinderedFor = time.Second
--- a/internal/reactor/simnet/conn.go
+++ b/internal/reactor/simnet/conn.go
@@ -50,7 +50,7 @@
 func SentAt(c reactor.Conn) time.Duration { return c.(*conn).sentAt }
 
 // FarIP is the address of the machine at the other end.
-func FarIP(c reactor.Conn) string {
+func PeerIP(c reactor.Conn) string {
 	if far := c.(*conn).peer; far != nil {
 		return far.node.IP
 	}
@@ -58,7 +58,7 @@
 }
 
 // FarClosed tells whether the program at the other end has closed it, or died.
-func FarClosed(c reactor.Conn) bool {
+func PeerClosed(c reactor.Conn) bool {
 	far := c.(*conn).peer
 	return far != nil && (far.closed || far.wasReset)
 }
@@ -73,7 +73,7 @@
 }
 
 // Broken tells whether the network has reset it.
-func Broken(c reactor.Conn) bool { return c.(*conn).broken }
+func ResetByNetwork(c reactor.Conn) bool { return c.(*conn).broken }
 
 // packet is a segment, an end (no bytes) or a reset on its way.
 type packet struct {
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	if !m.file() {
-		return nil, reactor.ErrFiles
+		return nil, reactor.ErrOutOfResources
 	}
 	n := m.net
 	n.conns++
@@ -136,7 +136,7 @@
 				if !c.closed {
 					n.trace("%s is refused", c.name)
 					c.wasReset = true
-					c.tell(reactor.Gone)
+					c.tell(reactor.Disconnected)
 				}
 			})
 			return
@@ -208,7 +208,7 @@
 	case c.ended:
 		return 0, io.EOF
 	}
-	return 0, reactor.ErrWait
+	return 0, reactor.ErrWouldBlock
 }
 
 // taken gives the other side room for what was read.
@@ -228,15 +228,15 @@
 }
 
 // Waited tells how long ago the last segment came, by the program's clock.
-func (c *conn) Waited() time.Duration {
-	return time.Duration(float64(c.node.net.now-c.cameAt) * c.node.Rate)
+func (c *conn) SinceLastReceive() time.Duration {
+	return time.Duration(float64(c.node.net.now-c.cameAt) * c.node.ClockRate)
 }
 
 // Gone tells whether the other side has ended it, or it has broken.
-func (c *conn) Gone() bool { return c.closed || c.ended || c.wasReset }
+func (c *conn) Disconnected() bool { return c.closed || c.ended || c.wasReset }
 
 // Unsent tells whether something is on its way.
-func (c *conn) Unsent() bool { return !c.closed && len(c.sending) > 0 }
+func (c *conn) HasUnacked() bool { return !c.closed && len(c.sending) > 0 }
 
 func (c *conn) Pending() bool { return c.closed || len(c.in) > 0 || c.ended || c.wasReset }
 
@@ -247,7 +247,7 @@
 	case c.wasReset:
 		return 0, errReset
 	case !c.up:
-		return 0, reactor.ErrWait
+		return 0, reactor.ErrWouldBlock
 	}
 	n := c.node.net
 	most := n.Faults.Buffer
@@ -280,7 +280,7 @@
 				}
 			})
 		}
-		return took, reactor.ErrWait
+		return took, reactor.ErrWouldBlock
 	}
 	return took, nil
 }
@@ -375,7 +375,7 @@
 		return
 	}
 	c.wasReset, c.in = true, nil
-	c.tell(reactor.Gone | reactor.Readable | reactor.Ended)
+	c.tell(reactor.Disconnected | reactor.Readable | reactor.ReadClosed)
 }
 
 // receive takes a packet in.
@@ -395,7 +395,7 @@
 		n.note(nil)
 		n.trace("%s gets the end", c.name)
 		c.ended = true
-		c.tell(reactor.Readable | reactor.Ended)
+		c.tell(reactor.Readable | reactor.ReadClosed)
 	default:
 		n.note(p.data)
 		if n.Trace != nil { // the arguments alone would cost something
--- a/internal/reactor/simnet/net.go
+++ b/internal/reactor/simnet/net.go
@@ -106,7 +106,7 @@
 }
 
 // Until lets things happen up to a time.
-func (n *Net) Until(t time.Duration) {
+func (n *Net) RunUntil(t time.Duration) {
 	for n.queue.Len() > 0 && n.queue[0].at <= t {
 		n.Step()
 	}
@@ -115,10 +115,10 @@
 
 // Cut stops what goes from one address to another, until Mend. What is under
 // way is held back, as TCP sends it again later.
-func (n *Net) Cut(from, to string) { n.cuts[[2]string{from, to}] = true }
+func (n *Net) Partition(from, to string) { n.cuts[[2]string{from, to}] = true }
 
 // Mend lets it through again, with what was held back.
-func (n *Net) Mend(from, to string) {
+func (n *Net) Heal(from, to string) {
 	delete(n.cuts, [2]string{from, to})
 	held := n.held
 	n.held = nil
--- a/internal/reactor/simnet/node.go
+++ b/internal/reactor/simnet/node.go
@@ -11,10 +11,10 @@
 
 // Node is one machine, and the reactor's world of the program on it.
 type Node struct {
-	IP    string
-	Loop  *reactor.Loop // of the program that runs there; nil while none does
-	Rate  float64       // of its clock, against the network's
-	Files int           // descriptors it may hold; 0: no bound
+	IP             string
+	Loop           *reactor.Loop // of the program that runs there; nil while none does
+	ClockRate      float64       // of its clock, against the network's
+	MaxDescriptors int           // descriptors it may hold; 0: no bound
 
 	net       *Net
 	epoch     time.Duration // when the program started, by the network
@@ -37,7 +37,7 @@
 
 // Node adds a machine.
 func (n *Net) Node(ip string) *Node {
-	m := &Node{IP: ip, Rate: 1, net: n, began: Epoch}
+	m := &Node{IP: ip, ClockRate: 1, net: n, began: Epoch}
 	n.nodes = append(n.nodes, m)
 	n.byIP[ip] = m
 	return m
@@ -72,7 +72,7 @@
 }
 
 // Vanish ends the machine without a word: its peers hear nothing any more.
-func (m *Node) Vanish() {
+func (m *Node) PowerOff() {
 	m.net.trace("%s vanishes", m.IP)
 	m.life++
 	m.Loop = nil
@@ -99,22 +99,22 @@
 }
 
 // Open is the number of descriptors that its program holds.
-func (m *Node) Open() int { return m.files }
+func (m *Node) OpenDescriptors() int { return m.files }
 
 // Now is the program's clock.
 func (m *Node) Now() time.Duration {
-	return time.Duration(float64(m.net.now-m.epoch) * m.Rate)
+	return time.Duration(float64(m.net.now-m.epoch) * m.ClockRate)
 }
 
 // Hindered tells that no call fails here.
-func (m *Node) Hindered() bool { return false }
+func (m *Node) ReadsDelayed() bool { return false }
 
 // Wall is the wall clock now.
-func (m *Node) Wall() time.Time { return m.began.Add(m.Now()) }
+func (m *Node) WallTime() time.Time { return m.began.Add(m.Now()) }
 
 // networkTime turns a time of the program's clock into the network's.
 func (m *Node) networkTime(t time.Duration) time.Duration {
-	return m.epoch + time.Duration(float64(t)/m.Rate) + 1
+	return m.epoch + time.Duration(float64(t)/m.ClockRate) + 1
 }
 
 // Wake has a round come soon.
@@ -210,7 +210,7 @@
 		}
 	}
 	if !m.file() {
-		return nil, reactor.ErrFiles
+		return nil, reactor.ErrOutOfResources
 	}
 	l := &listener{node: m, port: port, handler: h}
 	m.listeners = append(m.listeners, l)
@@ -219,7 +219,7 @@
 
 // file takes a descriptor.
 func (m *Node) file() bool {
-	if m.Files > 0 && m.files >= m.Files {
+	if m.MaxDescriptors > 0 && m.files >= m.MaxDescriptors {
 		return false
 	}
 	m.files++
@@ -238,10 +238,10 @@
 
 func (l *listener) Accept() (reactor.Conn, error) {
 	if l.closed || len(l.waiting) == 0 {
-		return nil, reactor.ErrWait
+		return nil, reactor.ErrWouldBlock
 	}
 	if !l.node.file() {
-		return nil, reactor.ErrFiles
+		return nil, reactor.ErrOutOfResources
 	}
 	c := l.waiting[0]
 	l.waiting = l.waiting[1:]
@@ -250,7 +250,7 @@
 	return c, nil
 }
 
-func (l *listener) Waiting() bool { return !l.closed && len(l.waiting) > 0 }
+func (l *listener) HasPending() bool { return !l.closed && len(l.waiting) > 0 }
 
 func (l *listener) Address() string { return fmt.Sprintf("%s:%d", l.node.IP, l.port) }
 
--- a/internal/reactor/sockets.go
+++ b/internal/reactor/sockets.go
@@ -64,7 +64,7 @@
 func (s *Sockets) Now() time.Duration { return time.Since(s.began) }
 
 // Wall is the wall clock now.
-func (s *Sockets) Wall() time.Time { return time.Now().Round(0) } // without the monotonic reading
+func (s *Sockets) WallTime() time.Time { return time.Now().Round(0) } // without the monotonic reading
 
 // Wake ends the wait that is on, or the next one.
 func (s *Sockets) Wake() { s.poller.Wake() }
@@ -117,7 +117,7 @@
 	for _, m := range [...]struct {
 		from poll.Event
 		to   Event
-	}{{poll.Readable, Readable}, {poll.Writable, Writable}, {poll.Ended, Ended}, {poll.Gone, Gone}} {
+	}{{poll.Readable, Readable}, {poll.Writable, Writable}, {poll.ReadClosed, ReadClosed}, {poll.Disconnected, Disconnected}} {
 		if e&m.from != 0 {
 			what |= m.to
 		}
@@ -169,7 +169,7 @@
 			}
 			return int(n), nil
 		case verdictWait:
-			return 0, ErrWait
+			return 0, ErrWouldBlock
 		case verdictShortage:
 			return 0, k.readLater()
 		case verdictOver:
@@ -192,18 +192,18 @@
 		case verdictAgain:
 			if interrupted++; interrupted == mostInterrupted {
 				k.tellAgain(Writable, pauseShort)
-				return written, ErrWait
+				return written, ErrWouldBlock
 			}
 		case verdictWait:
-			if k.Unsent() {
+			if k.HasUnacked() {
 				k.tellAgain(Writable, pauseBlocked)
 			} else { // for want of memory: no room will come about of which the poller could tell
 				k.tellAgain(Writable, pauseShort)
 			}
-			return written, ErrWait
+			return written, ErrWouldBlock
 		case verdictShortage:
 			k.tellAgain(Writable, pauseShort)
-			return written, ErrWait
+			return written, ErrWouldBlock
 		case verdictOver:
 			return written, e
 		}
@@ -229,7 +229,7 @@
 
 // Waited asks for when the last segment with data came. The system tells it in
 // milliseconds, by a clock that may be some of them behind.
-func (k *socket) Waited() time.Duration {
+func (k *socket) SinceLastReceive() time.Duration {
 	info, ok := k.info()
 	if !ok {
 		return 0
@@ -246,7 +246,7 @@
 }
 
 // Gone asks for the state of the connection.
-func (k *socket) Gone() bool {
+func (k *socket) Disconnected() bool {
 	info, ok := k.info()
 	if !ok {
 		return false
@@ -260,7 +260,7 @@
 
 // Unsent asks for the send queue: what the other side's kernel has not
 // acknowledged is in it. Where that can't be told, nothing is.
-func (k *socket) Unsent() bool {
+func (k *socket) HasUnacked() bool {
 	var n int32
 	_, _, e := syscall.RawSyscall(syscall.SYS_IOCTL, uintptr(k.fd), syscall.TIOCOUTQ, uintptr(unsafe.Pointer(&n)))
 	return e == 0 && n > 1 // our own end counts as one
@@ -308,7 +308,7 @@
 	switch connectVerdict(err) {
 	case verdictShortage:
 		_ = syscall.Close(fd)
-		return nil, fmt.Errorf("dial %s: %w (%w)", address, ErrBusy, err)
+		return nil, fmt.Errorf("dial %s: %w (%w)", address, ErrTemporary, err)
 	case verdictOver:
 		_ = syscall.Close(fd)
 		return nil, fmt.Errorf("dial %s: %w", address, err)
@@ -350,7 +350,7 @@
 }
 
 // Inherited is the address that stands for an inherited listening socket.
-func Inherited(fd int) string { return inheritedPrefix + strconv.Itoa(fd) }
+func InheritedAddress(fd int) string { return inheritedPrefix + strconv.Itoa(fd) }
 
 const inheritedPrefix = "fd:"
 
@@ -408,7 +408,7 @@
 
 func (l *listener) Accept() (Conn, error) {
 	if l.fd < 0 || l.inherited && !l.waiting() {
-		return nil, ErrWait
+		return nil, ErrWouldBlock
 	}
 	var err error
 	for range acceptTries {
@@ -421,18 +421,18 @@
 			}
 			return &socket{world: l.world, fd: fd}, nil
 		case verdictWait:
-			return nil, ErrWait
+			return nil, ErrWouldBlock
 		case verdictShortage:
 			return nil, shortage("accept", err)
 		}
 	}
-	return nil, fmt.Errorf("accept: %w (%w)", ErrBusy, err)
+	return nil, fmt.Errorf("accept: %w (%w)", ErrTemporary, err)
 }
 
 // acceptTries is how many connections in a row may turn out to be broken before others have their turn.
 const acceptTries = 64
 
-func (l *listener) Waiting() bool {
+func (l *listener) HasPending() bool {
 	if l.fd < 0 {
 		return false
 	}
--- a/internal/reactor/sockets_test.go
+++ b/internal/reactor/sockets_test.go
@@ -71,11 +71,11 @@
 		"own": func(*testing.T) string { return "127.0.0.1:0" },
 		"inherited": func(t *testing.T) string {
 			_, fd := passed(t, false)
-			return Inherited(fd)
+			return InheritedAddress(fd)
 		},
 		"inherited, multipath": func(t *testing.T) string { // as package net opens one
 			_, fd := passed(t, true)
-			return Inherited(fd)
+			return InheritedAddress(fd)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -156,18 +156,18 @@
 				t.Fatal("waited in vain for what was written")
 			}
 		}
-		age := k.Waited()
+		age := k.SinceLastReceive()
 		if most := time.Since(written) + tick; age > most {
 			t.Fatalf("what came within %v is %v old", most, age)
 		}
-		for least := age + 3*tick; age < least; age = k.Waited() {
+		for least := age + 3*tick; age < least; age = k.SinceLastReceive() {
 			if time.Since(written) > patience {
 				t.Fatalf("what came %v ago is %v old", patience, age)
 			}
 		}
 		var buf [64]byte
 		_, _ = k.Read(buf[:])
-		if again := k.Waited(); again < age {
+		if again := k.SinceLastReceive(); again < age {
 			t.Fatalf("what was read is %v old, and was %v", again, age)
 		}
 	}
--- a/internal/reactor/syserror.go
+++ b/internal/reactor/syserror.go
@@ -83,4 +83,6 @@
 }
 
 // shortage is the error of a call that the system has no means for now.
-func shortage(call string, err error) error { return fmt.Errorf("%s: %w (%w)", call, ErrFiles, err) }
+func shortage(call string, err error) error {
+	return fmt.Errorf("%s: %w (%w)", call, ErrOutOfResources, err)
+}
--- a/internal/reactor/syserror_test.go
+++ b/internal/reactor/syserror_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
-		if socketVerdict(errno) != verdictShortage || !errors.Is(shortage("socket", errno), ErrFiles) || !errors.Is(shortage("socket", errno), errno) {
+		if socketVerdict(errno) != verdictShortage || !errors.Is(shortage("socket", errno), ErrOutOfResources) || !errors.Is(shortage("socket", errno), errno) {
 			t.Errorf("socket: %v is no shortage, or does not tell its number", errno)
 		}
 	}
--- a/internal/simulate/backend.go
+++ b/internal/simulate/backend.go
@@ -100,7 +100,7 @@
 		}
 		n, err := s.conn.Read(buf[:])
 		s.in = append(s.in, buf[:n]...)
-		if err == reactor.ErrWait {
+		if err == reactor.ErrWouldBlock {
 			break
 		}
 		if err != nil {
@@ -137,7 +137,7 @@
 	}
 	n, err := s.conn.Write(s.out)
 	s.out = s.out[n:]
-	if err != nil && err != reactor.ErrWait {
+	if err != nil && err != reactor.ErrWouldBlock {
 		s.close()
 	}
 }
@@ -281,7 +281,7 @@
 	life := s.node.Loop
 	s.net.After(time.Duration(s.rand.Int64N(int64(18*ms))), func() {
 		now := s.net.Now()
-		cut := over(s.cuts[simnet.FarIP(s.conn)+s.node.IP], now, now)
+		cut := over(s.cuts[simnet.PeerIP(s.conn)+s.node.IP], now, now)
 		if s.node.Loop == life && !s.closed && s.open == 0 && !s.spoilt && !cut {
 			s.write(text)
 		}
--- a/internal/simulate/check.go
+++ b/internal/simulate/check.go
@@ -16,12 +16,12 @@
 
 // out tells that the attempt is out still: not answered, on a connection that
 // neither end has closed.
-func (a *attempt) out() bool { return !a.done && !a.at.closed && !simnet.FarClosed(a.at.conn) }
+func (a *attempt) out() bool { return !a.done && !a.at.closed && !simnet.PeerClosed(a.at.conn) }
 
 // attempt checks an attempt whose last byte has come to a backend.
 func (r *run) attempt(s *served, words []string) *attempt {
 	now := r.net.Now()
-	ip := simnet.FarIP(s.conn)
+	ip := simnet.PeerIP(s.conn)
 	a := &attempt{at: s}
 	for _, g := range r.gateways {
 		if g.node.IP == ip {
@@ -125,7 +125,7 @@
 		if h := g.ingress.Usage(); h.Clients+h.Backends+h.Requests != 0 || h.Memory != 0 {
 			r.fault("%s holds %+v at the end", g.node.IP, h)
 		}
-		if n := g.node.Open(); n != 1 {
+		if n := g.node.OpenDescriptors(); n != 1 {
 			r.fault("%s holds %d descriptors at the end, want the listener's alone", g.node.IP, n)
 		}
 	}
--- a/internal/simulate/client.go
+++ b/internal/simulate/client.go
@@ -234,7 +234,7 @@
 	if at, yes := simnet.Accepted(l.conn); (!yes || at > t.sent+ms) && over(l.to.short, 0, now) {
 		return true // it waited for a descriptor, or for admission to count on having one
 	}
-	return simnet.Broken(l.conn) || over(l.to.down, l.opened, now) || over(l.cuts[l.to.node.IP+l.node.IP], since-time.Second, now)
+	return simnet.ResetByNetwork(l.conn) || over(l.to.down, l.opened, now) || over(l.cuts[l.to.node.IP+l.node.IP], since-time.Second, now)
 }
 
 // leave closes the connection as a client that has gone does.
@@ -284,7 +284,7 @@
 	for !l.closed {
 		n, err := l.conn.Read(buf[:])
 		l.in = append(l.in, buf[:n]...)
-		if err == reactor.ErrWait {
+		if err == reactor.ErrWouldBlock {
 			break
 		}
 		if err != nil {
--- a/internal/simulate/simulate.go
+++ b/internal/simulate/simulate.go
@@ -292,7 +292,7 @@
 		if s.Sockets < fewSockets {
 			g.short = []span{{0, time.Hour}}
 		}
-		g.node.Rate = 1 + s.Drift*(2*r.rand.Float64()-1)
+		g.node.ClockRate = 1 + s.Drift*(2*r.rand.Float64()-1)
 		r.gateways = append(r.gateways, g)
 		g.start()
 	}
@@ -477,26 +477,26 @@
 	r.cuts[a+b] = append(r.cuts[a+b], s)
 	r.say("cut %s %s, %d", a, b, ways)
 	if ways&1 > 0 {
-		r.net.Cut(a, b)
+		r.net.Partition(a, b)
 	}
 	if ways&2 > 0 {
-		r.net.Cut(b, a)
+		r.net.Partition(b, a)
 	}
 	r.net.After(s.to-s.from, func() {
 		r.say("mended %s %s", a, b)
-		r.net.Mend(a, b)
-		r.net.Mend(b, a)
+		r.net.Heal(a, b)
+		r.net.Heal(b, a)
 	})
 }
 
 // runShort lets a gateway run out of descriptors for a while.
 func (r *run) runShort() {
 	g := r.gateways[r.rand.IntN(len(r.gateways))]
-	g.node.Files = max(2, g.node.Open()-r.rand.IntN(10))
-	r.say("%s may hold %d descriptors", g.node.IP, g.node.Files)
+	g.node.MaxDescriptors = max(2, g.node.OpenDescriptors()-r.rand.IntN(10))
+	r.say("%s may hold %d descriptors", g.node.IP, g.node.MaxDescriptors)
 	lasts := time.Duration(r.rand.Int64N(int64(500 * ms)))
 	g.short = append(g.short, span{r.net.Now(), r.net.Now() + lasts})
-	r.net.After(lasts, func() { g.node.Files = 0 })
+	r.net.After(lasts, func() { g.node.MaxDescriptors = 0 })
 }
 
 // join adds a backend, cold.
@@ -617,7 +617,7 @@
 // finish lets all that is open end, and checks that nothing is left over.
 func (r *run) finish() {
 	r.over = true
-	r.net.Until(r.net.Now() + 3*time.Second) // past every deadline, cut and pause
+	r.net.RunUntil(r.net.Now() + 3*time.Second) // past every deadline, cut and pause
 	for _, c := range r.clients {
 		c.closeAll()
 	}
@@ -629,6 +629,6 @@
 	}
 	r.net.Faults = simnet.Faults{Latency: ms}
 	// Discovery is late by a second at most. No connection idles out by then.
-	r.net.Until(r.net.Now() + 1500*ms)
+	r.net.RunUntil(r.net.Now() + 1500*ms)
 	r.settle()
 }
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -72,11 +72,11 @@
 				got++
 				b.count(from, meanService)
 			}
-			r.net.Until(c.age - usualCold.For - ms)
+			r.net.RunUntil(c.age - usualCold.For - ms)
 			for range c.before {
 				send()
 			}
-			r.net.Until(c.age)
+			r.net.RunUntil(c.age)
 			for range c.most {
 				send()
 			}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -70,8 +70,8 @@
 	p := c.pool
 	now := p.loop.Now()
 	nc, err := p.loop.Dial(c.target.addr, c)
-	outOfDescriptors := errors.Is(err, reactor.ErrFiles)
-	if (outOfDescriptors || errors.Is(err, reactor.ErrBusy)) && c.dialBackoff <= maxDialBackoff {
+	outOfDescriptors := errors.Is(err, reactor.ErrOutOfResources)
+	if (outOfDescriptors || errors.Is(err, reactor.ErrTemporary)) && c.dialBackoff <= maxDialBackoff {
 		// The cause is local and says nothing about the backend.
 		if outOfDescriptors { // the sink closes idle clients
 			p.sink.OutOfDescriptors()
@@ -142,10 +142,10 @@
 		c.unwritten, c.state = nil, written
 		c.pool.loop.Set(&c.timer, c.attempt.Deadline) // replaces the timer for writing
 		c.pool.sink.Written(c.attempt)
-	case errors.Is(err, reactor.ErrWait) && n == 0 && len(c.unwritten) == 0:
+	case errors.Is(err, reactor.ErrWouldBlock) && n == 0 && len(c.unwritten) == 0:
 		// Nothing was written: send builds the message again, with the time left then, once the
 		// connection is writable.
-	case errors.Is(err, reactor.ErrWait):
+	case errors.Is(err, reactor.ErrWouldBlock):
 		if len(c.unwritten) == 0 {
 			c.unwritten = slices.Clone(b[n:])
 			c.pool.loop.Set(&c.timer, min(c.attempt.writeDeadline(), c.builtAt+maxWriteTime))
@@ -159,10 +159,10 @@
 
 // Ready handles an event of the connection.
 func (c *conn) Ready(e reactor.Event) {
-	c.peerEnded = c.peerEnded || e&(reactor.Ended|reactor.Gone) != 0
+	c.peerEnded = c.peerEnded || e&(reactor.ReadClosed|reactor.Disconnected) != 0
 	switch c.state {
 	case connecting:
-		if e&reactor.Gone != 0 || e&reactor.Writable == 0 {
+		if e&reactor.Disconnected != 0 || e&reactor.Writable == 0 {
 			c.fail(choice.ConnectFailed, CauseRefused, nil)
 			return
 		}
@@ -170,7 +170,7 @@
 		// the process, a later event may withdraw it (its client has disconnected).
 		c.pool.connected = append(c.pool.connected, c)
 	case writing:
-		if e&(reactor.Gone|reactor.Readable|reactor.Ended) != 0 {
+		if e&(reactor.Disconnected|reactor.Readable|reactor.ReadClosed) != 0 {
 			// Data before the request is complete can't be its reply.
 			c.fail(choice.ConnectFailed, CauseAnsweredEarly, nil)
 			return
@@ -185,15 +185,15 @@
 			c.write(c.unwritten)
 		}
 	case written, receiving:
-		if e&(reactor.Readable|reactor.Ended|reactor.Gone) != 0 {
+		if e&(reactor.Readable|reactor.ReadClosed|reactor.Disconnected) != 0 {
 			c.read()
 		}
 	case streaming, receivingTrailer:
-		if e&(reactor.Readable|reactor.Ended|reactor.Gone) != 0 {
+		if e&(reactor.Readable|reactor.ReadClosed|reactor.Disconnected) != 0 {
 			c.stream.ready()
 		}
 	case idle:
-		if e&(reactor.Readable|reactor.Ended|reactor.Gone) != 0 {
+		if e&(reactor.Readable|reactor.ReadClosed|reactor.Disconnected) != 0 {
 			c.closeUnsolicited()
 		}
 	}
@@ -235,7 +235,7 @@
 			buf = c.partial[len(c.partial):cap(c.partial)]
 		}
 		n, err := c.net.Read(buf)
-		if errors.Is(err, reactor.ErrWait) {
+		if errors.Is(err, reactor.ErrWouldBlock) {
 			return
 		}
 		if err != nil {
@@ -363,7 +363,7 @@
 }
 
 // Ring handles the timeout of the current state.
-func (c *conn) Ring() {
+func (c *conn) TimerFired() {
 	now := c.pool.loop.Now()
 	switch c.state {
 	case awaitingDescriptor:
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -72,7 +72,7 @@
 	}
 	n, err := c.net.Read(b[:min(len(b), s.remaining)])
 	switch {
-	case errors.Is(err, reactor.ErrWait):
+	case errors.Is(err, reactor.ErrWouldBlock):
 		c.pool.loop.Set(&c.timer, c.pool.loop.Now()+streamStallTimeout)
 		return 0, err
 	case err != nil:
@@ -113,7 +113,7 @@
 			s.finishTrailer()
 			return io.EOF
 		}
-		if err := s.readMore(); errors.Is(err, reactor.ErrWait) {
+		if err := s.readMore(); errors.Is(err, reactor.ErrWouldBlock) {
 			c.pool.loop.Set(&c.timer, c.pool.loop.Now()+streamStallTimeout)
 			return err
 		} else if err != nil {
@@ -152,7 +152,7 @@
 		if err != nil || len(s.trailer) > maxTrailer {
 			break
 		}
-		if err := s.readMore(); errors.Is(err, reactor.ErrWait) {
+		if err := s.readMore(); errors.Is(err, reactor.ErrWouldBlock) {
 			p.loop.Set(&c.timer, p.loop.Now()+trailerTimeout)
 			return
 		} else if err != nil {
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -51,7 +51,7 @@
 	b.Helper()
 	for writes := 0; len(text) > 0; writes++ {
 		n, err := b.backend.conns[0].Write(text)
-		if text = text[n:]; err != nil && err != reactor.ErrWait || writes > 10_000 {
+		if text = text[n:]; err != nil && err != reactor.ErrWouldBlock || writes > 10_000 {
 			b.Fatal(err)
 		}
 		b.run(10 * ms)
@@ -63,7 +63,7 @@
 		buf := make([]byte, 1+r.net.Rand.IntN(r.maxRead))
 		n, err := r.Read(buf)
 		r.got = append(r.got, buf[:n]...)
-		if errors.Is(err, reactor.ErrWait) {
+		if errors.Is(err, reactor.ErrWouldBlock) {
 			return
 		}
 		r.err = err
@@ -94,7 +94,7 @@
 		peer := b.backend.conns[0]
 		for len(rest) > 0 && r.err == nil {
 			n, err := peer.Write(rest[:min(len(rest), 1+b.net.Rand.IntN(30_000))])
-			if rest = rest[n:]; err != nil && err != reactor.ErrWait {
+			if rest = rest[n:]; err != nil && err != reactor.ErrWouldBlock {
 				t.Fatal(err)
 			}
 			b.run(time.Duration(b.net.Rand.Int64N(int64(20 * ms))))
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -56,7 +56,7 @@
 	for !c.closed {
 		n, err := c.Read(buf[:])
 		c.got = append(c.got, buf[:n]...)
-		if err == reactor.ErrWait {
+		if err == reactor.ErrWouldBlock {
 			break
 		}
 		c.closed = err != nil
@@ -125,7 +125,7 @@
 // inLoop runs f in a round of the ingress's loop.
 func (b *testbed) inLoop(f func()) {
 	b.ingressNode.Loop.Post(f)
-	b.net.Until(b.net.Now() + ms/10)
+	b.net.RunUntil(b.net.Now() + ms/10)
 }
 
 // begin starts an attempt that is not repeatable.
@@ -136,7 +136,7 @@
 	return a
 }
 
-func (b *testbed) run(d time.Duration) { b.net.Until(b.net.Now() + d) }
+func (b *testbed) run(d time.Duration) { b.net.RunUntil(b.net.Now() + d) }
 
 // wantStatuses checks the outcomes since the last call.
 func (b *testbed) wantStatuses(statuses ...choice.Status) {
@@ -230,7 +230,7 @@
 			b.backendNode.Kill()
 			b.run(5 * ms)
 		}, choice.ConnectFailed, ""},
-		{"connect timeout", func(b *testbed) { b.net.Cut("10.0.0.2", "10.0.0.1"); b.run(200 * ms) }, choice.ConnectFailed, ""},
+		{"connect timeout", func(b *testbed) { b.net.Partition("10.0.0.2", "10.0.0.1"); b.run(200 * ms) }, choice.ConnectFailed, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestbed(t)
@@ -313,7 +313,7 @@
 func TestConnectionIsClosedBeforeTheOutcomeIsReported(t *testing.T) {
 	b := newTestbed(t)
 	open := -1
-	b.onOutcome = func(outcome) { open = b.ingressNode.Open() }
+	b.onOutcome = func(outcome) { open = b.ingressNode.OpenDescriptors() }
 	b.begin("x")
 	b.run(requestTimeout + ms)
 	b.wantStatuses(choice.Timeout)
@@ -326,18 +326,18 @@
 // the deadline the attempt ends as one that never ran.
 func TestDialWaitsForADescriptor(t *testing.T) {
 	b := newTestbed(t)
-	b.ingressNode.Files = 1
+	b.ingressNode.MaxDescriptors = 1
 	b.inLoop(func() { _, _ = b.ingressNode.Dial("10.0.0.2:9", nil) }) // uses the only descriptor
 	a := b.begin("x")
 	b.run(10 * ms)
 	if b.outOfDescriptors == 0 || a.conn == nil {
 		t.Fatal("the sink was not told that descriptors ran out, or the attempt does not wait")
 	}
-	b.ingressNode.Files = 2
+	b.ingressNode.MaxDescriptors = 2
 	b.run(50 * ms)
 	b.reply(b.backend.conns[0], valueReply("v"))
 	b.wantStatuses(choice.OK)
-	b.ingressNode.Files = 1
+	b.ingressNode.MaxDescriptors = 1
 	b.inLoop(func() { b.Evict() })
 	b.begin("y")
 	b.run(requestTimeout)
@@ -652,7 +652,7 @@
 	for name, prepare := range map[string]func(*testbed) *Attempt{
 		"connecting": func(b *testbed) *Attempt { return b.begin("x") },
 		"no descriptor": func(b *testbed) *Attempt {
-			b.ingressNode.Files = 1
+			b.ingressNode.MaxDescriptors = 1
 			b.inLoop(func() { _, _ = b.ingressNode.Dial("10.0.0.2:9", nil) }) // uses the only descriptor
 			return b.begin("x")
 		},
@@ -769,7 +769,7 @@
 					at = b.net.Now() - 2*reuseCooldown + time.Duration(idleTimeoutShare*10*float64(time.Second))
 				}
 				b.net.After(at+after-b.net.Now()-b.net.Faults.Latency, func() { _, _ = c.Write([]byte(half)) })
-				b.net.Until(at)
+				b.net.RunUntil(at)
 				if event == "the drain" {
 					b.inLoop(func() { b.Update(Member{Name: "b", State: choice.Draining}) })
 					b.run(10 * ms)
@@ -814,7 +814,7 @@
 		b.ingressNode.Pause() // no events are delivered
 		_, _ = b.backend.conns[0].Write([]byte(text))
 		b.run(2 * requestTimeout)
-		a.conn.Ring()
+		a.conn.TimerFired()
 		b.ingressNode.Resume()
 		b.run(5 * ms)
 		b.Log(name)
--- a/internal/virtualtime/process.go
+++ b/internal/virtualtime/process.go
@@ -18,29 +18,29 @@
 func NewProcess(s *Scheduler) Process { return Process{scheduler: s} }
 
 // Begin starts a new life of the process, not paused and with no calls waiting.
-func (p *Process) Begin() {
+func (p *Process) Start() {
 	p.life++
 	p.resumes, p.held = 0, nil
 }
 
 // End ends a life; the calls that wait are lost.
-func (p *Process) End() {
+func (p *Process) Stop() {
 	p.life++
 	p.held = nil
 }
 
 // Life is a number that changes with each start and end: what was scheduled in one life is
 // not to happen in the next.
-func (p *Process) Life() int { return p.life }
+func (p *Process) Incarnation() int { return p.life }
 
 // Paused tells whether the process is paused.
 func (p *Process) Paused() bool { return p.scheduler.Now() < p.resumes }
 
 // Resumes is when the pause is over.
-func (p *Process) Resumes() time.Duration { return p.resumes }
+func (p *Process) ResumesAt() time.Duration { return p.resumes }
 
 // Hold keeps a call for later if the process is paused, and tells whether it is.
-func (p *Process) Hold(call func()) bool {
+func (p *Process) HoldIfPaused(call func()) bool {
 	if !p.Paused() {
 		return false
 	}
--- a/internal/virtualtime/process_test.go
+++ b/internal/virtualtime/process_test.go
@@ -15,7 +15,7 @@
 
 // do does a call, or holds it.
 func (r *receiver) do(call func()) {
-	if !r.Hold(call) {
+	if !r.HoldIfPaused(call) {
 		call()
 	}
 }
@@ -31,14 +31,14 @@
 func TestPauseHoldsCalls(t *testing.T) {
 	var s Scheduler
 	r := receiver{Process: NewProcess(&s)}
-	r.Begin()
+	r.Start()
 	r.call(&s, time.Second, "before")
 	s.At(2*time.Second, func() { r.Pause(3*time.Second, r.do) })
 	r.call(&s, 3*time.Second, "first")
 	r.call(&s, 4*time.Second, "second")
 	s.At(4*time.Second, func() {
-		if !r.Paused() || r.Resumes() != 5*time.Second {
-			t.Errorf("paused %v, to resume at %v", r.Paused(), r.Resumes())
+		if !r.Paused() || r.ResumesAt() != 5*time.Second {
+			t.Errorf("paused %v, to resume at %v", r.Paused(), r.ResumesAt())
 		}
 	})
 	r.call(&s, 6*time.Second, "after")
@@ -52,7 +52,7 @@
 func TestPauseWhilePaused(t *testing.T) {
 	var s Scheduler
 	r := receiver{Process: NewProcess(&s)}
-	r.Begin()
+	r.Start()
 	s.At(time.Second, func() { r.Pause(2*time.Second, r.do) })
 	s.At(2*time.Second, func() { r.Pause(3*time.Second, r.do) })
 	r.call(&s, 2500*time.Millisecond, "call")
@@ -66,14 +66,14 @@
 func TestEndLosesHeldCalls(t *testing.T) {
 	var s Scheduler
 	r := receiver{Process: NewProcess(&s)}
-	r.Begin()
-	first := r.Life()
+	r.Start()
+	first := r.Incarnation()
 	s.At(time.Second, func() { r.Pause(10*time.Second, r.do) })
 	r.call(&s, 2*time.Second, "lost")
-	s.At(3*time.Second, r.End)
+	s.At(3*time.Second, r.Stop)
 	s.At(4*time.Second, func() {
-		if r.Begin(); r.Paused() || r.Life() == first {
-			t.Errorf("life %d after %d, paused %v", r.Life(), first, r.Paused())
+		if r.Start(); r.Paused() || r.Incarnation() == first {
+			t.Errorf("life %d after %d, paused %v", r.Incarnation(), first, r.Paused())
 		}
 	})
 	r.call(&s, 5*time.Second, "kept")
@@ -87,7 +87,7 @@
 func TestHeldCallsAreBounded(t *testing.T) {
 	var s Scheduler
 	r := receiver{Process: NewProcess(&s)}
-	r.Begin()
+	r.Start()
 	r.Pause(time.Second, r.do)
 	for i := range mostHeld + 10 {
 		r.do(func() { r.done = append(r.done, fmt.Sprint(i)) })
--- a/internal/virtualtime/recorder.go
+++ b/internal/virtualtime/recorder.go
@@ -6,7 +6,7 @@
 )
 
 // MostFaults is how many faults a Recorder keeps.
-const MostFaults = 20
+const MaxFaults = 20
 
 // Recorder notes what happens in a simulation, and keeps the faults that it shows.
 type Recorder struct {
@@ -30,7 +30,7 @@
 // Fault notes a fault, and keeps it if it is one of the first.
 func (r *Recorder) Fault(format string, args ...any) {
 	fault := fmt.Sprintf("%9.3f s: ", r.scheduler.Now().Seconds()) + fmt.Sprintf(format, args...)
-	if len(r.faults) < MostFaults {
+	if len(r.faults) < MaxFaults {
 		r.faults = append(r.faults, fault)
 	}
 	r.Note("FAULT %s", fault)
--- a/internal/virtualtime/recorder_test.go
+++ b/internal/virtualtime/recorder_test.go
@@ -28,10 +28,10 @@
 	var s Scheduler
 	r := NewRecorder(&s, nil)
 	r.Note("nobody hears")
-	for i := range MostFaults + 5 {
+	for i := range MaxFaults + 5 {
 		r.Fault("%d", i)
 	}
-	if list := r.Faults(); len(list) != MostFaults || list[0] != "    0.000 s: 0" {
+	if list := r.Faults(); len(list) != MaxFaults || list[0] != "    0.000 s: 0" {
 		t.Errorf("%d faults are kept, from %q on", len(list), list[:1])
 	}
 }
