--- a/internal/reactor/reactor.go
+++ b/internal/reactor/reactor.go
@@ -1,10 +1,10 @@
-// Package reactor is the world as the shell of an ingress sees it: connections,
-// a clock, timers and a mailbox, all on one goroutine.
+// Package reactor is the event loop of an ingress: connections, a clock, timers
+// and functions posted by other goroutines, all handled on one goroutine.
 //
-// A World gives sockets and time. A Loop stands on one and runs in rounds: what
-// has happened on connections is handed to their handlers, then mail from other
-// goroutines, then timers that are due, then the tasks of each part of the
-// program, which gather what one round has to do. Nothing that a handler calls
+// A Driver provides sockets and time. A Loop runs on a Driver in rounds: each
+// round dispatches connection events to their handlers, then runs posted
+// functions, then fires timers that are due, then runs the registered tasks,
+// which process the work collected in the round. Nothing that a handler calls
 // blocks.
 package reactor
 
@@ -16,171 +16,179 @@
 	"wickarch/internal/timewheel"
 )
 
-// Event tells what has happened on a connection since its handler was last
-// told; several may come together.
+// Event is a set of flags: what has happened on a connection since its handler
+// was last called.
 type Event uint8
 
-// The parts of an Event. Each is told once, when it comes to be so: a handler
-// reads or writes until it would have to wait.
+// The flags of an Event are edge-triggered: each is reported once, when the
+// condition begins. A handler reads or writes until ErrWouldBlock.
 const (
-	Readable     Event = 1 << iota // there is something to read
-	Writable                       // the connection is up, or takes more again
-	ReadClosed                     // the other side sends nothing more
-	Disconnected                   // the connection has ended both ways, or never came up
+	Readable     Event = 1 << iota // data or a connection is ready to be read or accepted
+	Writable                       // the connection is established, or can be written again
+	ReadClosed                     // the peer has closed its sending side
+	Disconnected                   // the connection is closed both ways, or was never established
 )
 
 var (
-	// ErrWait tells that there is nothing to read, or that no more can be
+	// ErrWouldBlock is returned if nothing can be read, or nothing more can be
 	// written, until the next event.
-	ErrWouldBlock = errors.New("would have to wait")
-	// ErrFiles tells that descriptors or memory have run out, of the process or of the whole system.
-	ErrOutOfResources = errors.New("no descriptor is left")
-	// ErrBusy tells that the system can't do it now, for no lack that the process could help.
-	ErrTemporary = errors.New("the system can't do it now")
+	ErrWouldBlock = errors.New("operation would block")
+	// ErrOutOfResources is returned if the process or the whole system has run
+	// out of descriptors or memory.
+	ErrOutOfResources = errors.New("out of descriptors or memory")
+	// ErrTemporary is returned if a call fails for a transient reason that the
+	// process can't relieve by freeing resources.
+	ErrTemporary = errors.New("temporary system failure")
 )
 
-// Handler is told what happens on one connection or listener.
+// Handler receives the events of one connection or listener.
 type Handler interface{ Ready(Event) }
 
-// Conn is one connection. Its methods belong to the loop's goroutine.
+// Conn is one connection. Its methods may only be called on the loop's goroutine.
 type Conn interface {
-	// Watch names the handler; from then on it is told, of what is so already
-	// as well. It fails with ErrFiles when the system can watch no more.
+	// Watch sets the handler and starts reporting events to it, including
+	// conditions that already hold. It fails with ErrOutOfResources when the
+	// system can't watch any more descriptors.
 	Watch(Handler) error
-	// Read reads what is there. It returns ErrWait if that is nothing, and
-	// io.EOF at the end.
+	// Read reads the available data. It returns ErrWouldBlock if there is none,
+	// and io.EOF at the end of the stream.
 	Read(b []byte) (n int, err error)
-	// Write writes as much as is taken now, and returns ErrWait with n < len(b)
-	// if that is not all.
+	// Write writes as much as the send buffer accepts now. It returns
+	// ErrWouldBlock with n < len(b) if that is not all of it.
 	Write(b []byte) (n int, err error)
-	// Pending looks whether there is something to read, an end among it,
-	// whatever events have told.
+	// Pending reports whether a Read would return data or the end of the stream.
+	// It asks the system, regardless of the events reported so far.
 	Pending() bool
-	// Waited is how long ago the last of what has come did so, read or not; 0
-	// where that can't be told.
+	// SinceLastReceive is the time since data last arrived, read or not; 0 if
+	// that is unknown.
 	SinceLastReceive() time.Duration
-	// Gone tells whether the other side has ended the connection or it has broken, read or not,
-	// and whatever events have told. Where that can't be told, it has not.
+	// Disconnected reports whether the peer has closed the connection or it has
+	// failed, even if unread data precedes that and whatever events were
+	// reported. It is false if that is unknown.
 	Disconnected() bool
-	// Unsent tells whether bytes that were written are still on their way to the
-	// other side's machine: a Close with something unread would drop them.
+	// HasUnacked reports whether the peer's machine has not acknowledged all
+	// written bytes: a Close while received data is unread would drop them.
 	HasUnacked() bool
-	// CloseWrite ends the sending alone.
+	// CloseWrite closes the sending side only.
 	CloseWrite()
-	// Close ends the connection. No event is told of it any more.
+	// Close closes the connection. No further event is reported for it.
 	Close()
 }
 
-// Listener takes connections at an address.
+// Listener accepts connections at an address.
 type Listener interface {
-	// Accept takes one connection. It returns ErrWait when none waits, ErrFiles when
-	// descriptors or memory have run out, and ErrBusy when the system gives none for another
-	// reason: if one waits, it waits on then.
+	// Accept accepts one connection. It returns ErrWouldBlock when none is
+	// pending, ErrOutOfResources when descriptors or memory have run out, and
+	// ErrTemporary when accept fails for another reason. After the latter two a
+	// pending connection stays in the queue.
 	Accept() (Conn, error)
-	// Waiting tells whether a connection waits. Without a descriptor the system's
-	// Accept fails before it looks.
+	// HasPending reports whether a connection waits to be accepted. Accept can't
+	// tell without a free descriptor: it fails before it looks at the queue.
 	HasPending() bool
-	// Address is where it listens, as "host:port".
+	// Address is the listening address, as "host:port".
 	Address() string
-	// Close ends it. Connections that wait are reset.
+	// Close closes the listener. Pending connections are reset.
 	Close()
 }
 
-// World gives connections and time. There are two: Sockets, and the simulated
-// network of the tests.
+// Driver provides connections and time. There are two implementations: Sockets,
+// and the simulated network of the tests.
 type Driver interface {
-	// Now is a monotonic clock that begins near 0.
+	// Now is a monotonic clock that starts near 0.
 	Now() time.Duration
-	// Wall is the wall clock now. It may be stepped; Now is not.
+	// WallTime is the current wall clock. It may be stepped; Now is not.
 	WallTime() time.Time
 	// Listen opens an address, "host:port"; port 0 takes a free one. On sockets,
 	// "fd:N" stands for the listening socket that the process inherited as
-	// descriptor N. Others may hold it as well: to close it ends our part alone.
+	// descriptor N. Other processes may hold that socket too: closing it here
+	// does not close it for them.
 	Listen(address string, h Handler) (Listener, error)
-	// Dial begins a connection to "IP:port". It comes up with the event
-	// Writable, or ends with Gone. ErrFiles tells that descriptors have run out, ErrBusy
-	// that the system has no port, buffer or route for it now: neither says anything of
-	// who is dialled.
+	// Dial starts to connect to "IP:port". The event Writable reports that the
+	// connection is established, Disconnected that it failed. ErrOutOfResources
+	// means that descriptors have run out, ErrTemporary that the system has no
+	// port, buffer or route for it now: neither says anything about the peer.
 	Dial(address string, h Handler) (Conn, error)
-	// Wait waits until something happens, Wake is called or the time has come
-	// (if there is one), and tells the handlers.
-	Wait(until time.Duration, any bool) error
-	// Hindered tells whether calls have failed of late that would have told what has come, or
-	// read it: it may have waited.
+	// Wait blocks until there are events, Wake is called or the deadline (if
+	// any) has passed, and calls the handlers.
+	Wait(until time.Duration, hasDeadline bool) error
+	// ReadsDelayed reports whether calls that poll for events or read data have
+	// failed recently: received data may have been waiting since then.
 	ReadsDelayed() bool
-	// Wake ends the Wait that is on, or the next one. It may be called from any
-	// goroutine; all else belongs to the loop's.
+	// Wake ends the current Wait, or the next one. It may be called from any
+	// goroutine; all other methods only from the loop's.
 	Wake()
-	// Close frees what the world itself holds.
+	// Close frees the resources of the driver itself.
 	Close()
 }
 
-// Alarm is what a timer rings for.
+// TimerHandler is called when its timer fires.
 type TimerHandler interface{ TimerFired() }
 
-// Timer is one deadline, to be embedded in what it belongs to. Its Owner must be
-// set before the first Set.
+// Timer is one deadline, to be embedded in the object that it belongs to. Its
+// Owner must be set before the first Set.
 type Timer = timewheel.Timer[TimerHandler]
 
-// Resolution is that of all timers: never early, late by at most so much and by
-// how long the round before takes.
+// Resolution is the tick of all timers. A timer never fires early, and late by at
+// most one tick plus the duration of the round before.
 const Resolution = 250 * time.Microsecond
 
-// Task is the part of a round that belongs to one part of the program.
+// Task is the work that one component of the program does in each round.
 type Task interface {
-	// Round does what has gathered, after events, mail and timers.
+	// Round processes what the events, posted functions and timers of the round
+	// have collected.
 	Round()
-	// Next tells when it has something to do though nothing happens.
-	Next() (at time.Duration, any bool)
+	// Next returns when the task has work to do even if no event occurs.
+	Next() (at time.Duration, ok bool)
 }
 
-// Loop runs one ingress on a world.
+// Loop runs one ingress on a Driver.
 type Loop struct {
 	Driver
 	wheel *timewheel.Wheel[TimerHandler]
 	tasks []Task
 	stop  bool
 
-	looked    [2]time.Duration // the two last Waits began
-	lateUntil time.Duration
+	waitStarts [2]time.Duration // when the last two Waits began, the earlier first
+	staleUntil time.Duration    // until then InputMayBeStale holds
 
-	mu   sync.Mutex
-	mail []func()
-	over bool // nothing is taken any more
-	read []func()
-	done chan struct{} // closed when Run has ended
+	mu      sync.Mutex
+	posted  []func()
+	ended   bool          // Run has returned: Post accepts nothing more
+	running []func()      // the posted functions of the current round
+	done    chan struct{} // closed when Run has returned
 }
 
-// New makes a loop.
+// New returns a loop on a driver.
 func New(w Driver) *Loop {
 	return &Loop{Driver: w, wheel: timewheel.New[TimerHandler](Resolution), done: make(chan struct{})}
 }
 
-// Add makes a task part of each round, behind those added before.
+// Add adds a task to each round. Tasks run in the order in which they were added.
 func (l *Loop) Add(t Task) { l.tasks = append(l.tasks, t) }
 
-// Set lets a timer ring at a time, in place of when it was set for.
+// Set schedules a timer, in place of an earlier schedule.
 func (l *Loop) Set(t *Timer, at time.Duration) { l.wheel.Set(t, at) }
 
-// Unset takes a timer off.
+// Unset cancels a timer.
 func (l *Loop) Unset(t *Timer) { l.wheel.Stop(t) }
 
-// Post has f run on the loop's goroutine, soon. It may be called from any, and
-// does not block. It returns false, and f never runs, once the loop has ended.
+// Post queues f to run on the loop's goroutine. It may be called from any
+// goroutine and does not block. It returns false, and f never runs, once the loop
+// has ended.
 func (l *Loop) Post(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.ended {
 		return false
 	}
-	l.mail = append(l.mail, f)
-	if len(l.mail) == 1 {
+	l.posted = append(l.posted, f)
+	if len(l.posted) == 1 {
 		l.Wake()
 	}
 	return true
 }
 
-// Do has f run on the loop's goroutine and waits for it, or for the loop's end.
+// Do runs f on the loop's goroutine and waits until it returns or the loop ends.
 func (l *Loop) Do(f func()) {
 	ran := make(chan struct{})
 	if l.Post(func() { f(); close(ran) }) {
@@ -191,18 +199,19 @@
 	}
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Stop ends Run after this round. It belongs to the loop's goroutine.
+// Stop ends Run after the current round. It may only be called on the loop's
+// goroutine.
 func (l *Loop) Stop() { l.stop = true }
 
-// Run runs rounds until Stop. It returns an error if the world fails.
+// Run runs rounds until Stop. It returns an error if the driver's Wait fails.
 func (l *Loop) Run() error {
 	defer close(l.done)
 	defer func() {
 		l.mu.Lock()
-		l.over = true
+		l.ended = true
 		l.mu.Unlock()
 	}()
 	for !l.stop {
@@ -214,45 +223,45 @@
 	return nil
 }
 
-// lateAfter is how old what is read may be before it counts as late.
-const lateAfter = 50 * time.Millisecond
+// staleAfter is the age above which input that is read counts as stale.
+const staleAfter = 50 * time.Millisecond
 
-// Late tells whether what is read now may have come long ago. What came before
-// the last Wait but one began was told by that one. Where much has gathered, it
-// is told in several.
+// InputMayBeStale reports whether data that is read now may have arrived long ago.
+// Data that arrived before the last Wait but one began was reported by that Wait.
+// A backlog is reported by several Waits, so the result stays true for staleAfter.
 func (l *Loop) InputMayBeStale() bool {
 	now := l.Now()
-	if now-l.looked[0] > lateAfter {
-		l.lateUntil = now + lateAfter
+	if now-l.waitStarts[0] > staleAfter {
+		l.staleUntil = now + staleAfter
 	}
-	return now < l.lateUntil || l.ReadsDelayed()
+	return now < l.staleUntil || l.ReadsDelayed()
 }
 
-// Round does what follows the events of one Wait.
+// Round runs posted functions, due timers and tasks, after the events of one Wait.
 func (l *Loop) Round() {
 	l.mu.Lock()
-	l.read, l.mail = l.mail, l.read[:0]
+	l.running, l.posted = l.posted, l.running[:0]
 	l.mu.Unlock()
-	for i, f := range l.read {
+	for i, f := range l.running {
 		f()
-		l.read[i] = nil
+		l.running[i] = nil
 	}
-	l.wheel.Advance(l.Now(), ring)
+	l.wheel.Advance(l.Now(), fireTimer)
 	for _, t := range l.tasks {
 		t.Round()
 	}
-	l.looked[0], l.looked[1] = l.looked[1], l.Now()
+	l.waitStarts[0], l.waitStarts[1] = l.waitStarts[1], l.Now()
 }
 
-func ring(t *Timer) { t.Owner.TimerFired() }
+func fireTimer(t *Timer) { t.Owner.TimerFired() }
 
-// Next tells when there is something to do though nothing happens.
-func (l *Loop) Next() (at time.Duration, any bool) {
-	at, any = l.wheel.Next()
+// Next returns when a timer or a task is due even if no event occurs.
+func (l *Loop) Next() (at time.Duration, found bool) {
+	at, found = l.wheel.Next()
 	for _, t := range l.tasks {
-		if due, ok := t.Next(); ok && (!any || due < at) {
-			at, any = due, true
+		if due, ok := t.Next(); ok && (!found || due < at) {
+			at, found = due, true
 		}
 	}
-	return at, any
+	return at, found
 }
--- a/internal/reactor/retry.go
+++ b/internal/reactor/retry.go
@@ -8,30 +8,30 @@
 	"wickarch/internal/timewheel"
 )
 
-// pause is how long a connection waits before its handler is told again: twice as long each time.
-type pause struct{ first, most time.Duration }
+// backoff is the range of delays before a handler is called again; each delay doubles the last one.
+type backoff struct{ initial, limit time.Duration }
 
 var (
-	// pauseShort follows a call for which the system had no means.
-	pauseShort = pause{5 * time.Millisecond, 40 * time.Millisecond}
-	// pauseBlocked follows a write behind others that are on their way still. Once those have arrived the
-	// poller tells, unless it was not for them that the write had to wait.
-	pauseBlocked = pause{40 * time.Millisecond, 160 * time.Millisecond}
+	// shortBackoff follows a call that failed for want of system resources, or was interrupted too often.
+	shortBackoff = backoff{5 * time.Millisecond, 40 * time.Millisecond}
+	// blockedBackoff follows a write that would block while earlier bytes are unacknowledged. The poller
+	// reports when those have been acknowledged, unless the write blocked for another reason.
+	blockedBackoff = backoff{40 * time.Millisecond, 160 * time.Millisecond}
 )
 
-// mostInterrupted is how often in a row a call is repeated at once that was interrupted.
-const mostInterrupted = 16
+// maxInterrupts is how many times in a row an interrupted call (EINTR) is repeated immediately.
+const maxInterrupts = 16
 
-// retry tells a connection's handler once more of what the poller may not tell again.
+// retry calls a connection's handler again for events that the edge-triggered poller may not repeat.
 type retry struct {
 	timer  timewheel.Timer[*retry]
 	socket *socket
 	events Event
-	wait   time.Duration // the last pause; they double while nothing comes of it
+	delay  time.Duration // the last delay; 0 after a successful call
 }
 
-// tellAgain has the handler told of events after a pause.
-func (k *socket) tellAgain(e Event, p pause) {
+// notifyLater schedules a call of the handler with the events after a backoff.
+func (k *socket) notifyLater(e Event, b backoff) {
 	r := k.retry
 	if r == nil {
 		r = &retry{socket: k}
@@ -42,38 +42,39 @@
 	if r.timer.Set() {
 		return
 	}
-	r.wait = min(max(p.first, 2*r.wait), p.most)
-	k.world.retries.Set(&r.timer, k.world.Now()+r.wait)
+	r.delay = min(max(b.initial, 2*r.delay), b.limit)
+	k.sockets.retries.Set(&r.timer, k.sockets.Now()+r.delay)
 }
 
-// readLater has a read that could not be done tried again later.
-func (k *socket) readLater() error {
-	k.world.hinder()
-	k.tellAgain(Readable, pauseShort)
+// retryRead schedules a retry of a read that failed for a temporary reason.
+func (k *socket) retryRead() error {
+	k.sockets.markReadsDelayed()
+	k.notifyLater(Readable, shortBackoff)
 	return ErrWouldBlock
 }
 
-// hinder notes that what has come may wait longer than events tell.
-func (s *Sockets) hinder() { s.hinderedUntil = s.Now() + hinderedFor }
+// markReadsDelayed records that received data may wait longer than the events show.
+func (s *Sockets) markReadsDelayed() { s.readsDelayedUntil = s.Now() + readsDelayedFor }
 
-// Hindered tells whether calls have failed of late.
-func (s *Sockets) ReadsDelayed() bool { return s.hinderedUntil > 0 && s.Now() < s.hinderedUntil }
+// ReadsDelayed reports whether a poll or read has failed within readsDelayedFor.
+func (s *Sockets) ReadsDelayed() bool {
+	return s.readsDelayedUntil > 0 && s.Now() < s.readsDelayedUntil
+}
 
-// hinderedFor is how long what is read may be what waited then.
-const hinderedFor = time.Second
+// readsDelayedFor is how long after a failed poll or read the data that is read counts as possibly delayed.
+const readsDelayedFor = time.Second
 
-// succeeded notes that a call of a kind has gone well: nothing is told again of it, and the next pause
-// is a short one.
+// succeeded cancels the pending retry of a successful call's event and resets the backoff.
 func (k *socket) succeeded(e Event) {
 	if k.retry != nil {
 		k.retry.events &^= e
-		k.retry.wait = 0
+		k.retry.delay = 0
 	}
 }
 
-// tellRetry tells the handler whose pause is over.
-func tellRetry(t *timewheel.Timer[*retry]) {
-	r := t.Owner
+// fireRetry calls the handler whose backoff has passed.
+func fireRetry(timer *timewheel.Timer[*retry]) {
+	r := timer.Owner
 	e := r.events
 	r.events = 0
 	if e != 0 {
--- a/internal/reactor/sockets.go
+++ b/internal/reactor/sockets.go
@@ -21,18 +21,20 @@
 )
 
 const (
-	keepIdle   = 60 // seconds of silence, then probes: a peer that vanished says nothing
-	keepEvery  = 15
-	keepProbes = 4
+	keepAliveIdle     = 60 // seconds without traffic before the first probe: a peer that has vanished sends no FIN
+	keepAliveInterval = 15 // seconds
+	keepAliveProbes   = 4
 
-	// What a client does not read stays with whoever it comes from. Left alone, the
-	// kernel takes megabytes of it for each connection.
-	unsentMost      = 128 << 10 // bytes not sent yet that the kernel takes
-	tcpNotSentLowat = 25        // TCP_NOTSENT_LOWAT, which package syscall does not have
+	// The kernel keeps at most so many unsent bytes per connection; what a slow
+	// client does not read then stays with its source. By default the kernel
+	// buffers megabytes for each connection.
+	maxUnsent       = 128 << 10
+	tcpNotSentLowat = 25 // TCP_NOTSENT_LOWAT; package syscall does not define it
 
-	multipathTCP = 262 // IPPROTO_MPTCP, likewise
+	ipprotoMPTCP = 262 // IPPROTO_MPTCP; not in package syscall
 
-	// States of TCP_INFO, likewise, in which the other side has ended or all is over.
+	// States in TCP_INFO (not in package syscall) in which the peer has closed the
+	// connection or it has ended.
 	tcpTimeWait  = 6
 	tcpClose     = 7
 	tcpCloseWait = 8
@@ -40,42 +42,42 @@
 	tcpClosing   = 11
 )
 
-// Sockets is the world of the system's sockets.
+// Sockets is the Driver on the system's sockets.
 type Sockets struct {
 	poller  *poll.Poller
-	began   time.Time
+	started time.Time
 	byFD    []*socket
 	tag     int32
 	retries *timewheel.Wheel[*retry]
 
-	hinderedUntil time.Duration
+	readsDelayedUntil time.Duration
 }
 
-// NewSockets makes a world. It fails when descriptors have run out.
+// NewSockets returns a driver. It fails when descriptors have run out.
 func NewSockets() (*Sockets, error) {
 	p, err := poll.New()
 	if err != nil {
 		return nil, err
 	}
-	return &Sockets{poller: p, began: time.Now(), retries: timewheel.New[*retry](Resolution)}, nil
+	return &Sockets{poller: p, started: time.Now(), retries: timewheel.New[*retry](Resolution)}, nil
 }
 
-// Now is the time since the world was made.
-func (s *Sockets) Now() time.Duration { return time.Since(s.began) }
+// Now is the time since the driver was created.
+func (s *Sockets) Now() time.Duration { return time.Since(s.started) }
 
-// Wall is the wall clock now.
+// WallTime is the current wall clock.
 func (s *Sockets) WallTime() time.Time { return time.Now().Round(0) } // without the monotonic reading
 
-// Wake ends the wait that is on, or the next one.
+// Wake ends the current Wait, or the next one.
 func (s *Sockets) Wake() { s.poller.Wake() }
 
-// Close ends the poller and all connections.
+// Close closes the poller, all listeners and all connections.
 func (s *Sockets) Close() {
 	for _, k := range s.byFD {
 		switch {
 		case k == nil:
 		case k.ln != nil:
-			k.ln.Close() // its descriptor belongs to package net, which would close the number once more
+			k.ln.Close() // package net owns its descriptor and would close the same number a second time
 		default:
 			k.Close()
 		}
@@ -85,47 +87,47 @@
 
 var longAgo = time.Unix(1, 0)
 
-// Wait waits for events and tells their handlers.
-func (s *Sockets) Wait(until time.Duration, any bool) error {
-	if due, some := s.retries.Next(); some && (!any || due < until) {
-		until, any = due, true
+// Wait waits for events and calls their handlers, then those whose retry is due.
+func (s *Sockets) Wait(until time.Duration, hasDeadline bool) error {
+	if due, retryPending := s.retries.Next(); retryPending && (!hasDeadline || due < until) {
+		until, hasDeadline = due, true
 	}
 	at := time.Time{}
-	if any {
-		if at = s.began.Add(until); until <= s.Now() {
+	if hasDeadline {
+		if at = s.started.Add(until); until <= s.Now() {
 			at = longAgo
 		}
 	}
 	before := s.poller.Interrupted()
-	if err := s.poller.Wait(at, s.event); err != nil {
+	if err := s.poller.Wait(at, s.dispatch); err != nil {
 		return err
 	}
 	if s.poller.Interrupted() > before {
-		s.hinder()
+		s.markReadsDelayed()
 	}
-	s.retries.Advance(s.Now(), tellRetry)
+	s.retries.Advance(s.Now(), fireRetry)
 	return nil
 }
 
-func (s *Sockets) event(fd int, tag int32, e poll.Event) {
-	// Descriptors are used again, within one round too: the tag tells an event
-	// of a connection that was closed a moment ago from one of its successor.
+func (s *Sockets) dispatch(fd int, tag int32, e poll.Event) {
+	// Descriptor numbers are reused, even within one round: the tag distinguishes
+	// an event of a closed connection from one of its successor.
 	if fd >= len(s.byFD) || s.byFD[fd] == nil || s.byFD[fd].tag != tag {
 		return
 	}
-	var what Event
-	for _, m := range [...]struct {
+	var events Event
+	for _, mapping := range [...]struct {
 		from poll.Event
 		to   Event
 	}{{poll.Readable, Readable}, {poll.Writable, Writable}, {poll.ReadClosed, ReadClosed}, {poll.Disconnected, Disconnected}} {
-		if e&m.from != 0 {
-			what |= m.to
+		if e&mapping.from != 0 {
+			events |= mapping.to
 		}
 	}
-	s.byFD[fd].handler.Ready(what)
+	s.byFD[fd].handler.Ready(events)
 }
 
-// watch registers a descriptor.
+// watch registers a socket's descriptor with the poller, under a new tag.
 func (s *Sockets) watch(k *socket) error {
 	for k.fd >= len(s.byFD) {
 		s.byFD = append(s.byFD, nil)
@@ -141,25 +143,25 @@
 	return nil
 }
 
-// socket is a connection, or the watched part of a listener.
+// socket is a connection, or the part of a listener that the poller watches.
 type socket struct {
-	world   *Sockets
+	sockets *Sockets
 	handler Handler
 	fd      int       // -1 once closed
-	ln      *listener // of which it is the watched part; nil for a connection
-	retry   *retry    // nil until a call has failed for want of means
+	ln      *listener // the listener that embeds it; nil for a connection
+	retry   *retry    // nil until a call has to be retried
 	tag     int32
 }
 
 func (k *socket) Watch(h Handler) error {
 	k.handler = h
-	return k.world.watch(k)
+	return k.sockets.watch(k)
 }
 
-// The calls below never block, so the Go scheduler need not be told of them.
+// The system calls below never block, so they are raw calls that bypass the Go scheduler.
 
 func (k *socket) Read(b []byte) (int, error) {
-	for range mostInterrupted {
+	for range maxInterrupts {
 		n, _, e := syscall.RawSyscall(syscall.SYS_READ, uintptr(k.fd), uintptr(unsafe.Pointer(unsafe.SliceData(b))), uintptr(len(b)))
 		switch transferVerdict(e) {
 		case verdictOK:
@@ -168,15 +170,15 @@
 				return 0, io.EOF
 			}
 			return int(n), nil
-		case verdictWait:
+		case verdictWouldBlock:
 			return 0, ErrWouldBlock
 		case verdictShortage:
-			return 0, k.readLater()
-		case verdictOver:
+			return 0, k.retryRead()
+		case verdictFailed:
 			return 0, e
 		}
 	}
-	return 0, k.readLater()
+	return 0, k.retryRead()
 }
 
 func (k *socket) Write(b []byte) (written int, err error) {
@@ -189,22 +191,22 @@
 			written += int(n)
 			interrupted = 0
 			k.succeeded(Writable)
-		case verdictAgain:
-			if interrupted++; interrupted == mostInterrupted {
-				k.tellAgain(Writable, pauseShort)
+		case verdictRetry:
+			if interrupted++; interrupted == maxInterrupts {
+				k.notifyLater(Writable, shortBackoff)
 				return written, ErrWouldBlock
 			}
-		case verdictWait:
+		case verdictWouldBlock:
 			if k.HasUnacked() {
-				k.tellAgain(Writable, pauseBlocked)
-			} else { // for want of memory: no room will come about of which the poller could tell
-				k.tellAgain(Writable, pauseShort)
+				k.notifyLater(Writable, blockedBackoff)
+			} else { // out of memory with an empty send queue: no space will become free that the poller could report
+				k.notifyLater(Writable, shortBackoff)
 			}
 			return written, ErrWouldBlock
 		case verdictShortage:
-			k.tellAgain(Writable, pauseShort)
+			k.notifyLater(Writable, shortBackoff)
 			return written, ErrWouldBlock
-		case verdictOver:
+		case verdictFailed:
 			return written, e
 		}
 	}
@@ -212,23 +214,23 @@
 }
 
 func (k *socket) Pending() bool {
-	var one [1]byte
-	for range mostInterrupted {
-		_, _, e := syscall.RawSyscall6(syscall.SYS_RECVFROM, uintptr(k.fd), uintptr(unsafe.Pointer(&one)), 1,
+	var buf [1]byte
+	for range maxInterrupts {
+		_, _, e := syscall.RawSyscall6(syscall.SYS_RECVFROM, uintptr(k.fd), uintptr(unsafe.Pointer(&buf)), 1,
 			syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
 		switch transferVerdict(e) {
-		case verdictAgain:
+		case verdictRetry:
 			continue
-		case verdictWait, verdictShortage: // the latter says nothing; a Read tells again
+		case verdictWouldBlock, verdictShortage: // after a shortage it is unknown; a later Read retries
 			return false
 		}
 		return true
 	}
-	return true // it can't be told: a Read will
+	return true // unknown: a Read will show
 }
 
-// Waited asks for when the last segment with data came. The system tells it in
-// milliseconds, by a clock that may be some of them behind.
+// SinceLastReceive uses the kernel's time of the last segment with data. The kernel
+// reports it in milliseconds, on a clock that may lag by some milliseconds.
 func (k *socket) SinceLastReceive() time.Duration {
 	info, ok := k.info()
 	if !ok {
@@ -237,7 +239,7 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond
 }
 
-// info asks the system what it knows of the connection.
+// info returns the connection's TCP_INFO.
 func (k *socket) info() (info syscall.TCPInfo, ok bool) {
 	size := uint32(unsafe.Sizeof(info))
 	_, _, e := syscall.RawSyscall6(syscall.SYS_GETSOCKOPT, uintptr(k.fd), syscall.IPPROTO_TCP, syscall.TCP_INFO,
@@ -245,7 +247,7 @@
 	return info, e == 0
 }
 
-// Gone asks for the state of the connection.
+// Disconnected uses the kernel's TCP state of the connection.
 func (k *socket) Disconnected() bool {
 	info, ok := k.info()
 	if !ok {
@@ -258,12 +260,12 @@
 	return false
 }
 
-// Unsent asks for the send queue: what the other side's kernel has not
-// acknowledged is in it. Where that can't be told, nothing is.
+// HasUnacked asks for the size of the send queue, which holds the bytes that the
+// peer's kernel has not acknowledged. It is false if that is unknown.
 func (k *socket) HasUnacked() bool {
 	var n int32
 	_, _, e := syscall.RawSyscall(syscall.SYS_IOCTL, uintptr(k.fd), syscall.TIOCOUTQ, uintptr(unsafe.Pointer(&n)))
-	return e == 0 && n > 1 // our own end counts as one
+	return e == 0 && n > 1 // this side's FIN counts as one byte
 }
 
 func (k *socket) CloseWrite() { _ = syscall.Shutdown(k.fd, syscall.SHUT_WR) }
@@ -274,26 +276,26 @@
 	}
 	_ = syscall.Close(k.fd)
 	if k.retry != nil {
-		k.world.retries.Stop(&k.retry.timer)
+		k.sockets.retries.Stop(&k.retry.timer)
 	}
-	if k.fd < len(k.world.byFD) && k.world.byFD[k.fd] == k {
-		k.world.byFD[k.fd] = nil
+	if k.fd < len(k.sockets.byFD) && k.sockets.byFD[k.fd] == k {
+		k.sockets.byFD[k.fd] = nil
 	}
 	k.fd = -1
 }
 
-// Dial begins a connection.
+// Dial starts a non-blocking connect.
 func (s *Sockets) Dial(address string, h Handler) (Conn, error) {
-	to, err := netip.ParseAddrPort(address)
+	target, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("dial: %w", err)
 	}
 	family := syscall.AF_INET
 	var sa syscall.Sockaddr
-	if ip := to.Addr().Unmap(); ip.Is4() {
-		sa = &syscall.SockaddrInet4{Port: int(to.Port()), Addr: ip.As4()}
+	if ip := target.Addr().Unmap(); ip.Is4() {
+		sa = &syscall.SockaddrInet4{Port: int(target.Port()), Addr: ip.As4()}
 	} else {
-		family, sa = syscall.AF_INET6, &syscall.SockaddrInet6{Port: int(to.Port()), Addr: ip.As16()}
+		family, sa = syscall.AF_INET6, &syscall.SockaddrInet6{Port: int(target.Port()), Addr: ip.As16()}
 	}
 	fd, err := syscall.Socket(family, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -302,14 +304,14 @@
 		}
 		return nil, fmt.Errorf("socket: %w", err)
 	}
-	k := &socket{world: s, handler: h, fd: fd}
+	k := &socket{sockets: s, handler: h, fd: fd}
 	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	err = syscall.Connect(fd, sa)
 	switch connectVerdict(err) {
 	case verdictShortage:
 		_ = syscall.Close(fd)
 		return nil, fmt.Errorf("dial %s: %w (%w)", address, ErrTemporary, err)
-	case verdictOver:
+	case verdictFailed:
 		_ = syscall.Close(fd)
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
@@ -320,28 +322,29 @@
 	return k, nil
 }
 
-// listener takes connections.
+// listener accepts connections on a socket of package net.
 type listener struct {
 	socket
-	ln        *net.TCPListener
-	each      bool // the connections that it takes do not inherit all options
-	inherited bool // others have it too, and share whether its calls may wait
+	ln             *net.TCPListener
+	optionsPerConn bool // accepted connections do not inherit all options (Multipath TCP)
+	inherited      bool // other processes hold the socket too, and share its O_NONBLOCK flag
 }
 
-// options are those of a client's connection. One that a plain TCP socket takes
-// inherits them, at no call for each.
-var options = [...][3]int{
+// clientOptions are the socket options of client connections. They are set on the
+// listener: connections accepted on a plain TCP socket inherit them without
+// further calls.
+var clientOptions = [...][3]int{
 	{syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1},
 	{syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1},
-	{syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, keepIdle},
-	{syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL, keepEvery},
-	{syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, keepProbes},
-	{syscall.IPPROTO_TCP, tcpNotSentLowat, unsentMost},
+	{syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, keepAliveIdle},
+	{syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL, keepAliveInterval},
+	{syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, keepAliveProbes},
+	{syscall.IPPROTO_TCP, tcpNotSentLowat, maxUnsent},
 }
 
-// setOptions sets them all, and returns the first error.
+// setOptions sets all clientOptions and returns the first error.
 func setOptions(fd int) (err error) {
-	for _, o := range options {
+	for _, o := range clientOptions {
 		if e := syscall.SetsockoptInt(fd, o[0], o[1], o[2]); err == nil {
 			err = e
 		}
@@ -349,42 +352,42 @@
 	return err
 }
 
-// Inherited is the address that stands for an inherited listening socket.
+// InheritedAddress is the Listen address of an inherited listening socket.
 func InheritedAddress(fd int) string { return inheritedPrefix + strconv.Itoa(fd) }
 
 const inheritedPrefix = "fd:"
 
-// open opens an address, or takes over a socket that was inherited.
-func open(address string) (net.Listener, error) {
+// openListener opens an address, or takes over an inherited socket.
+func openListener(address string) (net.Listener, error) {
 	number, inherited := strings.CutPrefix(address, inheritedPrefix)
 	if !inherited {
-		// Multipath TCP, the default, does not hand the options below on to the
-		// connections that it takes.
-		var plain net.ListenConfig
-		plain.SetMultipathTCP(false)
-		return plain.Listen(context.Background(), "tcp", address)
+		// Connections accepted on a Multipath TCP socket, package net's default, do
+		// not inherit the clientOptions.
+		var config net.ListenConfig
+		config.SetMultipathTCP(false)
+		return config.Listen(context.Background(), "tcp", address)
 	}
 	fd, err := strconv.Atoi(number)
 	if err != nil || fd <= 2 {
-		return nil, fmt.Errorf("listen: %q is no inherited descriptor", address)
+		return nil, fmt.Errorf("listen: %q does not name an inherited descriptor (fd:N, N > 2)", address)
 	}
 	file := os.NewFile(uintptr(fd), address)
-	defer func() { _ = file.Close() }() // the listener has a descriptor of its own
+	defer func() { _ = file.Close() }() // FileListener duplicates the descriptor
 	return net.FileListener(file)
 }
 
 // Listen opens an address.
 func (s *Sockets) Listen(address string, h Handler) (Listener, error) {
-	ln, err := open(address)
+	ln, err := openListener(address)
 	if err != nil {
 		return nil, err
 	}
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		ln.Close()
-		return nil, fmt.Errorf("listen: %s is no TCP socket", address)
+		return nil, fmt.Errorf("listen: %s is not a TCP socket", address)
 	}
-	l := &listener{socket: socket{world: s, handler: h, fd: -1}, ln: tcp, inherited: strings.HasPrefix(address, inheritedPrefix)}
+	l := &listener{socket: socket{sockets: s, handler: h, fd: -1}, ln: tcp, inherited: strings.HasPrefix(address, inheritedPrefix)}
 	l.socket.ln = l
 	raw, err := l.ln.SyscallConn()
 	if err != nil {
@@ -394,7 +397,7 @@
 	control := raw.Control(func(fd uintptr) {
 		l.fd = int(fd)
 		protocol, unknown := syscall.GetsockoptInt(l.fd, syscall.SOL_SOCKET, syscall.SO_PROTOCOL)
-		l.each = unknown == nil && protocol == multipathTCP
+		l.optionsPerConn = unknown == nil && protocol == ipprotoMPTCP
 		if err = setOptions(l.fd); err == nil {
 			err = s.watch(&l.socket)
 		}
@@ -407,20 +410,20 @@
 }
 
 func (l *listener) Accept() (Conn, error) {
-	if l.fd < 0 || l.inherited && !l.waiting() {
+	if l.fd < 0 || l.inherited && !l.prepareAccept() {
 		return nil, ErrWouldBlock
 	}
 	var err error
-	for range acceptTries {
+	for range maxAcceptTries {
 		var fd int
 		fd, _, err = syscall.Accept4(l.fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		switch acceptVerdict(err) {
 		case verdictOK:
-			if l.each {
-				_ = setOptions(fd) // those that this one does not know it need not have
+			if l.optionsPerConn {
+				_ = setOptions(fd) // best effort: an option that this protocol lacks is not required
 			}
-			return &socket{world: l.world, fd: fd}, nil
-		case verdictWait:
+			return &socket{sockets: l.sockets, fd: fd}, nil
+		case verdictWouldBlock:
 			return nil, ErrWouldBlock
 		case verdictShortage:
 			return nil, shortage("accept", err)
@@ -429,39 +432,41 @@
 	return nil, fmt.Errorf("accept: %w (%w)", ErrTemporary, err)
 }
 
-// acceptTries is how many connections in a row may turn out to be broken before others have their turn.
-const acceptTries = 64
+// maxAcceptTries is how many failed accepts in a row one Accept allows before it returns ErrTemporary, so
+// that broken connections don't hold up the loop.
+const maxAcceptTries = 64
 
 func (l *listener) HasPending() bool {
 	if l.fd < 0 {
 		return false
 	}
-	n, e := l.look()
-	return e != 0 || n > 0 // where it can't be told, the next Accept will
+	n, e := l.poll()
+	return e != 0 || n > 0 // if unknown, the next Accept will show
 }
 
-// look tells how many of this one socket have a connection to be taken.
-func (l *listener) look() (n uintptr, e syscall.Errno) {
-	look := struct { // struct pollfd
-		fd           int32
-		events, what int16
+// poll returns 1 if a connection is pending, 0 if none is, and the call's error.
+func (l *listener) poll() (n uintptr, e syscall.Errno) {
+	pollFD := struct { // struct pollfd
+		fd              int32
+		events, revents int16
 	}{fd: int32(l.fd), events: syscall.EPOLLIN} // the same bit as POLLIN
-	var at syscall.Timespec // now
+	var zero syscall.Timespec // the timeout: return immediately
 	e = syscall.EINTR
-	for tries := 0; e == syscall.EINTR && tries < mostInterrupted; tries++ {
-		n, _, e = syscall.RawSyscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&look)), 1, uintptr(unsafe.Pointer(&at)), 0, 0, 0)
+	for tries := 0; e == syscall.EINTR && tries < maxInterrupts; tries++ {
+		n, _, e = syscall.RawSyscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&pollFD)), 1, uintptr(unsafe.Pointer(&zero)), 0, 0, 0)
 	}
 	return n, e
 }
 
-// waiting tells whether a connection waits to be taken. Whoever else has an
-// inherited socket may take O_NONBLOCK off it at any time, as os/exec does when it
-// hands it to the next process; accept4 would then hold up everything until the
-// next client comes. (SO_RCVTIMEO bounds that for plain TCP alone, and Go's own
-// listeners are of Multipath TCP.) One process takes clients at a time, so what
-// waits here is there to be taken; the flag is set again for where two do.
-func (l *listener) waiting() bool {
-	if n, e := l.look(); e == 0 && n == 0 {
+// prepareAccept reports whether a connection is pending on an inherited socket, and
+// sets O_NONBLOCK. Another process that holds the socket may clear the flag at any
+// time, as os/exec does when it passes the socket on; accept4 would then block the
+// whole loop until the next client connects. (SO_RCVTIMEO limits that only for
+// plain TCP, and Go's own listeners use Multipath TCP.) One process accepts at a
+// time, so a connection that is pending here is still there for accept4; the flag
+// covers the case that two do.
+func (l *listener) prepareAccept() bool {
+	if n, e := l.poll(); e == 0 && n == 0 {
 		return false
 	}
 	_ = syscall.SetNonblock(l.fd, true)
@@ -472,8 +477,8 @@
 
 func (l *listener) Close() {
 	if l.fd >= 0 {
-		l.world.byFD[l.fd] = nil
-		l.world.poller.Remove(l.fd) // it may be open elsewhere
+		l.sockets.byFD[l.fd] = nil
+		l.sockets.poller.Remove(l.fd) // it may be open elsewhere
 		l.fd = -1
 		_ = l.ln.Close()
 	}
--- a/internal/reactor/sockets_test.go
+++ b/internal/reactor/sockets_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// patience bounds every wait of the tests; none of them passes by waiting.
-const patience = 30 * time.Second
+// testTimeout bounds every wait of the tests; no test passes by reaching it.
+const testTimeout = 30 * time.Second
 
-// option reads an option of a socket.
-func option(t *testing.T, fd, level, name int) int {
+// socketOption returns the value of a socket option.
+func socketOption(t *testing.T, fd, level, name int) int {
 	t.Helper()
 	value, err := syscall.GetsockoptInt(fd, level, name)
 	if err != nil {
@@ -23,31 +23,31 @@
 	return value
 }
 
-// quiet is told of nothing that matters.
-type quiet struct{}
+// ignoreEvents is a Handler that does nothing.
+type ignoreEvents struct{}
 
-func (quiet) Ready(Event) {}
+func (ignoreEvents) Ready(Event) {}
 
-// accepted takes one connection.
-func accepted(t *testing.T, ln Listener) *socket {
+// acceptConn accepts one connection, polling until it arrives.
+func acceptConn(t *testing.T, ln Listener) *socket {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		if nc, err := ln.Accept(); err == nil {
 			t.Cleanup(nc.Close)
 			return nc.(*socket)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("waited in vain for a connection")
+	t.Fatal("timed out waiting for a connection")
 	return nil
 }
 
-// passed is the descriptor of a listening socket as a platform hands it on.
-func passed(t *testing.T, multipath bool) (address string, fd int) {
+// inheritedSocket opens a listening socket and returns a descriptor of it, as a process manager passes it on.
+func inheritedSocket(t *testing.T, multipath bool) (address string, fd int) {
 	t.Helper()
-	var open net.ListenConfig
-	open.SetMultipathTCP(multipath)
-	ln, err := open.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	config.SetMultipathTCP(multipath)
+	ln, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,28 +63,28 @@
 	return ln.Addr().String(), fd
 }
 
-// An answer that the system holds back for its small size is lost with a reset, and
-// a client that has vanished keeps its descriptor for ever. So each connection sends
-// at once and looks for its peer, whoever has opened the socket that it came on.
-func TestConnectionsHaveTheirOptionsFromTheFirstByte(t *testing.T) {
-	for name, how := range map[string]func(t *testing.T) string{
+// Guards against an answer that Nagle's algorithm delays and a reset then drops, and
+// against a vanished client that keeps its descriptor for ever: each connection has
+// TCP_NODELAY and keepalive, whichever process opened the listening socket.
+func TestConnectionsHaveSocketOptions(t *testing.T) {
+	for name, listenAddress := range map[string]func(t *testing.T) string{
 		"own": func(*testing.T) string { return "127.0.0.1:0" },
 		"inherited": func(t *testing.T) string {
-			_, fd := passed(t, false)
+			_, fd := inheritedSocket(t, false)
 			return InheritedAddress(fd)
 		},
-		"inherited, multipath": func(t *testing.T) string { // as package net opens one
-			_, fd := passed(t, true)
+		"inherited, multipath": func(t *testing.T) string { // package net's default
+			_, fd := inheritedSocket(t, true)
 			return InheritedAddress(fd)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			world, err := NewSockets()
+			sockets, err := NewSockets()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer world.Close()
-			ln, err := world.Listen(how(t), quiet{})
+			defer sockets.Close()
+			ln, err := sockets.Listen(listenAddress(t), ignoreEvents{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -96,47 +96,48 @@
 					t.Fatal(err)
 				}
 				defer nc.Close()
-				k := accepted(t, ln)
+				k := acceptConn(t, ln)
 				for what, o := range map[string][3]int{
 					"TCP_NODELAY":       {syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1},
 					"SO_KEEPALIVE":      {syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1},
-					"TCP_KEEPIDLE":      {syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, keepIdle},
-					"TCP_KEEPINTVL":     {syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL, keepEvery},
-					"TCP_KEEPCNT":       {syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, keepProbes},
-					"TCP_NOTSENT_LOWAT": {syscall.IPPROTO_TCP, tcpNotSentLowat, unsentMost},
+					"TCP_KEEPIDLE":      {syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, keepAliveIdle},
+					"TCP_KEEPINTVL":     {syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL, keepAliveInterval},
+					"TCP_KEEPCNT":       {syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, keepAliveProbes},
+					"TCP_NOTSENT_LOWAT": {syscall.IPPROTO_TCP, tcpNotSentLowat, maxUnsent},
 				} {
-					if got := option(t, k.fd, o[0], o[1]); got != o[2] {
-						t.Errorf("%s of a connection that was taken is %d, want %d", what, got, o[2])
+					if got := socketOption(t, k.fd, o[0], o[1]); got != o[2] {
+						t.Errorf("%s of an accepted connection is %d, want %d", what, got, o[2])
 					}
 				}
 			}
 		})
 	}
-	world, err := NewSockets()
+	sockets, err := NewSockets()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer world.Close()
-	address, fd := passed(t, false)
+	defer sockets.Close()
+	address, fd := inheritedSocket(t, false)
 	defer func() { _ = syscall.Close(fd) }()
-	nc, err := world.Dial(address, quiet{})
+	nc, err := sockets.Dial(address, ignoreEvents{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := option(t, nc.(*socket).fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); got != 1 {
-		t.Errorf("TCP_NODELAY of a connection that was dialed is %d, want 1", got)
+	if got := socketOption(t, nc.(*socket).fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); got != 1 {
+		t.Errorf("TCP_NODELAY of a dialed connection is %d, want 1", got)
 	}
 }
 
-// What has come is as old as it is, read or not, and something new makes it young.
-func TestWhatHasComeTellsItsAge(t *testing.T) {
-	const tick = 10 * time.Millisecond // the system's clock for it may be so far behind
-	world, err := NewSockets()
+// SinceLastReceive grows from the arrival of data, whether it is read or not, and restarts
+// when more data arrives.
+func TestSinceLastReceive(t *testing.T) {
+	const tick = 10 * time.Millisecond // the kernel's clock may lag by so much
+	sockets, err := NewSockets()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer world.Close()
-	ln, err := world.Listen("127.0.0.1:0", quiet{})
+	defer sockets.Close()
+	ln, err := sockets.Listen("127.0.0.1:0", ignoreEvents{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,30 +146,30 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	k := accepted(t, ln)
+	k := acceptConn(t, ln)
 	for range 3 {
-		written := time.Now()
+		writtenAt := time.Now()
 		if _, err := nc.Write([]byte("something")); err != nil {
 			t.Fatal(err)
 		}
 		for !k.Pending() {
-			if time.Since(written) > patience {
-				t.Fatal("waited in vain for what was written")
+			if time.Since(writtenAt) > testTimeout {
+				t.Fatal("timed out waiting for the written data")
 			}
 		}
 		age := k.SinceLastReceive()
-		if most := time.Since(written) + tick; age > most {
-			t.Fatalf("what came within %v is %v old", most, age)
+		if maxAge := time.Since(writtenAt) + tick; age > maxAge {
+			t.Fatalf("data that arrived within the last %v is reported as %v old", maxAge, age)
 		}
-		for least := age + 3*tick; age < least; age = k.SinceLastReceive() {
-			if time.Since(written) > patience {
-				t.Fatalf("what came %v ago is %v old", patience, age)
+		for minAge := age + 3*tick; age < minAge; age = k.SinceLastReceive() {
+			if time.Since(writtenAt) > testTimeout {
+				t.Fatalf("data that arrived %v ago is reported as %v old", testTimeout, age)
 			}
 		}
 		var buf [64]byte
 		_, _ = k.Read(buf[:])
 		if again := k.SinceLastReceive(); again < age {
-			t.Fatalf("what was read is %v old, and was %v", again, age)
+			t.Fatalf("after the read the data is reported as %v old, before it as %v", again, age)
 		}
 	}
 }
--- a/internal/reactor/syserror.go
+++ b/internal/reactor/syserror.go
@@ -8,33 +8,33 @@
 	"syscall"
 )
 
-// verdict is what the error of a system call tells. An error that tells of one call, or of the
-// system at one moment, says nothing of the connection or listener that it was made on.
+// verdict classifies the error of a system call. An error that concerns a single call, or the
+// system at one moment, says nothing about the connection or listener of the call.
 type verdict uint8
 
 const (
-	verdictOK       verdict = iota
-	verdictWait             // nothing can be done now; the poller tells when
-	verdictAgain            // this one call, or what it would have given: the next may succeed at once
-	verdictShortage         // descriptors, memory, buffers or ports are short for now
-	verdictOver             // the connection, or what was to be connected to
+	verdictOK         verdict = iota
+	verdictWouldBlock         // not possible now; the poller reports when it is
+	verdictRetry              // only this call failed, or the connection that it would have returned: the next call may succeed at once
+	verdictShortage           // the system is short of descriptors, memory, buffers, ports or routes for now
+	verdictFailed             // the connection or its destination has failed
 )
 
-// acceptVerdict judges an error of accept. Errors of the network that wait on a connection are passed
-// on by it, and the next connection is another (accept(2)).
+// acceptVerdict classifies an error of accept. Linux passes pending network errors of the new
+// connection on as errors of accept; they say nothing about the next connection (accept(2)).
 func acceptVerdict(err error) verdict {
 	switch errnoOf(err) {
 	case 0:
 		return verdictOK
 	case syscall.EAGAIN:
-		return verdictWait
+		return verdictWouldBlock
 	case syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM:
 		return verdictShortage
 	}
-	return verdictAgain
+	return verdictRetry
 }
 
-// socketVerdict judges an error of socket.
+// socketVerdict classifies an error of socket.
 func socketVerdict(err error) verdict {
 	switch errnoOf(err) {
 	case 0:
@@ -42,38 +42,39 @@
 	case syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM:
 		return verdictShortage
 	}
-	return verdictOver
+	return verdictFailed
 }
 
-// connectVerdict judges what connect says at once. An interrupted one goes on by itself (connect(2)).
+// connectVerdict classifies the immediate result of a non-blocking connect. An interrupted connect
+// continues asynchronously (connect(2)).
 func connectVerdict(err error) verdict {
 	switch errnoOf(err) {
 	case 0:
 		return verdictOK
 	case syscall.EINPROGRESS, syscall.EINTR:
-		return verdictWait
+		return verdictWouldBlock
 	case syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENETUNREACH, syscall.ENETDOWN:
 		return verdictShortage
 	}
-	return verdictOver
+	return verdictFailed
 }
 
-// transferVerdict judges an error of a read or write on a connection.
+// transferVerdict classifies an error of a read or write on a connection.
 func transferVerdict(errno syscall.Errno) verdict {
 	switch errno {
 	case 0:
 		return verdictOK
 	case syscall.EAGAIN:
-		return verdictWait
+		return verdictWouldBlock
 	case syscall.EINTR:
-		return verdictAgain
+		return verdictRetry
 	case syscall.ENOBUFS, syscall.ENOMEM:
 		return verdictShortage
 	}
-	return verdictOver
+	return verdictFailed
 }
 
-// errnoOf takes the number out of an error of package syscall; 0 for nil.
+// errnoOf returns the errno that an error wraps; 0 for nil.
 func errnoOf(err error) syscall.Errno {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
@@ -82,7 +83,7 @@
 	return 0
 }
 
-// shortage is the error of a call that the system has no means for now.
+// shortage returns the error of a call that failed with verdictShortage; it wraps ErrOutOfResources.
 func shortage(call string, err error) error {
 	return fmt.Errorf("%s: %w (%w)", call, ErrOutOfResources, err)
 }
