--- a/internal/reactor/simnet/conn.go
+++ b/internal/reactor/simnet/conn.go
@@ -12,163 +12,165 @@
 
 var (
 	errReset = errors.New("simnet: connection reset")
-	errPipe  = errors.New("simnet: the connection has ended")
+	errPipe  = errors.New("simnet: write or read on a closed connection")
 )
 
-const connectAgain = time.Second // TCP asks again where a listener's queue was full
+// connectRetryInterval is the time after which a SYN that a full listen queue dropped is sent again.
+const connectRetryInterval = time.Second
 
 // conn is one end of a connection.
 type conn struct {
 	node    *Node
-	peer    *conn // nil until it is up
+	peer    *conn // nil until the connect has reached the listener
 	name    string
 	handler reactor.Handler
-	events  reactor.Event // not told yet
-	queued  bool          // is in node.ready
-
-	held     bool     // holds a descriptor
-	up       bool     // connected
-	closed   bool     // by its own program
-	mute     bool     // its machine has vanished
-	wasReset bool     // the other side, or the network, has reset it
-	in       []byte   // has come and is not read
-	ended    bool     // the other side's end has come
-	shut     bool     // this side sends nothing more
-	inFlight int      // bytes sent that the other side has not read
-	sending  []packet // on the way to the other side, in order
-	lastAt   time.Duration
-	blocked  bool // a write found the buffer full
-	accepted time.Duration
-	broken   bool          // the network has reset it
-	sentAt   time.Duration // when the first octet still unread was sent
-	cameAt   time.Duration // when the last of what has come did so
+	events  reactor.Event // not yet reported to the handler
+	queued  bool          // is in node.readyConns
+
+	holdsDescriptor bool
+	connected       bool
+	closed          bool          // by its own program
+	machineDown     bool          // its machine is powered off
+	wasReset        bool          // by the peer or the network
+	received        []byte        // arrived and not read
+	peerEnded       bool          // the peer's FIN has arrived
+	writeClosed     bool          // the FIN has been sent
+	inFlight        int           // bytes sent that the peer has not read
+	sending         []packet      // on the way to the peer, in order
+	lastArrival     time.Duration // when the last packet sent arrives
+	blocked         bool          // a write did not take all bytes
+	acceptedAt      time.Duration // 0 until accepted
+	resetByNetwork  bool
+	sentAt          time.Duration // when the first byte still unread was sent
+	receivedAt      time.Duration // when data last arrived
 }
 
-// What a stand-in may know of its connection beyond its own end, to judge by.
+// The functions below tell simulated clients and backends more about a connection
+// than a real one shows, so that they can check what the ingress does.
 
-// SentAt is when the first byte that waits to be read was sent.
+// SentAt is when the first unread byte was sent.
 func SentAt(c reactor.Conn) time.Duration { return c.(*conn).sentAt }
 
-// FarIP is the address of the machine at the other end.
+// PeerIP is the address of the machine at the other end; empty while unconnected.
 func PeerIP(c reactor.Conn) string {
-	if far := c.(*conn).peer; far != nil {
-		return far.node.IP
+	if remote := c.(*conn).peer; remote != nil {
+		return remote.node.IP
 	}
 	return ""
 }
 
-// FarClosed tells whether the program at the other end has closed it, or died.
+// PeerClosed reports whether the other end is closed or reset, or its program was killed.
 func PeerClosed(c reactor.Conn) bool {
-	far := c.(*conn).peer
-	return far != nil && (far.closed || far.wasReset)
+	remote := c.(*conn).peer
+	return remote != nil && (remote.closed || remote.wasReset)
 }
 
-// Accepted tells whether the program at the other end has taken it, and when.
-func Accepted(c reactor.Conn) (at time.Duration, yes bool) {
-	far := c.(*conn).peer
-	if far == nil || far.accepted == 0 {
+// Accepted reports whether and when the program at the other end accepted the connection.
+func Accepted(c reactor.Conn) (at time.Duration, ok bool) {
+	remote := c.(*conn).peer
+	if remote == nil || remote.acceptedAt == 0 {
 		return 0, false
 	}
-	return far.accepted, true
+	return remote.acceptedAt, true
 }
 
-// Broken tells whether the network has reset it.
-func ResetByNetwork(c reactor.Conn) bool { return c.(*conn).broken }
+// ResetByNetwork reports whether the simulated network has reset the connection.
+func ResetByNetwork(c reactor.Conn) bool { return c.(*conn).resetByNetwork }
 
-// packet is a segment, an end (no bytes) or a reset on its way.
+// packet is a data segment, a FIN or a reset in transit.
 type packet struct {
-	at    time.Duration
+	at    time.Duration // arrival
 	sent  time.Duration
 	data  []byte
-	end   bool
+	end   bool // FIN
 	reset bool
 }
 
-// hold registers a descriptor that was taken.
-func (c *conn) hold() {
-	c.held = true
+// registerDescriptor adds the connection to those that hold a descriptor of the node.
+func (c *conn) registerDescriptor() {
+	c.holdsDescriptor = true
 	c.node.conns = append(c.node.conns, c)
 }
 
-// Dial begins a connection.
+// Dial starts a connection.
 func (m *Node) Dial(address string, h reactor.Handler) (reactor.Conn, error) {
-	ip, port, err := split(address)
+	ip, port, err := splitAddress(address)
 	if err != nil {
 		return nil, err
 	}
-	if !m.file() {
+	if !m.takeDescriptor() {
 		return nil, reactor.ErrOutOfResources
 	}
 	n := m.net
 	n.conns++
 	c := &conn{node: m, handler: h, name: fmt.Sprintf("c%d %s>%s", n.conns, m.IP, address)}
-	c.hold()
-	c.knock(ip, port)
+	c.registerDescriptor()
+	c.connect(ip, port)
 	return c, nil
 }
 
-// knock asks for the connection, once its request has crossed the network.
-func (c *conn) knock(ip string, port int) {
+// connect sends a connect request over the network and handles its result.
+func (c *conn) connect(ip string, port int) {
 	n := c.node.net
-	if n.chance(n.Faults.Lose) {
+	if n.occurs(n.Faults.Lose) {
 		return
 	}
-	refused := n.chance(n.Faults.Refuse)
+	refused := n.occurs(n.Faults.Refuse)
 	n.After(n.latency(), func() {
-		if c.closed || c.mute || n.cuts[[2]string{c.node.IP, ip}] || n.cuts[[2]string{ip, c.node.IP}] {
+		if c.closed || c.machineDown || n.partitions[[2]string{c.node.IP, ip}] || n.partitions[[2]string{ip, c.node.IP}] {
 			return
 		}
-		to := n.byIP[ip]
-		if to == nil {
+		destination := n.byIP[ip]
+		if destination == nil {
 			return
 		}
-		var at *listener
-		for _, l := range to.listeners {
+		var found *listener
+		for _, l := range destination.listeners {
 			if l.port == port && !l.closed {
-				at = l
+				found = l
 			}
 		}
-		if at == nil && to.Loop == nil && to.files == 0 && !to.refuses() {
+		if found == nil && destination.Loop == nil && destination.descriptors == 0 && !destination.refuses() {
 			return
 		}
-		if at == nil || refused {
+		if found == nil || refused {
 			n.After(n.latency(), func() {
 				if !c.closed {
-					n.trace("%s is refused", c.name)
+					n.trace("%s: connection refused", c.name)
 					c.wasReset = true
-					c.tell(reactor.Disconnected)
+					c.notify(reactor.Disconnected)
 				}
 			})
 			return
 		}
-		far := &conn{node: to, peer: c, up: true, name: c.name + " far"}
-		if !at.arrive(far) {
-			n.After(connectAgain, func() {
+		remote := &conn{node: destination, peer: c, connected: true, name: c.name + " far"}
+		if !found.enqueue(remote) {
+			n.After(connectRetryInterval, func() {
 				if !c.closed {
-					c.knock(ip, port)
+					c.connect(ip, port)
 				}
 			})
 			return
 		}
-		c.peer = far
+		c.peer = remote
 		n.After(n.latency(), func() {
-			if !c.closed && !c.mute && !c.wasReset {
-				c.up = true
-				c.tell(reactor.Writable)
-				if len(c.in) > 0 {
-					c.tell(reactor.Readable)
+			if !c.closed && !c.machineDown && !c.wasReset {
+				c.connected = true
+				c.notify(reactor.Writable)
+				if len(c.received) > 0 {
+					c.notify(reactor.Readable)
 				}
 			}
 		})
 	})
 }
 
-// refuses tells that the machine is there, though nothing listens.
+// refuses reports that the machine answers a connect to a closed port with a reset.
 func (m *Node) refuses() bool { return true }
 
-// tell notes an event for the program.
-func (c *conn) tell(e reactor.Event) {
-	if c.closed || c.mute {
+// notify records events for the handler and schedules a round.
+func (c *conn) notify(e reactor.Event) {
+	if c.closed || c.machineDown {
 		return
 	}
 	c.events |= e
@@ -177,7 +179,7 @@
 	}
 	if !c.queued {
 		c.queued = true
-		c.node.ready = append(c.node.ready, c)
+		c.node.readyConns = append(c.node.readyConns, c)
 	}
 	c.node.wake(c.node.net.now)
 }
@@ -185,10 +187,10 @@
 func (c *conn) Watch(h reactor.Handler) error {
 	c.handler = h
 	c.events |= reactor.Writable
-	if len(c.in) > 0 || c.ended {
+	if len(c.received) > 0 || c.peerEnded {
 		c.events |= reactor.Readable
 	}
-	c.tell(0)
+	c.notify(0)
 	return nil
 }
 
@@ -196,23 +198,23 @@
 	switch {
 	case c.closed:
 		return 0, errPipe
-	case len(c.in) > 0 && len(b) > 0:
-		n := copy(b, c.in)
-		if c.in = c.in[n:]; len(c.in) == 0 {
-			c.in = nil
+	case len(c.received) > 0 && len(b) > 0:
+		n := copy(b, c.received)
+		if c.received = c.received[n:]; len(c.received) == 0 {
+			c.received = nil
 		}
-		c.taken(n)
+		c.freePeerBuffer(n)
 		return n, nil
 	case c.wasReset:
 		return 0, errReset
-	case c.ended:
+	case c.peerEnded:
 		return 0, io.EOF
 	}
 	return 0, reactor.ErrWouldBlock
 }
 
-// taken gives the other side room for what was read.
-func (c *conn) taken(n int) {
+// freePeerBuffer frees space in the peer's send buffer for n bytes that were read.
+func (c *conn) freePeerBuffer(n int) {
 	p := c.peer
 	if p == nil {
 		return
@@ -222,72 +224,72 @@
 		p.inFlight -= n
 		if p.blocked {
 			p.blocked = false
-			p.tell(reactor.Writable)
+			p.notify(reactor.Writable)
 		}
 	})
 }
 
-// Waited tells how long ago the last segment came, by the program's clock.
+// SinceLastReceive is the time since the last segment arrived, by the program's clock.
 func (c *conn) SinceLastReceive() time.Duration {
-	return time.Duration(float64(c.node.net.now-c.cameAt) * c.node.ClockRate)
+	return time.Duration(float64(c.node.net.now-c.receivedAt) * c.node.ClockRate)
 }
 
-// Gone tells whether the other side has ended it, or it has broken.
-func (c *conn) Disconnected() bool { return c.closed || c.ended || c.wasReset }
+// Disconnected reports whether either side has closed the connection or it was reset.
+func (c *conn) Disconnected() bool { return c.closed || c.peerEnded || c.wasReset }
 
-// Unsent tells whether something is on its way.
+// HasUnacked reports whether packets are in transit to the peer.
 func (c *conn) HasUnacked() bool { return !c.closed && len(c.sending) > 0 }
 
-func (c *conn) Pending() bool { return c.closed || len(c.in) > 0 || c.ended || c.wasReset }
+func (c *conn) Pending() bool { return c.closed || len(c.received) > 0 || c.peerEnded || c.wasReset }
 
 func (c *conn) Write(b []byte) (int, error) {
 	switch {
-	case c.closed, c.shut:
+	case c.closed, c.writeClosed:
 		return 0, errPipe
 	case c.wasReset:
 		return 0, errReset
-	case !c.up:
+	case !c.connected:
 		return 0, reactor.ErrWouldBlock
 	}
 	n := c.node.net
-	most := n.Faults.Buffer
-	if most == 0 {
-		most = usualBuffer
+	capacity := n.Faults.Buffer
+	if capacity == 0 {
+		capacity = defaultBuffer
 	}
-	room := max(0, most-c.inFlight)
-	if room > 1 && n.chance(n.Faults.ShortSend) {
+	room := max(0, capacity-c.inFlight)
+	if room > 1 && n.occurs(n.Faults.ShortSend) {
 		room = 1 + n.Rand.IntN(room)
 		room = min(room, max(1, n.Rand.IntN(len(b)+1)))
 	}
-	took := min(room, len(b))
-	rest := slices.Clone(b[:took])
+	accepted := min(room, len(b))
+	rest := slices.Clone(b[:accepted])
 	for len(rest) > 0 {
-		part := rest
-		if len(rest) > 1 && n.chance(n.Faults.Cut) {
-			part = rest[:1+n.Rand.IntN(len(rest)-1)]
+		segment := rest
+		if len(rest) > 1 && n.occurs(n.Faults.Cut) {
+			segment = rest[:1+n.Rand.IntN(len(rest)-1)]
 		}
-		rest = rest[len(part):]
-		c.send(packet{data: part})
+		rest = rest[len(segment):]
+		c.send(packet{data: segment})
 	}
-	c.inFlight += took
-	if took < len(b) {
+	c.inFlight += accepted
+	if accepted < len(b) {
 		c.blocked = true
-		if room > 0 { // cut short though there is room: it takes more again soon
+		if room > 0 { // a short write, so the buffer may not be full: it becomes writable again soon
 			n.After(n.latency(), func() {
 				if c.blocked {
 					c.blocked = false
-					c.tell(reactor.Writable)
+					c.notify(reactor.Writable)
 				}
 			})
 		}
-		return took, reactor.ErrWouldBlock
+		return accepted, reactor.ErrWouldBlock
 	}
-	return took, nil
+	return accepted, nil
 }
 
 func (c *conn) CloseWrite() {
-	if !c.shut && !c.closed && c.up {
-		c.shut = true
+	if !c.writeClosed && !c.closed && c.connected {
+		c.writeClosed = true
 		c.send(packet{end: true})
 	}
 }
@@ -296,70 +298,70 @@
 	if c.closed {
 		return
 	}
-	unread := len(c.in) > 0
+	unread := len(c.received) > 0
 	c.release()
-	if c.peer == nil || c.wasReset || c.mute {
+	if c.peer == nil || c.wasReset || c.machineDown {
 		return
 	}
-	// What has not been read turns the end into a reset, as TCP does.
+	// As in TCP, closing with unread data sends a reset instead of a FIN.
 	if unread {
 		c.send(packet{reset: true})
-	} else if !c.shut {
-		c.shut = true
+	} else if !c.writeClosed {
+		c.writeClosed = true
 		c.send(packet{end: true})
 	}
 }
 
-// release gives the descriptor back.
+// release closes this end and frees its descriptor.
 func (c *conn) release() {
 	c.closed = true
-	if c.held {
-		c.held = false
-		c.node.files--
+	if c.holdsDescriptor {
+		c.holdsDescriptor = false
+		c.node.descriptors--
 		if i := slices.Index(c.node.conns, c); i >= 0 {
 			c.node.conns = slices.Delete(c.node.conns, i, i+1)
 		}
 	}
-	c.in = nil
+	c.received = nil
 }
 
-// abort ends it as a program that dies does.
+// abort closes the connection with a reset, as the death of its program does.
 func (c *conn) abort() {
 	if c.closed {
 		return
 	}
 	c.release()
-	if c.peer != nil && !c.wasReset && !c.mute {
+	if c.peer != nil && !c.wasReset && !c.machineDown {
 		c.send(packet{reset: true})
 	}
 }
 
-// send puts something on its way. It comes behind what was sent before.
+// send puts a packet in transit. It arrives after those sent before.
 func (c *conn) send(p packet) {
 	n := c.node.net
-	if len(p.data) > 0 && n.chance(n.Faults.Reset) {
-		n.trace("%s is reset by the network", c.name)
+	if len(p.data) > 0 && n.occurs(n.Faults.Reset) {
+		n.trace("%s: reset by the network", c.name)
 		peer := c.peer
-		c.broken, peer.broken = true, true
-		n.After(n.latency(), c.breakOff)
-		n.After(n.latency(), peer.breakOff)
+		c.resetByNetwork, peer.resetByNetwork = true, true
+		n.After(n.latency(), c.markReset)
+		n.After(n.latency(), peer.markReset)
 	}
-	c.lastAt = max(c.lastAt, n.now+n.latency())
-	p.at, p.sent = c.lastAt, n.now
+	c.lastArrival = max(c.lastArrival, n.now+n.latency())
+	p.at, p.sent = c.lastArrival, n.now
 	c.sending = append(c.sending, p)
-	n.at(p.at, c.depart)
+	n.schedule(p.at, c.deliver)
 }
 
-// depart delivers what has come to the other side by now, unless the way is cut.
-func (c *conn) depart() {
+// deliver hands the packets that are due to the peer, unless a partition holds them back.
+func (c *conn) deliver() {
 	n := c.node.net
 	for len(c.sending) > 0 && c.sending[0].at <= n.now {
-		if c.mute {
+		if c.machineDown {
 			return
 		}
-		if n.cuts[[2]string{c.node.IP, c.peer.node.IP}] {
-			if !slices.Contains(n.held, c) {
-				n.held = append(n.held, c)
+		if n.partitions[[2]string{c.node.IP, c.peer.node.IP}] {
+			if !slices.Contains(n.blocked, c) {
+				n.blocked = append(n.blocked, c)
 			}
 			return
 		}
@@ -369,42 +371,42 @@
 	}
 }
 
-// breakOff ends both directions, at this end.
-func (c *conn) breakOff() {
-	if c.closed || c.mute || c.wasReset {
+// markReset resets this end: unread data is lost.
+func (c *conn) markReset() {
+	if c.closed || c.machineDown || c.wasReset {
 		return
 	}
-	c.wasReset, c.in = true, nil
-	c.tell(reactor.Disconnected | reactor.Readable | reactor.ReadClosed)
+	c.wasReset, c.received = true, nil
+	c.notify(reactor.Disconnected | reactor.Readable | reactor.ReadClosed)
 }
 
-// receive takes a packet in.
+// receive handles a packet that has arrived.
 func (c *conn) receive(p packet) {
 	n := c.node.net
 	switch {
-	case c.mute, c.wasReset:
+	case c.machineDown, c.wasReset:
 	case p.reset:
-		n.trace("%s gets a reset", c.name)
-		c.breakOff()
+		n.trace("%s: received a reset", c.name)
+		c.markReset()
 	case c.closed:
-		// Sent to a connection that has been closed: a reset goes back.
+		// Data for a closed connection is answered with a reset.
 		if !p.end && !c.peer.closed {
-			n.After(n.latency(), c.peer.breakOff)
+			n.After(n.latency(), c.peer.markReset)
 		}
 	case p.end:
-		n.note(nil)
-		n.trace("%s gets the end", c.name)
-		c.ended = true
-		c.tell(reactor.Readable | reactor.ReadClosed)
+		n.hashDelivery(nil)
+		n.trace("%s: received a FIN", c.name)
+		c.peerEnded = true
+		c.notify(reactor.Readable | reactor.ReadClosed)
 	default:
-		n.note(p.data)
-		if n.Trace != nil { // the arguments alone would cost something
-			n.trace("%s gets %q", c.name, p.data)
+		n.hashDelivery(p.data)
+		if n.Trace != nil { // boxing the arguments is a cost even without a trace
+			n.trace("%s: received %q", c.name, p.data)
 		}
-		if len(c.in) == 0 {
+		if len(c.received) == 0 {
 			c.sentAt = p.sent
 		}
-		c.in, c.cameAt = append(c.in, p.data...), n.now
-		c.tell(reactor.Readable)
+		c.received, c.receivedAt = append(c.received, p.data...), n.now
+		c.notify(reactor.Readable)
 	}
 }
--- a/internal/reactor/simnet/net.go
+++ b/internal/reactor/simnet/net.go
@@ -1,15 +1,16 @@
-// Package simnet is the reactor's second world: a network of nodes in virtual
-// time, all on one goroutine and driven by one seed. The programs that run in
-// it are the real ones; what fails in it fails far more often than in life.
+// Package simnet is a simulated reactor.Driver: a network of nodes in virtual
+// time, on one goroutine, with all randomness drawn from one seed. It runs the
+// real programs, with faults far more frequent than on a real network.
 //
-// It knows latency and jitter by link, streams cut into segments at any byte,
-// readiness told in any order, short writes and full send buffers, listen
-// queues that overflow, descriptors that run out, resets, half-open peers,
-// partitions one way and both, nodes that stand still, are killed and come back
-// under their address, clocks at other rates, and rounds that come late.
+// It simulates latency and jitter, streams split into segments at any byte,
+// events reported in any order, short writes and full send buffers, listen
+// queues that overflow, descriptors that run out, resets, half-open connections,
+// one-way and two-way partitions, nodes that are paused, killed and restarted at
+// the same address, clock drift, and rounds that run late.
 //
-// The same seed and the same calls give the same run, to the byte: nothing here
-// reads a clock, ranges over a map or depends on an address in memory.
+// Runs are deterministic: the same seed and the same calls give the same bytes at
+// the same times. Nothing here reads a clock, ranges over a map or depends on a
+// memory address.
 package simnet
 
 import (
@@ -21,63 +22,64 @@
 	"time"
 )
 
-// Faults are how often, as a chance, and how far things go wrong. The zero
-// value is a quiet network.
+// Faults sets the probabilities and magnitudes of faults. The zero value is a
+// network without faults or latency.
 type Faults struct {
-	Latency   time.Duration // one way, at least
-	Jitter    time.Duration // and up to so much more
-	Cut       float64       // a segment is cut in two at a byte, again and again
-	ShortSend float64       // a write takes a part alone, though there is room
-	Reset     float64       // a connection is reset, at each segment
-	Refuse    float64       // a connect is refused
-	Lose      float64       // a connect is never answered
-	Lag       time.Duration // a round comes late by up to so much
-	Buffer    int           // bytes that wait in each direction at most; 0: 64 KB
-	Backlog   int           // connections that wait to be accepted at most; 0: 128
+	Latency   time.Duration // minimum, one way
+	Jitter    time.Duration // maximum added to Latency
+	Cut       float64       // probability that a segment is split at a random byte; the rest may be split again
+	ShortSend float64       // probability that a write is short though the send buffer has space
+	Reset     float64       // probability per segment that the network resets the connection
+	Refuse    float64       // probability that a connect is refused
+	Lose      float64       // probability that a connect is never answered
+	Lag       time.Duration // maximum delay of a round
+	Buffer    int           // maximum unread bytes in each direction; 0: 64 KB
+	Backlog   int           // maximum connections waiting to be accepted; 0: 128
 }
 
 const (
-	usualBuffer  = 64 << 10
-	usualBacklog = 128
+	defaultBuffer  = 64 << 10
+	defaultBacklog = 128
 )
 
 // Net is one simulated network.
 type Net struct {
 	Faults Faults
 	Rand   *rand.Rand
-	// Trace, if set, is told each thing that happens, as one line.
+	// Trace, if set, is called with one line for each event.
 	Trace func(at time.Duration, line string)
 
-	now    time.Duration
-	queue  events
-	serial uint64 // of events: those of one instant happen in the order of their making
-	nodes  []*Node
-	byIP   map[string]*Node
-	conns  int // made so far; names them in the trace
-	cuts   map[[2]string]bool
-	held   []*conn // with something that a cut holds back
-	bytes  uint64  // a running hash of all that is delivered, with its times
+	now        time.Duration
+	queue      events
+	sequence   uint64 // the last event's: events of one time run in the order in which they were scheduled
+	nodes      []*Node
+	byIP       map[string]*Node
+	conns      int                // connections dialed so far; numbers them in the trace
+	partitions map[[2]string]bool // by the addresses of sender and receiver
+	blocked    []*conn            // have packets that a partition holds back
+	hash       uint64             // running FNV-1a hash of all delivered bytes and their times
 }
 
-// New makes a network from a seed.
+// New returns a network whose randomness comes from the seed.
 func New(seed uint64) *Net {
-	return &Net{Rand: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byIP: map[string]*Node{}, cuts: map[[2]string]bool{},
-		bytes: 14695981039346656037}
+	return &Net{Rand: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byIP: map[string]*Node{}, partitions: map[[2]string]bool{},
+		hash: 14695981039346656037}
 }
 
-// Now is the time of the network.
+// Now is the network's virtual time.
 func (n *Net) Now() time.Duration { return n.now }
 
-// Hash tells one run from another: it covers every byte delivered and when.
-func (n *Net) Hash() uint64 { return n.bytes }
+// Hash identifies a run: it covers every byte delivered and when.
+func (n *Net) Hash() uint64 { return n.hash }
 
-func (n *Net) note(b []byte) {
+// hashDelivery adds the current time and the bytes delivered to the hash.
+func (n *Net) hashDelivery(b []byte) {
 	const prime = 1099511628211
-	h := (n.bytes ^ uint64(n.now)) * prime
+	h := (n.hash ^ uint64(n.now)) * prime
 	for _, c := range b {
 		h = (h ^ uint64(c)) * prime
 	}
-	n.bytes = h
+	n.hash = h
 }
 
 func (n *Net) trace(format string, args ...any) {
@@ -86,26 +88,26 @@
 	}
 }
 
-// After has f run at a time from now.
-func (n *Net) After(wait time.Duration, f func()) { n.at(n.now+wait, f) }
+// After schedules f to run after a delay.
+func (n *Net) After(delay time.Duration, f func()) { n.schedule(n.now+delay, f) }
 
-func (n *Net) at(t time.Duration, f func()) {
-	n.serial++
-	heap.Push(&n.queue, event{max(t, n.now), n.serial, f})
+func (n *Net) schedule(t time.Duration, f func()) {
+	n.sequence++
+	heap.Push(&n.queue, event{max(t, n.now), n.sequence, f})
 }
 
-// Step lets the next thing happen. It returns false if there is none.
+// Step runs the next event. It returns false if there is none.
 func (n *Net) Step() bool {
 	if n.queue.Len() == 0 {
 		return false
 	}
 	e := heap.Pop(&n.queue).(event)
 	n.now = e.at
-	e.do()
+	e.run()
 	return true
 }
 
-// Until lets things happen up to a time.
+// RunUntil runs the events up to and including a time, and moves the clock there.
 func (n *Net) RunUntil(t time.Duration) {
 	for n.queue.Len() > 0 && n.queue[0].at <= t {
 		n.Step()
@@ -113,43 +115,46 @@
 	n.now = max(n.now, t)
 }
 
-// Cut stops what goes from one address to another, until Mend. What is under
-// way is held back, as TCP sends it again later.
-func (n *Net) Partition(from, to string) { n.cuts[[2]string{from, to}] = true }
+// Partition stops the packets from one address to another, until Heal. Packets in
+// transit are held back rather than lost, as TCP would retransmit them.
+func (n *Net) Partition(from, to string) { n.partitions[[2]string{from, to}] = true }
 
-// Mend lets it through again, with what was held back.
+// Heal ends a partition and delivers the packets that it held back.
 func (n *Net) Heal(from, to string) {
-	delete(n.cuts, [2]string{from, to})
-	held := n.held
-	n.held = nil
-	for _, c := range held { // in the order in which they were held back
-		c.depart()
+	delete(n.partitions, [2]string{from, to})
+	blocked := n.blocked
+	n.blocked = nil
+	for _, c := range blocked { // in the order in which they were held back
+		c.deliver()
 	}
 }
 
-func (n *Net) chance(p float64) bool { return p > 0 && n.Rand.Float64() < p }
+// occurs returns true with the given probability.
+func (n *Net) occurs(probability float64) bool {
+	return probability > 0 && n.Rand.Float64() < probability
+}
 
-// span draws a time from 0 up to a bound.
-func (n *Net) span(most time.Duration) time.Duration {
-	if most <= 0 {
+// randomDuration draws a duration from 0 up to, but not including, the limit.
+func (n *Net) randomDuration(limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
-	return time.Duration(n.Rand.Int64N(int64(most)))
+	return time.Duration(n.Rand.Int64N(int64(limit)))
 }
 
-func (n *Net) latency() time.Duration { return n.Faults.Latency + n.span(n.Faults.Jitter) }
+func (n *Net) latency() time.Duration { return n.Faults.Latency + n.randomDuration(n.Faults.Jitter) }
 
 type event struct {
-	at     time.Duration
-	serial uint64
-	do     func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
 type events []event
 
 func (q events) Len() int { return len(q) }
 func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].serial < q[j].serial
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
@@ -161,15 +166,15 @@
 	return e
 }
 
-// split takes an address apart.
-func split(address string) (ip string, port int, err error) {
-	at := strings.LastIndexByte(address, ':')
-	if at < 0 {
+// splitAddress splits "IP:port".
+func splitAddress(address string) (ip string, port int, err error) {
+	colon := strings.LastIndexByte(address, ':')
+	if colon < 0 {
 		return "", 0, fmt.Errorf("simnet: address %q has no port", address)
 	}
-	port, err = strconv.Atoi(address[at+1:])
+	port, err = strconv.Atoi(address[colon+1:])
 	if err != nil {
 		return "", 0, fmt.Errorf("simnet: address %q: %w", address, err)
 	}
-	return address[:at], port, nil
+	return address[:colon], port, nil
 }
--- a/internal/reactor/simnet/node.go
+++ b/internal/reactor/simnet/node.go
@@ -9,54 +9,54 @@
 	"wickarch/internal/reactor"
 )
 
-// Node is one machine, and the reactor's world of the program on it.
+// Node is one machine, and the reactor.Driver of the program on it.
 type Node struct {
 	IP             string
-	Loop           *reactor.Loop // of the program that runs there; nil while none does
-	ClockRate      float64       // of its clock, against the network's
-	MaxDescriptors int           // descriptors it may hold; 0: no bound
+	Loop           *reactor.Loop // of the running program; nil while none runs
+	ClockRate      float64       // of the program's clock, relative to the network's
+	MaxDescriptors int           // limit for the program; 0: none
 
-	net       *Net
-	epoch     time.Duration // when the program started, by the network
-	began     time.Time
-	listeners []*listener
-	conns     []*conn // that hold a descriptor
-	ready     []*conn
-	accepts   []*listener // told of next
-	port      int
-	files     int
-	life      int // counts starts: what was meant for one before is dropped
-	wakeAt    time.Duration
-	awake     bool // a round is due at wakeAt
-	paused    bool
-	missed    bool // a round fell due while paused
+	net            *Net
+	startedAt      time.Duration // when the program started, in network time
+	wallStart      time.Time     // the wall clock at that time
+	listeners      []*listener
+	conns          []*conn     // those that hold a descriptor
+	readyConns     []*conn     // have events to report in the next Wait
+	readyListeners []*listener // likewise
+	assignedPorts  int
+	descriptors    int           // held now
+	incarnation    int           // counts starts and ends: a round scheduled for an earlier one is dropped
+	nextRound      time.Duration // if roundScheduled
+	roundScheduled bool
+	paused         bool
+	missedRound    bool // a round was due while paused
 }
 
-// Epoch is the wall clock at the start of every network.
+// Epoch is the wall clock at time 0 of every network.
 var Epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Node adds a machine.
+// Node adds a machine, on which no program runs yet.
 func (n *Net) Node(ip string) *Node {
-	m := &Node{IP: ip, ClockRate: 1, net: n, began: Epoch}
+	m := &Node{IP: ip, ClockRate: 1, net: n, wallStart: Epoch}
 	n.nodes = append(n.nodes, m)
 	n.byIP[ip] = m
 	return m
 }
 
-// Start begins a program: setup is given its loop, which runs from then on.
+// Start starts a program: setup gets its loop, whose rounds run from then on.
 func (m *Node) Start(setup func(*reactor.Loop)) {
-	m.life++
-	m.epoch, m.began = m.net.now, Epoch.Add(m.net.now)
+	m.incarnation++
+	m.startedAt, m.wallStart = m.net.now, Epoch.Add(m.net.now)
 	m.Loop = reactor.New(m)
-	m.paused, m.missed, m.awake = false, false, false
+	m.paused, m.missedRound, m.roundScheduled = false, false, false
 	setup(m.Loop)
 	m.wake(m.net.now)
 }
 
-// Kill ends the program as SIGKILL does: its connections are reset.
+// Kill ends the program as SIGKILL does; its connections are reset.
 func (m *Node) Kill() {
 	m.net.trace("%s is killed", m.IP)
-	m.life++
+	m.incarnation++
 	m.Loop = nil
 	for _, l := range m.listeners {
 		l.closed = true
@@ -68,122 +68,122 @@
 	for _, c := range slices.Clone(m.conns) {
 		c.abort()
 	}
-	m.listeners, m.conns, m.ready, m.accepts, m.files = nil, nil, nil, nil, 0
+	m.listeners, m.conns, m.readyConns, m.readyListeners, m.descriptors = nil, nil, nil, nil, 0
 }
 
-// Vanish ends the machine without a word: its peers hear nothing any more.
+// PowerOff stops the machine: its peers receive neither data nor a reset any more.
 func (m *Node) PowerOff() {
-	m.net.trace("%s vanishes", m.IP)
-	m.life++
+	m.net.trace("%s is powered off", m.IP)
+	m.incarnation++
 	m.Loop = nil
 	for _, c := range m.conns {
-		c.mute = true
+		c.machineDown = true
 	}
-	m.listeners, m.conns, m.ready, m.accepts, m.files = nil, nil, nil, nil, 0
+	m.listeners, m.conns, m.readyConns, m.readyListeners, m.descriptors = nil, nil, nil, nil, 0
 }
 
-// Pause lets the program stand still, as SIGSTOP or a long collection does. Its
-// kernel goes on.
+// Pause suspends the program, as SIGSTOP or a long garbage collection does. Its
+// kernel keeps running.
 func (m *Node) Pause() {
-	m.net.trace("%s stands still", m.IP)
+	m.net.trace("%s is paused", m.IP)
 	m.paused = true
 }
 
-// Resume lets it run on.
+// Resume ends a pause and runs a round that was missed.
 func (m *Node) Resume() {
-	m.net.trace("%s runs on", m.IP)
-	if m.paused = false; m.missed {
-		m.missed = false
+	m.net.trace("%s resumes", m.IP)
+	if m.paused = false; m.missedRound {
+		m.missedRound = false
 		m.wake(m.net.now)
 	}
 }
 
-// Open is the number of descriptors that its program holds.
-func (m *Node) OpenDescriptors() int { return m.files }
+// OpenDescriptors is the number of descriptors that the program holds.
+func (m *Node) OpenDescriptors() int { return m.descriptors }
 
 // Now is the program's clock.
 func (m *Node) Now() time.Duration {
-	return time.Duration(float64(m.net.now-m.epoch) * m.ClockRate)
+	return time.Duration(float64(m.net.now-m.startedAt) * m.ClockRate)
 }
 
-// Hindered tells that no call fails here.
+// ReadsDelayed is always false: no poll or read fails in the simulation.
 func (m *Node) ReadsDelayed() bool { return false }
 
-// Wall is the wall clock now.
-func (m *Node) WallTime() time.Time { return m.began.Add(m.Now()) }
+// WallTime is the current wall clock.
+func (m *Node) WallTime() time.Time { return m.wallStart.Add(m.Now()) }
 
-// networkTime turns a time of the program's clock into the network's.
+// networkTime converts a time of the program's clock to network time, rounded up.
 func (m *Node) networkTime(t time.Duration) time.Duration {
-	return m.epoch + time.Duration(float64(t)/m.ClockRate) + 1
+	return m.startedAt + time.Duration(float64(t)/m.ClockRate) + 1
 }
 
-// Wake has a round come soon.
+// Wake schedules a round.
 func (m *Node) Wake() { m.wake(m.net.now) }
 
-// Close does nothing: the node goes on.
+// Close does nothing: the node stays usable.
 func (m *Node) Close() {}
 
-// wake has a round come at a time, if none comes sooner.
+// wake schedules a round at a time plus a random lag, unless one is scheduled earlier.
 func (m *Node) wake(at time.Duration) {
-	at = max(at, m.net.now) + m.net.span(m.net.Faults.Lag)
-	if m.Loop == nil || m.awake && m.wakeAt <= at {
+	at = max(at, m.net.now) + m.net.randomDuration(m.net.Faults.Lag)
+	if m.Loop == nil || m.roundScheduled && m.nextRound <= at {
 		return
 	}
-	m.awake, m.wakeAt = true, at
-	life := m.life
-	m.net.at(at, func() {
-		if m.life == life && m.awake && m.wakeAt == at {
-			m.turn()
+	m.roundScheduled, m.nextRound = true, at
+	incarnation := m.incarnation
+	m.net.schedule(at, func() {
+		if m.incarnation == incarnation && m.roundScheduled && m.nextRound == at {
+			m.runRound()
 		}
 	})
 }
 
-// turn runs one round of the program.
-func (m *Node) turn() {
-	m.awake = false
+// runRound runs one round of the program.
+func (m *Node) runRound() {
+	m.roundScheduled = false
 	if m.paused {
-		m.missed = true
+		m.missedRound = true
 		return
 	}
 	l := m.Loop
-	life := m.life
-	_ = l.Wait(0, true) // the simulated world's wait does not fail
-	if m.life != life {
+	incarnation := m.incarnation
+	_ = l.Wait(0, true) // a Node's Wait never fails
+	if m.incarnation != incarnation {
 		return
 	}
 	l.Round()
-	if m.life != life {
+	if m.incarnation != incarnation {
 		return
 	}
-	if len(m.ready) > 0 || len(m.accepts) > 0 {
+	if len(m.readyConns) > 0 || len(m.readyListeners) > 0 {
 		m.wake(m.net.now)
-	} else if at, any := l.Next(); any {
+	} else if at, ok := l.Next(); ok {
 		m.wake(m.networkTime(at))
 	}
 }
 
-// Wait tells the handlers what has happened, in any order.
+// Wait calls the handlers of listeners, then those of connections in random order.
 func (m *Node) Wait(time.Duration, bool) error {
-	life := m.life
-	accepts := m.accepts
-	m.accepts = nil
-	for _, l := range accepts {
-		l.told = false
+	incarnation := m.incarnation
+	accepting := m.readyListeners
+	m.readyListeners = nil
+	for _, l := range accepting {
+		l.inReadyList = false
 		if !l.closed {
 			l.handler.Ready(reactor.Readable)
 		}
 	}
-	ready := m.ready
-	m.ready = nil
+	ready := m.readyConns
+	m.readyConns = nil
 	m.net.Rand.Shuffle(len(ready), func(i, j int) { ready[i], ready[j] = ready[j], ready[i] })
 	for _, c := range ready {
-		if m.life != life {
+		if m.incarnation != incarnation {
 			return nil
 		}
-		what := c.events
+		pending := c.events
 		c.events, c.queued = 0, false
-		if c.handler != nil && !c.closed && what != 0 {
-			c.handler.Ready(what)
+		if c.handler != nil && !c.closed && pending != 0 {
+			c.handler.Ready(pending)
 		}
 	}
 	return nil
@@ -191,9 +191,9 @@
 
 var errInUse = errors.New("simnet: address in use")
 
-// Listen opens an address of the node.
+// Listen opens a port of the node.
 func (m *Node) Listen(address string, h reactor.Handler) (reactor.Listener, error) {
-	ip, port, err := split(address)
+	ip, port, err := splitAddress(address)
 	if err != nil {
 		return nil, err
 	}
@@ -201,15 +201,15 @@
 		return nil, fmt.Errorf("simnet: %s has no address %s", m.IP, ip)
 	}
 	if port == 0 {
-		m.port++
-		port = 40_000 + m.port
+		m.assignedPorts++
+		port = 40_000 + m.assignedPorts
 	}
 	for _, l := range m.listeners {
 		if l.port == port && !l.closed {
 			return nil, errInUse
 		}
 	}
-	if !m.file() {
+	if !m.takeDescriptor() {
 		return nil, reactor.ErrOutOfResources
 	}
 	l := &listener{node: m, port: port, handler: h}
@@ -217,36 +217,36 @@
 	return l, nil
 }
 
-// file takes a descriptor.
-func (m *Node) file() bool {
-	if m.MaxDescriptors > 0 && m.files >= m.MaxDescriptors {
+// takeDescriptor counts one more descriptor, or returns false at the limit.
+func (m *Node) takeDescriptor() bool {
+	if m.MaxDescriptors > 0 && m.descriptors >= m.MaxDescriptors {
 		return false
 	}
-	m.files++
+	m.descriptors++
 	return true
 }
 
-// listener takes the connections of one port.
+// listener accepts the connections of one port.
 type listener struct {
-	node    *Node
-	port    int
-	handler reactor.Handler
-	waiting []*conn
-	told    bool // is in node.accepts
-	closed  bool
+	node        *Node
+	port        int
+	handler     reactor.Handler
+	waiting     []*conn
+	inReadyList bool // is in node.readyListeners
+	closed      bool
 }
 
 func (l *listener) Accept() (reactor.Conn, error) {
 	if l.closed || len(l.waiting) == 0 {
 		return nil, reactor.ErrWouldBlock
 	}
-	if !l.node.file() {
+	if !l.node.takeDescriptor() {
 		return nil, reactor.ErrOutOfResources
 	}
 	c := l.waiting[0]
 	l.waiting = l.waiting[1:]
-	c.hold()
-	c.accepted = l.node.net.now
+	c.registerDescriptor()
+	c.acceptedAt = l.node.net.now
 	return c, nil
 }
 
@@ -259,7 +259,7 @@
 		return
 	}
 	l.closed = true
-	l.node.files--
+	l.node.descriptors--
 	l.node.listeners = slices.DeleteFunc(l.node.listeners, func(o *listener) bool { return o == l })
 	for _, c := range l.waiting {
 		c.abort()
@@ -267,19 +267,19 @@
 	l.waiting = nil
 }
 
-// arrive queues a connection, or drops it where the queue is full.
-func (l *listener) arrive(c *conn) bool {
-	most := l.node.net.Faults.Backlog
-	if most == 0 {
-		most = usualBacklog
+// enqueue adds a connection to the accept queue. It returns false if that is full.
+func (l *listener) enqueue(c *conn) bool {
+	backlog := l.node.net.Faults.Backlog
+	if backlog == 0 {
+		backlog = defaultBacklog
 	}
-	if len(l.waiting) >= most {
+	if len(l.waiting) >= backlog {
 		return false
 	}
 	l.waiting = append(l.waiting, c)
-	if !l.told {
-		l.told = true
-		l.node.accepts = append(l.node.accepts, l)
+	if !l.inReadyList {
+		l.inReadyList = true
+		l.node.readyListeners = append(l.node.readyListeners, l)
 	}
 	l.node.wake(l.node.net.now)
 	return true
