--- a/internal/poll/poll.go
+++ b/internal/poll/poll.go
@@ -1,15 +1,16 @@
 //go:build linux
 
-// Package poll waits for many sockets on one goroutine: a thin layer over epoll.
+// Package poll waits for events on many sockets on one goroutine: a thin layer
+// over epoll.
 //
-// It exists for connections at rest. A goroutine that waits in net.Conn.Read
-// costs its stack, its buffer and the runtime's record of the descriptor, some
-// 3 KB together; a descriptor that is registered here costs none of that.
+// It keeps idle connections cheap. A goroutine that waits in net.Conn.Read costs
+// its stack, its buffer and the runtime's record of the descriptor, about 3 KB
+// together; a descriptor that is registered here needs none of these.
 //
-// The epoll descriptor itself is registered with the Go runtime's own poller
-// (one epoll may watch another), so that Wait parks a goroutine and blocks no
-// thread: with one processor for Go, as on the platform, a thread blocked in
-// epoll_wait would have to win that back for each event.
+// The epoll descriptor itself is registered with the Go runtime's poller (one
+// epoll may watch another), so Wait parks a goroutine and blocks no thread: with
+// GOMAXPROCS=1, as on the platform, a thread blocked in epoll_wait would have to
+// reacquire the only P for each event.
 package poll
 
 import (
@@ -22,11 +23,11 @@
 	"unsafe"
 )
 
-// Event tells what a descriptor is ready for.
+// Event is a set of flags: what a descriptor is ready for.
 type Event uint32
 
-// Parts of an Event. Ended means that the other side sends nothing more, Gone
-// that the connection has ended both ways.
+// The flags of an Event. ReadClosed means that the peer has closed its sending
+// side, Disconnected that the connection is closed both ways or has failed.
 const (
 	Readable     Event = syscall.EPOLLIN
 	ReadClosed   Event = syscall.EPOLLRDHUP
@@ -35,41 +36,41 @@
 )
 
 const (
-	edge  = 1 << 31 // EPOLLET, which package syscall has as a negative number
-	batch = 256     // events taken at a time
+	edgeTriggered = 1 << 31 // EPOLLET, which package syscall defines as a negative number
+	maxEvents     = 256     // per epoll_wait
 )
 
-// Poller watches descriptors. Add and Wait belong to one goroutine; Wake may be
-// called from any.
+// Poller watches descriptors. Add and Wait must be called from one goroutine; Wake
+// may be called from any.
 type Poller struct {
 	fd     int
 	file   *os.File
 	raw    syscall.RawConn
-	events [batch]syscall.EpollEvent
+	events [maxEvents]syscall.EpollEvent
 
-	interrupted uint64 // Waits that could not poll
+	interrupted uint64 // number of Waits that could not poll
 
-	mu      sync.Mutex
-	woken   bool
-	parked  bool
-	until   time.Time // the deadline set on file
-	expired bool      // the deadline set on file is over: it was set to wake
+	mu       sync.Mutex
+	woken    bool      // Wake was called while not parked
+	parked   bool      // Wait is parked or about to park
+	deadline time.Time // the read deadline that Wait last set on file
+	expired  bool      // Wake has since set a deadline in the past
 }
 
-// New makes a poller. It fails when descriptors have run out.
+// New returns a poller. It fails when descriptors have run out.
 func New() (*Poller, error) {
 	fd, err := syscall.EpollCreate1(syscall.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	if err = syscall.SetNonblock(fd, true); err != nil { // or os.NewFile does not register it
+	if err = syscall.SetNonblock(fd, true); err != nil { // os.NewFile registers only non-blocking descriptors
 		_ = syscall.Close(fd)
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
 	file := os.NewFile(uintptr(fd), "epoll")
 	raw, err := file.SyscallConn()
 	if err == nil {
-		err = file.SetReadDeadline(time.Time{}) // fails if it is not registered
+		err = file.SetReadDeadline(time.Time{}) // fails if the runtime's poller has not registered it
 	}
 	if err != nil {
 		_ = file.Close()
@@ -78,43 +79,43 @@
 	return &Poller{fd: fd, file: file, raw: raw}, nil
 }
 
-// Add watches a descriptor, for as long as it is open. Each change to readable
-// or writable is told once: the owner reads or writes until it would block. tag
-// comes back with each event; descriptors are used again, so it should tell an
-// event of a connection that has been closed from one of its successor.
+// Add watches a descriptor until it is closed. Events are edge-triggered: the owner
+// reads or writes until the call would block. Each event returns the tag. Descriptor
+// numbers are reused, so the tag should distinguish an event of a closed connection
+// from one of its successor.
 func (p *Poller) Add(fd int, tag int32) error {
-	e := syscall.EpollEvent{Events: uint32(Readable|ReadClosed|Writable) | edge, Fd: int32(fd), Pad: tag}
+	e := syscall.EpollEvent{Events: uint32(Readable|ReadClosed|Writable) | edgeTriggered, Fd: int32(fd), Pad: tag}
 	if err := syscall.EpollCtl(p.fd, syscall.EPOLL_CTL_ADD, fd, &e); err != nil {
 		return fmt.Errorf("epoll: %w", err)
 	}
 	return nil
 }
 
-// Remove ends the watch. Closing a descriptor does so by itself, but not while
+// Remove stops watching a descriptor. Closing it does that implicitly, except while
 // another process holds the same connection or listener open.
 func (p *Poller) Remove(fd int) { _ = syscall.EpollCtl(p.fd, syscall.EPOLL_CTL_DEL, fd, nil) }
 
-// Wait waits until there are events, Wake is called, or the time is over, and
-// hands the events on. The zero time waits without an end.
-func (p *Poller) Wait(until time.Time, handle func(fd int, tag int32, e Event)) error {
+// Wait blocks until there are events, Wake is called or the deadline passes, and
+// calls handle for each event. The zero time means no deadline.
+func (p *Poller) Wait(deadline time.Time, handle func(fd int, tag int32, e Event)) error {
 	n, err := 0, error(nil)
-	if p.park(until) {
-		parked := p.raw.Read(func(uintptr) bool {
+	if p.park(deadline) {
+		readErr := p.raw.Read(func(uintptr) bool {
 			n, err = p.poll()
 			return n > 0 || err != nil
 		})
 		if errors.Is(err, errInterrupted) {
-			err = nil // timers have their turn, and the next Wait polls again before it parks
+			err = nil // lets the caller run its timers; the next Wait polls again before it parks
 			p.interrupted++
 		}
 		p.mu.Lock()
 		p.parked = false
 		p.mu.Unlock()
-		if parked != nil && !errors.Is(parked, os.ErrDeadlineExceeded) {
-			return fmt.Errorf("epoll: %w", parked)
+		if readErr != nil && !errors.Is(readErr, os.ErrDeadlineExceeded) {
+			return fmt.Errorf("epoll: %w", readErr)
 		}
 	}
-	if n == 0 && err == nil { // woken, or at the end of the time: what there is counts all the same
+	if n == 0 && err == nil { // woken or past the deadline: events may be pending all the same
 		n, err = p.poll()
 	}
 	if errors.Is(err, errInterrupted) {
@@ -130,30 +131,31 @@
 	return nil
 }
 
-// Interrupted counts the Waits that were interrupted too often to take any event.
+// Interrupted is the number of Waits that got no events because the poll was interrupted maxInterrupts times
+// in a row.
 func (p *Poller) Interrupted() uint64 { return p.interrupted }
 
-// park readies the wait, unless there is something to do already.
-func (p *Poller) park(until time.Time) bool {
+// park sets the deadline and marks the poller as parked. It returns false if Wake has been called already.
+func (p *Poller) park(deadline time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.woken {
 		p.woken = false
 		return false
 	}
-	if p.expired || !until.Equal(p.until) {
-		_ = p.file.SetReadDeadline(until)
-		p.until, p.expired = until, false
+	if p.expired || !deadline.Equal(p.deadline) {
+		_ = p.file.SetReadDeadline(deadline)
+		p.deadline, p.expired = deadline, false
 	}
 	p.parked = true
 	return true
 }
 
-// poll takes the events that there are, without waiting.
+// poll gets the pending events without blocking.
 func (p *Poller) poll() (int, error) {
-	for range mostInterrupted {
-		// A call that never blocks need not tell the Go scheduler of itself.
-		n, _, e := syscall.RawSyscall6(syscall.SYS_EPOLL_PWAIT, uintptr(p.fd), uintptr(unsafe.Pointer(&p.events[0])), batch, 0, 0, 0)
+	for range maxInterrupts {
+		// The call never blocks, so it bypasses the Go scheduler.
+		n, _, e := syscall.RawSyscall6(syscall.SYS_EPOLL_PWAIT, uintptr(p.fd), uintptr(unsafe.Pointer(&p.events[0])), maxEvents, 0, 0, 0)
 		switch e {
 		case 0:
 			return int(n), nil
@@ -165,15 +167,16 @@
 	return 0, errInterrupted
 }
 
-// errInterrupted tells that there may be events: the call was interrupted mostInterrupted times in a row.
+// errInterrupted is returned if epoll_wait was interrupted maxInterrupts times in a row: events may be pending.
 var errInterrupted = errors.New("epoll: interrupted")
 
-const mostInterrupted = 16
+// maxInterrupts is how many times in a row an interrupted epoll_wait (EINTR) is repeated.
+const maxInterrupts = 16
 
 var longAgo = time.Unix(1, 0)
 
-// Wake ends the wait that is on, or the next one. Many calls count as one. It
-// moves the runtime's deadline and enters no kernel.
+// Wake ends the current Wait, or the next one. Several calls before that count as
+// one. It only sets a deadline in the Go runtime, without a system call.
 func (p *Poller) Wake() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,5 +190,5 @@
 	p.woken = true
 }
 
-// Close ends the poller. The descriptors stay open.
+// Close closes the poller. The watched descriptors stay open.
 func (p *Poller) Close() { _ = p.file.Close() }
--- a/internal/poll/poll_test.go
+++ b/internal/poll/poll_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+// testTimeout bounds every wait of the tests; no test passes by reaching it.
+const testTimeout = 30 * time.Second
 
-func pair(t *testing.T) (near, far int) {
+func socketPair(t *testing.T) (local, remote int) {
 	t.Helper()
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -21,7 +22,7 @@
 	return fds[0], fds[1]
 }
 
-func poller(t *testing.T) *Poller {
+func newPoller(t *testing.T) *Poller {
 	t.Helper()
 	p, err := New()
 	if err != nil {
@@ -31,102 +32,103 @@
 	return p
 }
 
-// until waits for an event of which ok holds.
-func until(t *testing.T, p *Poller, ok func(fd int, tag int32, e Event) bool) {
+// waitFor waits for an event that matches.
+func waitFor(t *testing.T, p *Poller, matches func(fd int, tag int32, e Event) bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		found := false
-		if err := p.Wait(end, func(fd int, tag int32, e Event) { found = found || ok(fd, tag, e) }); err != nil {
+		if err := p.Wait(end, func(fd int, tag int32, e Event) { found = found || matches(fd, tag, e) }); err != nil {
 			t.Fatal(err)
 		}
 		if found {
 			return
 		}
 	}
-	t.Fatal("waited in vain for an event")
+	t.Fatal("timed out waiting for an event")
 }
 
-func TestEventsComeWithTheirTags(t *testing.T) {
-	p := poller(t)
-	near, far := pair(t)
-	if err := p.Add(near, 7); err != nil {
+// Each event carries its descriptor and tag, and is edge-triggered.
+func TestEventsCarryTags(t *testing.T) {
+	p := newPoller(t)
+	local, remote := socketPair(t)
+	if err := p.Add(local, 7); err != nil {
 		t.Fatal(err)
 	}
-	until(t, p, func(fd int, tag int32, e Event) bool { return fd == near && tag == 7 && e&Writable != 0 })
-	if _, err := syscall.Write(far, []byte("x")); err != nil {
+	waitFor(t, p, func(fd int, tag int32, e Event) bool { return fd == local && tag == 7 && e&Writable != 0 })
+	if _, err := syscall.Write(remote, []byte("x")); err != nil {
 		t.Error(err)
 	}
-	until(t, p, func(fd int, tag int32, e Event) bool { return fd == near && tag == 7 && e&Readable != 0 })
-	// An event that nobody reads off is told once.
-	if err := p.Wait(time.Now().Add(5*time.Millisecond), func(int, int32, Event) { t.Error("told twice") }); err != nil {
+	waitFor(t, p, func(fd int, tag int32, e Event) bool { return fd == local && tag == 7 && e&Readable != 0 })
+	// The unread byte is reported only once.
+	if err := p.Wait(time.Now().Add(5*time.Millisecond), func(int, int32, Event) { t.Error("an event was reported twice") }); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Shutdown(far, syscall.SHUT_RDWR); err != nil {
+	if err := syscall.Shutdown(remote, syscall.SHUT_RDWR); err != nil {
 		t.Error(err)
 	}
-	until(t, p, func(fd int, tag int32, e Event) bool { return e&Disconnected != 0 })
+	waitFor(t, p, func(fd int, tag int32, e Event) bool { return e&Disconnected != 0 })
 }
 
-// A byte that comes while the goroutine is on its way to park must wake it.
-func TestNoEventIsLostBetweenLookAndPark(t *testing.T) {
-	p := poller(t)
-	near, far := pair(t)
-	if err := p.Add(near, 1); err != nil {
+// Guards against a lost wake-up: a byte that arrives between the poll and the parking of the goroutine.
+func TestNoEventIsLostBetweenPollAndPark(t *testing.T) {
+	p := newPoller(t)
+	local, remote := socketPair(t)
+	if err := p.Add(local, 1); err != nil {
 		t.Fatal(err)
 	}
 	buf := make([]byte, 16)
 	echoed := make(chan struct{})
 	go func() {
 		for range 5000 {
-			if _, err := syscall.Write(far, []byte("x")); err != nil {
+			if _, err := syscall.Write(remote, []byte("x")); err != nil {
 				t.Error(err)
 			}
 			<-echoed
 		}
 	}()
 	for range 5000 {
-		until(t, p, func(fd int, _ int32, e Event) bool {
-			n, _ := syscall.Read(near, buf)
+		waitFor(t, p, func(fd int, _ int32, e Event) bool {
+			n, _ := syscall.Read(local, buf)
 			return n > 0
 		})
 		echoed <- struct{}{}
 	}
 }
 
-// Wake ends a wait from any goroutine, each time, and before the wait too.
-func TestWakeEndsAWait(t *testing.T) {
-	p := poller(t)
+// Wake from any goroutine, before or during a Wait, ends it each time.
+func TestWakeEndsWait(t *testing.T) {
+	p := newPoller(t)
 	p.Wake()
 	wait := func() {
 		start := time.Now()
-		if err := p.Wait(start.Add(patience), func(int, int32, Event) {}); err != nil {
+		if err := p.Wait(start.Add(testTimeout), func(int, int32, Event) {}); err != nil {
 			t.Fatal(err)
 		}
-		if time.Since(start) >= patience {
-			t.Fatal("the wait was not ended")
+		if time.Since(start) >= testTimeout {
+			t.Fatal("Wake did not end the Wait")
 		}
 	}
 	wait()
-	var turn sync.WaitGroup
+	var waker sync.WaitGroup
 	for n := range 2000 {
-		turn.Add(1)
+		waker.Add(1)
 		go func() {
-			defer turn.Done()
+			defer waker.Done()
 			p.Wake()
 			if n%3 == 0 {
 				p.Wake()
 			}
 		}()
 		wait()
-		turn.Wait()
-		if err := p.Wait(time.Now(), func(int, int32, Event) {}); err != nil { // take a second one off
+		waker.Wait()
+		if err := p.Wait(time.Now(), func(int, int32, Event) {}); err != nil { // consumes a second Wake
 			t.Error(err)
 		}
 	}
 }
 
-func TestWaitEndsAtItsTime(t *testing.T) {
-	p := poller(t)
+func TestWaitEndsAtDeadline(t *testing.T) {
+	p := newPoller(t)
 	for range 20 {
 		at := time.Now().Add(3 * time.Millisecond)
 		for time.Now().Before(at) {
@@ -137,7 +139,7 @@
 	}
 }
 
-func TestClosedPollerEndsTheWait(t *testing.T) {
+func TestCloseEndsWait(t *testing.T) {
 	p, err := New()
 	if err != nil {
 		t.Fatal(err)
@@ -155,9 +157,9 @@
 	select {
 	case err := <-ended:
 		if err == nil {
-			t.Error("the wait ends with no error")
+			t.Error("Wait on a closed poller returned no error")
 		}
-	case <-time.After(patience):
-		t.Fatal("the wait goes on")
+	case <-time.After(testTimeout):
+		t.Fatal("Wait did not return after Close")
 	}
 }
