--- a/internal/timewheel/wheel.go
+++ b/internal/timewheel/wheel.go
@@ -1,12 +1,12 @@
-// Package timewheel keeps any number of timers at a cost that does not depend
-// on how many there are: a hierarchical timing wheel.
+// Package timewheel is a hierarchical timing wheel: the cost of an operation on a
+// timer does not depend on the number of timers.
 //
 // Source: G. Varghese and T. Lauck, "Hashed and Hierarchical Timing Wheels",
-// SOSP 1987, scheme 7. Each level has 64 slots, each slot of one level spans
-// all of the level below. A timer lies on the level of the highest digit, in
-// base 64, in which its time differs from now; so all timers of a level are due
-// before any of the level above it, and the next one is found by one look at a
-// bit map. A timer moves down a level at most once for each level.
+// SOSP 1987, scheme 7. Each level has 64 slots, and each slot of one level spans
+// all of the level below. A timer is on the level of the highest base-64 digit in
+// which its tick differs from the current one. So all timers of a level are due
+// before any on the level above, and a bitmap per level finds the next slot. A
+// timer moves down at most once per level.
 //
 // A wheel reads no clock and runs no goroutine: the owner advances it.
 package timewheel
@@ -23,8 +23,8 @@
 	maxTicks = 1<<(slotBits*levels) - 1
 )
 
-// Timer is one deadline, to be embedded in what it belongs to. The zero Timer
-// is ready for Set. Owner is the owner's; the wheel does not touch it.
+// Timer is one deadline, to be embedded in the object that it belongs to. The zero
+// Timer is ready for Set. Owner is for the caller; the wheel does not use it.
 type Timer[T any] struct {
 	Owner T
 
@@ -35,7 +35,7 @@
 	slot       uint8
 }
 
-// Set tells whether the timer waits to fire.
+// Set reports whether the timer is scheduled.
 func (t *Timer[T]) Set() bool { return t.in != nil }
 
 type list[T any] struct{ first *Timer[T] }
@@ -43,20 +43,20 @@
 // Wheel holds timers. Use New. It is not safe for concurrent use.
 type Wheel[T any] struct {
 	tick     time.Duration
-	now      uint64 // the last tick that is over
-	occupied [levels]uint64
+	now      uint64         // the last tick reached
+	occupied [levels]uint64 // bitmaps of the slots that hold timers
 	slots    [levels][slots]list[T]
-	due      list[T] // set for a time that is over
-	late     list[T] // of these, what Advance is at
+	expired  list[T] // set for a tick that has been reached already
+	firing   list[T] // those of expired that the current Advance still has to fire
 }
 
-// New makes a wheel whose timers fire at whole multiples of a tick, the
-// resolution. The clock of its owner starts at 0.
+// New returns a wheel whose timers fire at whole multiples of a tick, its
+// resolution. The owner's clock starts at 0.
 func New[T any](tick time.Duration) *Wheel[T] { return &Wheel[T]{tick: tick} }
 
-// Set lets a timer fire at the first tick that is not before at, in place of
-// when it was set for. It never fires early, and late by less than one tick
-// and by how late Advance is called.
+// Set schedules a timer for the first tick at or after at, in place of an earlier
+// schedule. It never fires early, and late by less than one tick plus the delay
+// until Advance is called.
 func (w *Wheel[T]) Set(t *Timer[T], at time.Duration) {
 	w.Stop(t)
 	t.tick = min(uint64(max(0, at)+w.tick-1)/uint64(w.tick), maxTicks)
@@ -64,8 +64,8 @@
 }
 
 func (w *Wheel[T]) insert(t *Timer[T]) {
-	l := &w.due
-	t.level = levels // on none
+	l := &w.expired
+	t.level = levels // not in a slot
 	if t.tick > w.now {
 		level := (bits.Len64(w.now^t.tick) - 1) / slotBits
 		slot := t.tick >> (level * slotBits) & (slots - 1)
@@ -80,7 +80,7 @@
 	l.first = t
 }
 
-// Stop takes a timer off. It does nothing to one that is not set.
+// Stop cancels a timer. It does nothing if the timer is not set.
 func (w *Wheel[T]) Stop(t *Timer[T]) {
 	if t.in == nil {
 		return
@@ -99,47 +99,47 @@
 	t.in, t.prev, t.next = nil, nil, nil
 }
 
-// Next tells when Advance has something to do: no timer fires before. It may be
-// earlier than the first timer, when that lies so far off that its place is not
-// settled yet. There is nothing to wait for where any is false.
-func (w *Wheel[T]) Next() (at time.Duration, any bool) {
-	if w.due.first != nil {
+// Next returns the time of the next Advance that has work; no timer fires before
+// it. It may be earlier than the first timer, which has to move down first if it is
+// on a higher level. ok is false if no timer is set.
+func (w *Wheel[T]) Next() (at time.Duration, ok bool) {
+	if w.expired.first != nil {
 		return time.Duration(w.now) * w.tick, true
 	}
-	tick, _, _, any := w.nextSlot()
-	return time.Duration(tick) * w.tick, any
+	tick, _, _, ok := w.nextSlot()
+	return time.Duration(tick) * w.tick, ok
 }
 
-// nextSlot finds the first slot that holds timers, and the tick at which it begins.
-func (w *Wheel[T]) nextSlot() (tick uint64, level, slot int, any bool) {
+// nextSlot returns the first slot that holds timers, and the tick at which it begins.
+func (w *Wheel[T]) nextSlot() (tick uint64, level, slot int, ok bool) {
 	for level, occupied := range w.occupied {
 		if occupied == 0 {
 			continue
 		}
 		slot := bits.TrailingZeros64(occupied)
 		shift := level * slotBits
-		above := w.now >> (shift + slotBits) << (shift + slotBits)
-		return above | uint64(slot)<<shift, level, slot, true
+		base := w.now >> (shift + slotBits) << (shift + slotBits)
+		return base | uint64(slot)<<shift, level, slot, true
 	}
 	return 0, 0, 0, false
 }
 
-// Advance fires all timers that are due at now, in order of their ticks. A
-// timer that fires is not set any more, and fire may set and stop any timer;
-// one that it sets for a time that is over fires at the next Advance.
+// Advance fires all timers that are due at now, in the order of their ticks. A
+// timer is no longer set when it fires. fire may set and stop any timer; one that
+// it sets for a time already reached fires in the next Advance.
 func (w *Wheel[T]) Advance(now time.Duration, fire func(*Timer[T])) {
-	to := max(w.now, uint64(max(0, now)/w.tick))
-	// Those set for the past fire first. The list is taken off, so that what
-	// they set for the past in turn does not hold up the wheel for ever.
-	for t := w.due.first; t != nil; t = t.next {
-		t.in = &w.late
+	target := max(w.now, uint64(max(0, now)/w.tick))
+	// Timers set for the past fire first. They are moved to a list of their own, so
+	// that a timer that sets itself for the past again does not loop for ever.
+	for t := w.expired.first; t != nil; t = t.next {
+		t.in = &w.firing
 	}
-	w.late, w.due.first = w.due, nil
-	w.drain(&w.late, fire)
+	w.firing, w.expired.first = w.expired, nil
+	w.fireAll(&w.firing, fire)
 	for {
-		tick, level, slot, any := w.nextSlot()
-		if !any || tick > to {
-			w.now = to
+		tick, level, slot, ok := w.nextSlot()
+		if !ok || tick > target {
+			w.now = target
 			return
 		}
 		w.now = tick
@@ -156,11 +156,12 @@
 			}
 			continue
 		}
-		w.drain(l, fire)
+		w.fireAll(l, fire)
 	}
 }
 
-func (w *Wheel[T]) drain(l *list[T], fire func(*Timer[T])) {
+// fireAll fires the timers of a list until it is empty.
+func (w *Wheel[T]) fireAll(l *list[T], fire func(*Timer[T])) {
 	for l.first != nil {
 		t := l.first
 		w.Stop(t)
--- a/internal/timewheel/wheel_test.go
+++ b/internal/timewheel/wheel_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// Against a plain list: each timer fires once, at its tick, in order, and Next
-// never lies beyond the first.
+// Compares the wheel with a map of deadlines: each timer fires once, at its tick and
+// in order, and Next is never later than the first timer.
 func TestTimersFireAtTheirTicks(t *testing.T) {
 	const tick = time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		w := New[int](tick)
 		now := time.Duration(0)
 		timers := make([]Timer[int], 12)
-		due := map[int]time.Duration{} // the model: when each is to fire
+		due := map[int]time.Duration{} // the model: when each timer should fire
 		spans := rapid.SampledFrom([]time.Duration{0, 1, tick, 10 * tick, 64 * tick, 65 * tick, 5000 * tick, 300_000 * tick, 90 * time.Hour})
 		set := func(t *rapid.T, i int) {
 			at := now + spans.Draw(t, "for") + time.Duration(rapid.Int64Range(0, int64(3*tick)).Draw(t, "and"))
@@ -41,13 +41,13 @@
 				w.Advance(now, func(tm *Timer[int]) {
 					at, ok := due[tm.Owner]
 					if !ok || at > now {
-						t.Fatalf("timer %d fires at %v, wanted %v, %v", tm.Owner, now, at, ok)
+						t.Fatalf("timer %d fires at %v, want %v (set: %v)", tm.Owner, now, at, ok)
 					}
 					if tm.Set() {
-						t.Fatal("a timer that fires is set")
+						t.Fatal("a timer is still set while it fires")
 					}
 					if ticks := (at + tick - 1) / tick; at > before && ticks < (last+tick-1)/tick {
-						t.Fatalf("one for %v fires behind one for %v", at, last)
+						t.Fatalf("a timer for %v fires after one for %v", at, last)
 					}
 					last = max(last, at)
 					delete(due, tm.Owner)
@@ -57,21 +57,21 @@
 				})
 				for i, at := range due {
 					if i != again && at <= now-tick {
-						t.Fatalf("timer %d for %v has not fired at %v", i, at, now)
+						t.Fatalf("timer %d, due at %v, has not fired at %v", i, at, now)
 					}
 				}
 			},
 			"": func(t *rapid.T) {
-				at, any := w.Next()
-				if any != (len(due) > 0) {
-					t.Fatalf("next %v, %v with %d timers", at, any, len(due))
+				at, found := w.Next()
+				if found != (len(due) > 0) {
+					t.Fatalf("Next returns %v, %v with %d timers set", at, found, len(due))
 				}
 				for i, want := range due {
 					if timers[i].Set() == false {
 						t.Fatalf("timer %d is not set", i)
 					}
 					if want > now && at >= want+tick {
-						t.Fatalf("next is at %v, timer %d at %v", at, i, want)
+						t.Fatalf("Next returns %v, but timer %d is due at %v", at, i, want)
 					}
 				}
 			},
@@ -79,8 +79,8 @@
 	})
 }
 
-// A timer that sets itself for a time that is over must not hold up Advance.
-func TestTimerSetForThePastFiresAtTheNextAdvance(t *testing.T) {
+// Guards against an endless loop in Advance when a timer sets itself for a past time.
+func TestTimerSetForThePastFiresInNextAdvance(t *testing.T) {
 	w := New[int](time.Millisecond)
 	var tm Timer[int]
 	w.Set(&tm, 0)
@@ -92,12 +92,12 @@
 		})
 	}
 	if fired != 3 {
-		t.Errorf("fired %d times in 3 rounds", fired)
+		t.Errorf("fired %d times in 3 calls of Advance, want 3", fired)
 	}
 }
 
-// A timer stopped by another that fires in the same tick does not fire.
-func TestStoppedInItsOwnTick(t *testing.T) {
+// A timer that is stopped by another one firing in the same tick does not fire.
+func TestStopInSameTick(t *testing.T) {
 	w := New[int](time.Millisecond)
 	timers := [2]Timer[int]{}
 	fired := 0
@@ -113,7 +113,7 @@
 		})
 	}
 	if fired != 3 {
-		t.Errorf("%d fired, want one of each two", fired)
+		t.Errorf("%d timers fired, want 3, one of each pair", fired)
 	}
 }
 
--- a/internal/virtualtime/process.go
+++ b/internal/virtualtime/process.go
@@ -2,61 +2,62 @@
 
 import "time"
 
-// mostHeld bounds how many calls wait for a paused process; what comes beyond is lost.
-const mostHeld = 5000
+// maxHeld is the maximum number of calls held for a paused process; further calls are lost.
+const maxHeld = 5000
 
-// Process is a simulated process that starts, ends and can be paused. Calls that reach it
-// while it is paused wait until the pause is over.
+// Process is a simulated process that can be started, stopped and paused. Calls that reach
+// it while it is paused are held until the pause is over.
 type Process struct {
-	scheduler *Scheduler
-	life      int
-	resumes   time.Duration // paused until then
-	held      []func()      // calls that came since
+	scheduler   *Scheduler
+	incarnation int
+	resumesAt   time.Duration // paused until then
+	held        []func()      // calls that arrived during the pause
 }
 
-// NewProcess makes a process that has not started.
+// NewProcess returns a process that has not started.
 func NewProcess(s *Scheduler) Process { return Process{scheduler: s} }
 
-// Begin starts a new life of the process, not paused and with no calls waiting.
+// Start starts a new incarnation of the process, not paused and without held calls.
 func (p *Process) Start() {
-	p.life++
-	p.resumes, p.held = 0, nil
+	p.incarnation++
+	p.resumesAt, p.held = 0, nil
 }
 
-// End ends a life; the calls that wait are lost.
+// Stop ends an incarnation; its held calls are lost.
 func (p *Process) Stop() {
-	p.life++
+	p.incarnation++
 	p.held = nil
 }
 
-// Life is a number that changes with each start and end: what was scheduled in one life is
-// not to happen in the next.
-func (p *Process) Incarnation() int { return p.life }
+// Incarnation is a number that changes with each start and stop. Callers compare it to drop
+// events that an earlier incarnation scheduled.
+func (p *Process) Incarnation() int { return p.incarnation }
 
-// Paused tells whether the process is paused.
-func (p *Process) Paused() bool { return p.scheduler.Now() < p.resumes }
+// Paused reports whether the process is paused.
+func (p *Process) Paused() bool { return p.scheduler.Now() < p.resumesAt }
 
-// Resumes is when the pause is over.
-func (p *Process) ResumesAt() time.Duration { return p.resumes }
+// ResumesAt is when the pause is over.
+func (p *Process) ResumesAt() time.Duration { return p.resumesAt }
 
-// Hold keeps a call for later if the process is paused, and tells whether it is.
+// HoldIfPaused holds a call until the end of the pause if the process is paused, and
+// reports whether it is.
 func (p *Process) HoldIfPaused(call func()) bool {
 	if !p.Paused() {
 		return false
 	}
-	if len(p.held) < mostHeld {
+	if len(p.held) < maxHeld {
 		p.held = append(p.held, call)
 	}
 	return true
 }
 
-// Pause pauses the process for so long, from now. Then do is called with each call that was
-// held, in their order, unless the process has ended.
-func (p *Process) Pause(d time.Duration, do func(call func())) {
-	p.resumes = p.scheduler.Now() + d
-	life := p.life
-	p.scheduler.At(p.resumes, func() {
-		if p.life != life {
+// Pause pauses the process for a duration from now. Then do is called with each held call,
+// in order of arrival, unless the process has been stopped.
+func (p *Process) Pause(duration time.Duration, do func(call func())) {
+	p.resumesAt = p.scheduler.Now() + duration
+	incarnation := p.incarnation
+	p.scheduler.At(p.resumesAt, func() {
+		if p.incarnation != incarnation {
 			return
 		}
 		held := p.held
--- a/internal/virtualtime/process_test.go
+++ b/internal/virtualtime/process_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// receiver is a process that notes the calls that it does.
+// receiver is a process that records the calls that it runs.
 type receiver struct {
 	Process
 	done []string
 }
 
-// do does a call, or holds it.
+// do runs a call, or holds it while paused.
 func (r *receiver) do(call func()) {
 	if !r.HoldIfPaused(call) {
 		call()
 	}
 }
 
-// call sends the process a call at a time.
+// call schedules a call to the process.
 func (r *receiver) call(s *Scheduler, at time.Duration, name string) {
 	s.At(at, func() {
 		r.do(func() { r.done = append(r.done, fmt.Sprint(name, " ", s.Now())) })
 	})
 }
 
-// Calls during a pause happen at its end, in their order; others at once.
+// Calls during a pause run at its end, in order of arrival; others run immediately.
 func TestPauseHoldsCalls(t *testing.T) {
 	var s Scheduler
 	r := receiver{Process: NewProcess(&s)}
@@ -44,11 +44,11 @@
 	r.call(&s, 6*time.Second, "after")
 	play(&s, time.Minute)
 	if want := []string{"before 1s", "first 5s", "second 5s", "after 6s"}; !slices.Equal(r.done, want) {
-		t.Errorf("calls happen as %q, want %q", r.done, want)
+		t.Errorf("calls run as %q, want %q", r.done, want)
 	}
 }
 
-// A second pause before the end of the first holds what was held, until its own end.
+// A second pause that starts during the first keeps holding the calls until its own end.
 func TestPauseWhilePaused(t *testing.T) {
 	var s Scheduler
 	r := receiver{Process: NewProcess(&s)}
@@ -58,12 +58,12 @@
 	r.call(&s, 2500*time.Millisecond, "call")
 	play(&s, time.Minute)
 	if want := []string{"call 5s"}; !slices.Equal(r.done, want) {
-		t.Errorf("calls happen as %q, want %q", r.done, want)
+		t.Errorf("calls run as %q, want %q", r.done, want)
 	}
 }
 
-// What is held is lost when the process ends, and a new life is not paused.
-func TestEndLosesHeldCalls(t *testing.T) {
+// Held calls are lost when the process stops, and the next incarnation is not paused.
+func TestStopLosesHeldCalls(t *testing.T) {
 	var s Scheduler
 	r := receiver{Process: NewProcess(&s)}
 	r.Start()
@@ -73,27 +73,27 @@
 	s.At(3*time.Second, r.Stop)
 	s.At(4*time.Second, func() {
 		if r.Start(); r.Paused() || r.Incarnation() == first {
-			t.Errorf("life %d after %d, paused %v", r.Incarnation(), first, r.Paused())
+			t.Errorf("incarnation %d after %d, paused %v; want a new one, not paused", r.Incarnation(), first, r.Paused())
 		}
 	})
 	r.call(&s, 5*time.Second, "kept")
 	play(&s, time.Minute)
 	if want := []string{"kept 5s"}; !slices.Equal(r.done, want) {
-		t.Errorf("calls happen as %q, want %q", r.done, want)
+		t.Errorf("calls run as %q, want %q", r.done, want)
 	}
 }
 
-// No more calls wait than the bound.
+// A paused process holds at most maxHeld calls, the first ones.
 func TestHeldCallsAreBounded(t *testing.T) {
 	var s Scheduler
 	r := receiver{Process: NewProcess(&s)}
 	r.Start()
 	r.Pause(time.Second, r.do)
-	for i := range mostHeld + 10 {
+	for i := range maxHeld + 10 {
 		r.do(func() { r.done = append(r.done, fmt.Sprint(i)) })
 	}
 	play(&s, time.Minute)
-	if len(r.done) != mostHeld || r.done[mostHeld-1] != fmt.Sprint(mostHeld-1) {
-		t.Errorf("%d calls happen, want the first %d", len(r.done), mostHeld)
+	if len(r.done) != maxHeld || r.done[maxHeld-1] != fmt.Sprint(maxHeld-1) {
+		t.Errorf("%d calls run, want the first %d", len(r.done), maxHeld)
 	}
 }
--- a/internal/virtualtime/recorder.go
+++ b/internal/virtualtime/recorder.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// MostFaults is how many faults a Recorder keeps.
+// MaxFaults is the maximum number of faults that a Recorder keeps.
 const MaxFaults = 20
 
-// Recorder notes what happens in a simulation, and keeps the faults that it shows.
+// Recorder reports the events of a simulation and keeps the first faults that it finds.
 type Recorder struct {
 	scheduler *Scheduler
-	tell      func(time.Duration, string)
+	report    func(time.Duration, string)
 	faults    []string
 }
 
-// NewRecorder makes a recorder that hands each note to tell, with its time; nil for none.
-func NewRecorder(s *Scheduler, tell func(time.Duration, string)) Recorder {
-	return Recorder{scheduler: s, tell: tell}
+// NewRecorder returns a recorder that passes each note and its time to report, which may
+// be nil.
+func NewRecorder(s *Scheduler, report func(time.Duration, string)) Recorder {
+	return Recorder{scheduler: s, report: report}
 }
 
-// Note notes something that happens.
+// Note reports an event.
 func (r *Recorder) Note(format string, args ...any) {
-	if r.tell != nil {
-		r.tell(r.scheduler.Now(), fmt.Sprintf(format, args...))
+	if r.report != nil {
+		r.report(r.scheduler.Now(), fmt.Sprintf(format, args...))
 	}
 }
 
-// Fault notes a fault, and keeps it if it is one of the first.
+// Fault reports a fault, and keeps it if it is one of the first MaxFaults.
 func (r *Recorder) Fault(format string, args ...any) {
 	fault := fmt.Sprintf("%9.3f s: ", r.scheduler.Now().Seconds()) + fmt.Sprintf(format, args...)
 	if len(r.faults) < MaxFaults {
@@ -36,5 +37,5 @@
 	r.Note("FAULT %s", fault)
 }
 
-// Faults are the first faults, each behind its time.
+// Faults returns the first faults, each prefixed with its time.
 func (r *Recorder) Faults() []string { return r.faults }
--- a/internal/virtualtime/virtualtime.go
+++ b/internal/virtualtime/virtualtime.go
@@ -1,6 +1,6 @@
-// Package virtualtime schedules the events of a simulation in virtual time: a clock that
-// jumps from one event to the next, so that a run takes no longer than its events do, and
-// the same events give the same run again.
+// Package virtualtime is a discrete-event scheduler for simulations. Its virtual clock
+// jumps from one event to the next, so a run takes only the time that its events compute,
+// and the same events always give the same run.
 package virtualtime
 
 import (
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Event is something that happens at a time.
+// Event is a function scheduled for a time.
 type Event struct {
 	At time.Duration // since the start of the simulation
 	Do func()
 
-	sequence uint64 // events of one time happen in the order in which they were scheduled
+	sequence uint64 // events of one time run in the order in which they were scheduled
 }
 
-// before tells whether an event happens before another.
+// before reports whether an event runs before another.
 func (e Event) before(other Event) bool {
 	if e.At != other.At {
 		return e.At < other.At
@@ -24,34 +24,34 @@
 	return e.sequence < other.sequence
 }
 
-// Scheduler holds the clock of a simulation and the events to come. Its zero value stands
-// at time 0 with no events. It is for one goroutine.
+// Scheduler holds the clock of a simulation and its pending events. The zero value is at
+// time 0 and has no events. It is not safe for concurrent use.
 type Scheduler struct {
 	now      time.Duration
 	sequence uint64
 	events   eventHeap
 }
 
-// Now is the time of the simulation.
+// Now is the current virtual time.
 func (s *Scheduler) Now() time.Duration { return s.now }
 
-// At schedules an event; one in the past happens now, after those that are due now.
+// At schedules an event. One in the past is scheduled for now, after those already due.
 func (s *Scheduler) At(at time.Duration, do func()) {
 	heap.Push(&s.events, Event{At: max(at, s.now), Do: do, sequence: s.Sequence()})
 }
 
-// After schedules an event in so long from now.
+// After schedules an event after a delay from now.
 func (s *Scheduler) After(delay time.Duration, do func()) { s.At(s.now+delay, do) }
 
-// Sequence draws a number that no event and no other call has: the same in each run of the
-// same simulation, and so fit for the names of requests and processes.
+// Sequence returns a number that no event and no other call gets. It is the same in each
+// run of a simulation, so it can name requests and processes.
 func (s *Scheduler) Sequence() uint64 {
 	s.sequence++
 	return s.sequence
 }
 
-// Next moves the clock to the earliest event and takes it out, for the caller to do; false
-// where none is left by the end, which leaves the clock as it is.
+// Next moves the clock to the earliest event and removes it, for the caller to run. It
+// returns false, and leaves the clock as it is, if no event is due by the end.
 func (s *Scheduler) Next(end time.Duration) (Event, bool) {
 	if len(s.events) == 0 || s.events[0].At > end {
 		return Event{}, false
@@ -76,7 +76,7 @@
 	events := *h
 	last := len(events) - 1
 	event := events[last]
-	events[last] = Event{} // so that what Do refers to can be collected
+	events[last] = Event{} // lets the garbage collector free what Do refers to
 	*h = events[:last]
 	return event
 }
--- a/internal/virtualtime/virtualtime_test.go
+++ b/internal/virtualtime/virtualtime_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// play does all events by the end, and counts them.
+// play runs all events due by the end and returns their number.
 func play(s *Scheduler, end time.Duration) (done int) {
 	for {
 		event, more := s.Next(end)
@@ -20,9 +20,9 @@
 	}
 }
 
-// Events happen by their times, and those of one time in the order in which they were
-// scheduled, whatever order that was.
-func TestEventsHappenInOrder(t *testing.T) {
+// Events run in the order of their times, and those of one time in the order in which
+// they were scheduled.
+func TestEventsRunInOrder(t *testing.T) {
 	type scheduled struct {
 		at    time.Duration
 		order int
@@ -36,34 +36,33 @@
 			want = append(want, e)
 			s.At(e.at, func() {
 				if s.Now() != e.at {
-					t.Errorf("an event of %v happens at %v", e.at, s.Now())
+					t.Errorf("an event scheduled for %v runs at %v", e.at, s.Now())
 				}
 				got = append(got, e)
 			})
 		}
 		slices.SortStableFunc(want, func(a, b scheduled) int { return cmp.Compare(a.at, b.at) })
 		if play(&s, time.Hour); !slices.Equal(got, want) {
-			t.Fatalf("seed %d: events happen as %v, want %v", seed, got, want)
+			t.Fatalf("seed %d: events run as %v, want %v", seed, got, want)
 		}
 	}
 }
 
-// The clock moves by events alone: it stays at the last one before the end.
-func TestClockStopsBeforeTheEnd(t *testing.T) {
+// Only events move the clock: it stays at the last event due by the end.
+func TestClockStaysAtLastEvent(t *testing.T) {
 	var s Scheduler
 	for _, at := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second} {
 		s.At(at, func() {})
 	}
 	if n := play(&s, 2*time.Second); n != 2 || s.Now() != 2*time.Second {
-		t.Errorf("%d events to %v, want 2 to 2s", n, s.Now())
+		t.Errorf("%d events run up to %v, want 2 up to 2s", n, s.Now())
 	}
 	if n := play(&s, 10*time.Second); n != 1 || s.Now() != 3*time.Second {
-		t.Errorf("%d more events to %v, want 1 to 3s", n, s.Now())
+		t.Errorf("%d more events run up to %v, want 1 up to 3s", n, s.Now())
 	}
 }
 
-// An event that schedules others sees them happen in the same run; one in the past happens
-// at once, behind what is due already.
+// Events may schedule further events. One in the past runs now, after those already due.
 func TestEventsScheduleEvents(t *testing.T) {
 	var s Scheduler
 	var got []string
@@ -79,11 +78,11 @@
 	play(&s, time.Minute)
 	want := []string{"first 1s", "second 1s", "past 1s", "later 2s"}
 	if !slices.Equal(got, want) {
-		t.Errorf("events happen as %q, want %q", got, want)
+		t.Errorf("events run as %q, want %q", got, want)
 	}
 }
 
-// Numbers are drawn once each, beside events as well.
+// Sequence numbers are unique, also between scheduled events, and the same in each run.
 func TestSequenceIsUnique(t *testing.T) {
 	var s Scheduler
 	seen := map[uint64]bool{}
@@ -91,12 +90,12 @@
 		n := s.Sequence()
 		s.After(0, func() {})
 		if seen[n] || n == 0 {
-			t.Errorf("%d is drawn again", n)
+			t.Errorf("Sequence returns %d, which is 0 or was returned before", n)
 		}
 		seen[n] = true
 	}
 	again, want := Scheduler{}, Scheduler{}
 	if a, b := again.Sequence(), want.Sequence(); a != b {
-		t.Errorf("two runs draw %d and %d first", a, b)
+		t.Errorf("the first numbers of two schedulers are %d and %d, want them equal", a, b)
 	}
 }
