--- a/internal/reactor/reactor.go
+++ b/internal/reactor/reactor.go
@@ -159,8 +159,8 @@
 }
 
 // New returns a loop on a driver.
-func New(w Driver) *Loop {
-	return &Loop{Driver: w, wheel: timewheel.New[TimerHandler](Resolution), done: make(chan struct{})}
+func New(d Driver) *Loop {
+	return &Loop{Driver: d, wheel: timewheel.New[TimerHandler](Resolution), done: make(chan struct{})}
 }
 
 // Add adds a task to each round. Tasks run in the order in which they were added.
--- a/internal/reactor/sockets.go
+++ b/internal/reactor/sockets.go
@@ -25,9 +25,9 @@
 	keepAliveInterval = 15 // seconds
 	keepAliveProbes   = 4
 
-	// The kernel keeps at most so many unsent bytes per connection; what a slow
-	// client does not read then stays with its source. By default the kernel
-	// buffers megabytes for each connection.
+	// maxUnsent limits the unsent bytes that the kernel buffers per connection, so
+	// that the rest of what a slow client does not read stays at its origin. By
+	// default the kernel buffers megabytes for each connection.
 	maxUnsent       = 128 << 10
 	tcpNotSentLowat = 25 // TCP_NOTSENT_LOWAT; package syscall does not define it
 
@@ -92,14 +92,14 @@
 	if due, retryPending := s.retries.Next(); retryPending && (!hasDeadline || due < until) {
 		until, hasDeadline = due, true
 	}
-	at := time.Time{}
+	deadline := time.Time{}
 	if hasDeadline {
-		if at = s.started.Add(until); until <= s.Now() {
-			at = longAgo
+		if deadline = s.started.Add(until); until <= s.Now() {
+			deadline = longAgo
 		}
 	}
 	before := s.poller.Interrupted()
-	if err := s.poller.Wait(at, s.dispatch); err != nil {
+	if err := s.poller.Wait(deadline, s.dispatch); err != nil {
 		return err
 	}
 	if s.poller.Interrupted() > before {
--- a/internal/reactor/sockets_test.go
+++ b/internal/reactor/sockets_test.go
@@ -97,7 +97,7 @@
 				}
 				defer nc.Close()
 				k := acceptConn(t, ln)
-				for what, o := range map[string][3]int{
+				for optionName, o := range map[string][3]int{
 					"TCP_NODELAY":       {syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1},
 					"SO_KEEPALIVE":      {syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1},
 					"TCP_KEEPIDLE":      {syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, keepAliveIdle},
@@ -106,7 +106,7 @@
 					"TCP_NOTSENT_LOWAT": {syscall.IPPROTO_TCP, tcpNotSentLowat, maxUnsent},
 				} {
 					if got := socketOption(t, k.fd, o[0], o[1]); got != o[2] {
-						t.Errorf("%s of an accepted connection is %d, want %d", what, got, o[2])
+						t.Errorf("%s of an accepted connection is %d, want %d", optionName, got, o[2])
 					}
 				}
 			}
