--- a/cmd/coordinator/main.go
+++ b/cmd/coordinator/main.go
@@ -1,5 +1,5 @@
-// Command coordinator is one of the three or five that decide who of a fleet may go
-// out of service (package rollout). It is configured by a file such as
+// Command coordinator runs one of the three or five coordinators that decide which members of
+// a fleet may go out of service (package rollout). It is configured by a file such as
 // deploy/coordinator.toml.
 package main
 
@@ -15,7 +15,7 @@
 
 type initCommand struct{ daemon.ConfigFile }
 
-// Run makes the disk of a coordinator of a new set.
+// Run creates the disk of a coordinator of a new set.
 func (c *initCommand) Run() error {
 	cfg, err := coordinator.LoadConfig(c.Config)
 	if err != nil {
@@ -26,10 +26,10 @@
 
 type runCommand struct {
 	daemon.ConfigFile
-	Join bool `help:"On an empty folder, wait to be put in the place of another coordinator."`
+	Join bool `help:"On an empty directory, wait until this coordinator replaces another one."`
 }
 
-// Run runs a coordinator until SIGTERM.
+// Run runs a coordinator until SIGTERM or SIGINT.
 func (c *runCommand) Run() error { return daemon.Run(c.Config, coordinator.LoadConfig, c.serve) }
 
 func (c *runCommand) serve(ctx context.Context, cfg coordinator.Config, log *slog.Logger) error {
@@ -45,7 +45,7 @@
 
 type checkCommand struct{ daemon.ConfigFile }
 
-// Run checks a configuration.
+// Run checks a configuration file.
 func (c *checkCommand) Run() error {
 	_, err := coordinator.LoadConfig(c.Config)
 	return err
@@ -53,9 +53,9 @@
 
 func main() {
 	var commands struct {
-		Init  initCommand  `cmd:"" help:"Make the disk of a coordinator of a new set."`
+		Init  initCommand  `cmd:"" help:"Create the disk of a coordinator of a new set."`
 		Run   runCommand   `cmd:"" help:"Run a coordinator."`
-		Check checkCommand `cmd:"" help:"Check a configuration, and tell every fault with its line."`
+		Check checkCommand `cmd:"" help:"Check a configuration file and print every fault with its line."`
 	}
-	daemon.Main("coordinator", "Decides who of a fleet may go out of service.", &commands)
+	daemon.Main("coordinator", "Decides which members of a fleet may go out of service.", &commands)
 }
--- a/internal/coordinator/count.go
+++ b/internal/coordinator/count.go
@@ -8,47 +8,47 @@
 	"wickarch/internal/checksum"
 )
 
-// The count of the writes of a log stands in a file of two slots, written in turn: a kill in the middle of
-// one leaves the other, which tells of the write before.
+// The number of writes to the log is stored in a file of two slots, which are written alternately: if the
+// process is killed while it writes one, the other still holds the count of the previous write.
 const (
 	countSlots = 2
-	countBytes = 8
-	slotBytes  = 4 + countBytes // behind the checksum
+	countSize  = 8
+	slotSize   = 4 + countSize // preceded by its checksum
 )
 
-var errNoCount = errors.New("no slot of the count is whole")
+var errNoValidSlot = errors.New("no slot of the write count has a valid checksum")
 
-// writeCount keeps a count in its slot, and syncs it.
+// writeCount writes a count to its slot and syncs the file.
 func writeCount(path string, count uint64) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	slot := checksum.Seal(binary.BigEndian.AppendUint64(nil, count))
-	_, err = f.WriteAt(slot, int64(count%countSlots)*slotBytes)
+	_, err = f.WriteAt(slot, int64(count%countSlots)*slotSize)
 	if err == nil {
 		err = f.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
 
-// readCount reads the newest count that is whole.
+// readCount returns the highest count whose checksum is valid.
 func readCount(path string) (count uint64, err error) {
-	all, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
 	}
 	found := false
-	for at := 0; at+slotBytes <= len(all) && at < countSlots*slotBytes; at += slotBytes {
-		if data, ok := checksum.Open(all[at : at+slotBytes]); ok {
+	for offset := 0; offset+slotSize <= len(content) && offset < countSlots*slotSize; offset += slotSize {
+		if data, ok := checksum.Open(content[offset : offset+slotSize]); ok {
 			count, found = max(count, binary.BigEndian.Uint64(data)), true
 		}
 	}
 	if !found {
-		return 0, errNoCount
+		return 0, errNoValidSlot
 	}
 	return count, nil
 }
--- a/internal/coordinator/disk.go
+++ b/internal/coordinator/disk.go
@@ -19,18 +19,17 @@
 	"wickarch/rollout/replica"
 )
 
-// Disk keeps a coordinator's log in one bbolt file. Each value stands behind its
-// checksum (CRC-32C), and each write is synced before it returns.
+// Disk stores a coordinator's log in a bbolt file. Each value is prefixed with its checksum
+// (CRC-32C), and each write is synced before it returns.
 //
-// Where the newer of bbolt's two head pages is damaged, it takes the older one and is
-// a write behind, in silence. So writes are counted in the file, and the count stands
-// in a second file as well, which is written after the first: a log that is behind it
-// has forgotten something.
+// If the newer of bbolt's two meta pages is damaged, bbolt silently uses the older one and
+// loses the last write. Writes are therefore counted, and the count is stored in the log and,
+// after each write to the log, in a second file: a log whose count is lower has lost a write.
 type Disk struct {
-	path  string
-	db    *bbolt.DB
-	count uint64   // writes
-	lock  *os.File // held while it is open
+	path   string
+	db     *bbolt.DB
+	writes uint64   // writes made so far
+	lock   *os.File // flock, held while the disk is open
 }
 
 var (
@@ -42,52 +41,52 @@
 	keyCount      = []byte("count")
 )
 
-// The names of the log and of the count of its writes, in a coordinator's folder.
+// Names of the files in a coordinator's directory: the log, and the count of its writes.
 const (
-	file      = "rollout.db"
+	logFile   = "rollout.db"
 	countFile = "rollout.count"
 )
 
-// Create makes the disk of a coordinator that has none. A zero stored is that of one
-// which waits until the others take it in.
+// Create creates the disk of a new coordinator. With a zero stored, the coordinator waits until
+// the others add it.
 func Create(dir string, id uint64, stored replica.Stored) error {
-	path := filepath.Join(dir, file)
+	path := filepath.Join(dir, logFile)
 	if _, err := os.Stat(path); err == nil {
 		return &DiskInUse{path, os.ErrExist}
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return &DiskFailed{dir, err}
 	}
-	return fill(dir, id, 0, stored)
+	return createFile(dir, id, 0, stored)
 }
 
-// fill makes a file that holds what is stored, as a whole or not at all.
-func fill(dir string, id, count uint64, stored replica.Stored) error {
-	path := filepath.Join(dir, file)
-	half := path + ".new"
-	_ = os.Remove(half) // mostly there is none; opening it tells what is wrong
-	db, err := bbolt.Open(half, 0o600, &bbolt.Options{Timeout: time.Second})
+// createFile writes a log file with the given content and replaces an existing one atomically.
+func createFile(dir string, id, count uint64, stored replica.Stored) error {
+	path := filepath.Join(dir, logFile)
+	tempPath := path + ".new"
+	_ = os.Remove(tempPath) // usually there is none; if it can't be removed, opening it reports why
+	db, err := bbolt.Open(tempPath, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
-		return &DiskFailed{half, err}
+		return &DiskFailed{tempPath, err}
 	}
-	d := &Disk{path: path, db: db, count: count}
+	d := &Disk{path: path, db: db, writes: count}
 	err = db.Update(func(tx *bbolt.Tx) error { return createBuckets(tx, id) })
 	if err == nil {
 		err = d.commit(func(meta, log *bbolt.Bucket) error {
-			return d.keep(meta, log, stored.State, stored.Entries, stored.Snapshot)
+			return d.persist(meta, log, stored.State, stored.Entries, stored.Snapshot)
 		})
 	}
-	if closed := db.Close(); err == nil {
-		err = closed
+	if closeErr := db.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(half, path)
+		err = os.Rename(tempPath, path)
 	}
 	if err == nil && count == 0 {
-		err = writeCount(d.countPath(), d.count)
+		err = writeCount(d.countPath(), d.writes)
 	}
 	if err == nil {
-		err = syncFolder(dir)
+		err = syncDir(dir)
 	}
 	if err != nil {
 		return &DiskFailed{path, err}
@@ -95,7 +94,7 @@
 	return nil
 }
 
-// createBuckets makes the buckets of a new file, and writes whose it is.
+// createBuckets creates the buckets of a new file and stores the coordinator's ID.
 func createBuckets(tx *bbolt.Tx, id uint64) error {
 	for _, name := range [][]byte{bucketMeta, bucketEntries} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -105,8 +104,8 @@
 	return put(tx.Bucket(bucketMeta), keyID, binary.BigEndian.AppendUint64(nil, id))
 }
 
-// syncFolder keeps a rename through a loss of power.
-func syncFolder(dir string) error {
+// syncDir syncs a directory, so that a rename in it survives a power loss.
+func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -117,12 +116,11 @@
 
 // Open opens a coordinator's disk and reads all of it.
 //
-// What is read is written anew into a file of its own: bbolt's list of free pages is
-// nothing that could be checked, and a wrong one would have it write over what is
-// still needed. It also gives back the room that is not needed any more.
+// The content is copied to a new file: bbolt's list of free pages cannot be verified, and with
+// a damaged one bbolt would overwrite pages that are in use. The copy also frees unused space.
 func Open(dir string, id uint64) (*Disk, replica.Stored, error) {
 	var stored replica.Stored
-	path := filepath.Join(dir, file)
+	path := filepath.Join(dir, logFile)
 	if _, err := os.Stat(path); err != nil {
 		if errors.Is(err, os.ErrNotExist) {
 			return nil, stored, &EmptyDisk{id, dir}
@@ -135,15 +133,15 @@
 	}
 	if err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, stored, &DiskInUse{path, errors.New("another process has it open")}
+		return nil, stored, &DiskInUse{path, errors.New("it is open in another process")}
 	}
 	d := &Disk{path: path, lock: lock}
 	if stored, err = d.read(id); err == nil {
-		if err = fill(dir, id, d.count, stored); err == nil {
+		if err = createFile(dir, id, d.writes, stored); err == nil {
 			if d.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second}); err != nil {
 				err = &DiskFailed{path, err}
 			}
-			d.count++
+			d.writes++
 		}
 	}
 	if err != nil {
@@ -153,9 +151,9 @@
 	return d, stored, nil
 }
 
-// read reads the file, which may be damaged anywhere. bbolt reads through mapped
-// memory, and a wrong number in it may send it anywhere: on this goroutine a fault is
-// a panic.
+// read reads the file, which may be damaged anywhere. bbolt reads through mapped memory, and a
+// damaged offset may make it access an invalid address: on this goroutine such a memory fault
+// causes a panic, which is reported as damage.
 func (d *Disk) read(id uint64) (s replica.Stored, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -178,26 +176,26 @@
 	err := d.db.View(func(tx *bbolt.Tx) error {
 		meta, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketEntries)
 		if meta == nil || entries == nil {
-			return damaged("a part is missing")
+			return damaged("a bucket is missing")
 		}
-		own, err := get(meta, keyID)
-		if err != nil || len(own) != 8 {
-			return damaged("its number: %v", err)
+		storedID, err := get(meta, keyID)
+		if err != nil || len(storedID) != 8 {
+			return damaged("coordinator ID: %v", err)
 		}
-		if have := binary.BigEndian.Uint64(own); have != id {
+		if have := binary.BigEndian.Uint64(storedID); have != id {
 			return &OtherDisk{d.path, have, id}
 		}
 		count, err := get(meta, keyCount)
 		if err != nil || len(count) != 8 {
-			return damaged("the count of its writes: %v", err)
+			return damaged("write count: %v", err)
 		}
-		d.count = binary.BigEndian.Uint64(count)
-		beside, err := readCount(d.countPath())
+		d.writes = binary.BigEndian.Uint64(count)
+		fileCount, err := readCount(d.countPath())
 		if err != nil {
 			return damaged("%s: %v", d.countPath(), err)
 		}
-		if beside > d.count {
-			return damaged("it holds %d writes, and %d were made", d.count, beside)
+		if fileCount > d.writes {
+			return damaged("it contains %d of the %d writes made", d.writes, fileCount)
 		}
 		read := func(key []byte, m proto.Message) (bool, error) {
 			b, err := get(meta, key)
@@ -223,53 +221,53 @@
 		} else if ok {
 			s.Snapshot = snap
 		}
-		var unreadable error
-		s.Entries, unreadable = readEntries(entries, s.Snapshot.GetMetadata().GetIndex(), damaged)
-		return unreadable
+		var entriesErr error
+		s.Entries, entriesErr = readEntries(entries, s.Snapshot.GetMetadata().GetIndex(), damaged)
+		return entriesErr
 	})
 	return s, err
 }
 
-// readEntries reads the log behind the snapshot, which ends at an index.
-func readEntries(bucket *bbolt.Bucket, snapshot uint64, damaged func(string, ...any) error) ([]*pb.Entry, error) {
-	var read []*pb.Entry
-	last := snapshot
+// readEntries returns the log entries that follow the snapshot, given the snapshot's index.
+func readEntries(bucket *bbolt.Bucket, snapshotIndex uint64, damaged func(string, ...any) error) ([]*pb.Entry, error) {
+	var list []*pb.Entry
+	lastIndex := snapshotIndex
 	err := bucket.ForEach(func(k, v []byte) error {
-		b, wrong := check(v)
-		if wrong != nil || len(k) != 8 {
-			return damaged("an entry: %v", wrong)
+		b, unsealErr := unseal(v)
+		if unsealErr != nil || len(k) != 8 {
+			return damaged("log entry: %v", unsealErr)
 		}
 		e := &pb.Entry{}
 		if err := proto.Unmarshal(b, e); err != nil {
-			return damaged("an entry: %v", err)
+			return damaged("log entry: %v", err)
 		}
 		if e.GetIndex() != binary.BigEndian.Uint64(k) {
-			return damaged("entry %d stands in the place of another", e.GetIndex())
+			return damaged("log entry %d is stored under the key of another entry", e.GetIndex())
 		}
-		if e.GetIndex() <= snapshot {
+		if e.GetIndex() <= snapshotIndex {
 			return nil
 		}
-		if e.GetIndex() != last+1 {
-			return damaged("entry %d follows %d", e.GetIndex(), last)
+		if e.GetIndex() != lastIndex+1 {
+			return damaged("log entry %d follows entry %d", e.GetIndex(), lastIndex)
 		}
-		last = e.GetIndex()
-		read = append(read, e)
+		lastIndex = e.GetIndex()
+		list = append(list, e)
 		return nil
 	})
-	return read, err
+	return list, err
 }
 
-// Save is that of replica.Disk.
+// Save implements replica.Disk.
 func (d *Disk) Save(state *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
-	return d.update(func(meta, log *bbolt.Bucket) error { return d.keep(meta, log, state, entries, snapshot) })
+	return d.update(func(meta, log *bbolt.Bucket) error { return d.persist(meta, log, state, entries, snapshot) })
 }
 
-func (d *Disk) keep(meta, log *bbolt.Bucket, state *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
+func (d *Disk) persist(meta, log *bbolt.Bucket, state *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	if snapshot != nil {
 		if err := d.put(meta, keySnapshot, snapshot); err != nil {
 			return err
 		}
-		if err := drop(log, 0, ^uint64(0)); err != nil {
+		if err := deleteRange(log, 0, ^uint64(0)); err != nil {
 			return err
 		}
 	}
@@ -279,7 +277,7 @@
 		}
 	}
 	if len(entries) > 0 {
-		if err := drop(log, entries[0].GetIndex(), ^uint64(0)); err != nil {
+		if err := deleteRange(log, entries[0].GetIndex(), ^uint64(0)); err != nil {
 			return err
 		}
 	}
@@ -291,17 +289,17 @@
 	return nil
 }
 
-// Compact is that of replica.Disk.
+// Compact implements replica.Disk.
 func (d *Disk) Compact(snapshot *pb.Snapshot) error {
 	return d.update(func(meta, log *bbolt.Bucket) error {
 		if err := d.put(meta, keySnapshot, snapshot); err != nil {
 			return err
 		}
-		return drop(log, 0, snapshot.GetMetadata().GetIndex())
+		return deleteRange(log, 0, snapshot.GetMetadata().GetIndex())
 	})
 }
 
-// Close closes the file.
+// Close closes the log and releases its lock.
 func (d *Disk) Close() error {
 	defer func() { _ = d.lock.Close() }()
 	return d.db.Close()
@@ -309,12 +307,12 @@
 
 func (d *Disk) countPath() string { return filepath.Join(filepath.Dir(d.path), countFile) }
 
-// update makes one write, and counts it in both files. While the disk fails by errors that pass, it is
-// tried again: nobody has been told of it yet.
-func (d *Disk) update(f func(meta, log *bbolt.Bucket) error) error {
-	err := untilKept(func() error { return d.commit(f) })
+// update makes one write and counts it in both files. Transient errors are retried: nothing that depends
+// on the write has been sent yet.
+func (d *Disk) update(write func(meta, log *bbolt.Bucket) error) error {
+	err := retryWrite(func() error { return d.commit(write) })
 	if err == nil {
-		err = untilKept(func() error { return writeCount(d.countPath(), d.count) })
+		err = retryWrite(func() error { return writeCount(d.countPath(), d.writes) })
 	}
 	if err != nil {
 		return &DiskFailed{d.path, err}
@@ -322,25 +320,25 @@
 	return nil
 }
 
-// diskPatience is how long a coordinator waits for a disk that fails.
-const diskPatience = 10 * time.Second
+// diskRetryTimeout is how long a failed write is retried before the coordinator stops.
+const diskRetryTimeout = 10 * time.Second
 
-// untilKept repeats a write while it fails by an error that passes.
-func untilKept(write func() error) error {
-	_, err := retry.For(diskPatience, nil, func() (struct{}, error) { return struct{}{}, write() })
+// retryWrite repeats a write while it fails with a transient error.
+func retryWrite(write func() error) error {
+	_, err := retry.For(diskRetryTimeout, nil, func() (struct{}, error) { return struct{}{}, write() })
 	return err
 }
 
-func (d *Disk) commit(f func(meta, log *bbolt.Bucket) error) error {
+func (d *Disk) commit(write func(meta, log *bbolt.Bucket) error) error {
 	err := d.db.Update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
-		if err := put(meta, keyCount, binary.BigEndian.AppendUint64(nil, d.count+1)); err != nil {
+		if err := put(meta, keyCount, binary.BigEndian.AppendUint64(nil, d.writes+1)); err != nil {
 			return err
 		}
-		return f(meta, tx.Bucket(bucketEntries))
+		return write(meta, tx.Bucket(bucketEntries))
 	})
 	if err == nil {
-		d.count++
+		d.writes++
 	}
 	return err
 }
@@ -353,11 +351,11 @@
 	return put(b, key, data)
 }
 
-// drop deletes the entries of a range, its ends among them.
-func drop(log *bbolt.Bucket, from, to uint64) error {
-	var keys [][]byte // first all, as a cursor does not like its pages to change
-	c := log.Cursor()
-	for k, _ := c.Seek(binary.BigEndian.AppendUint64(nil, from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
+// deleteRange deletes the entries from one index to another, both included.
+func deleteRange(log *bbolt.Bucket, from, to uint64) error {
+	var keys [][]byte // collected first: a cursor must not be used while its pages change
+	cursor := log.Cursor()
+	for k, _ := cursor.Seek(binary.BigEndian.AppendUint64(nil, from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = cursor.Next() {
 		keys = append(keys, append([]byte{}, k...))
 	}
 	for _, k := range keys {
@@ -375,14 +373,14 @@
 	if v == nil {
 		return nil, nil
 	}
-	return check(v)
+	return unseal(v)
 }
 
-// check takes the checksum off a value, and copies it: bbolt's memory is valid within a transaction alone.
-func check(v []byte) ([]byte, error) {
+// unseal verifies a value's checksum and returns a copy of its data: bbolt's memory is valid only within a transaction.
+func unseal(v []byte) ([]byte, error) {
 	data, ok := checksum.Open(v)
 	if !ok {
-		return nil, errors.New("the checksum does not fit")
+		return nil, errors.New("checksum mismatch")
 	}
 	return append([]byte{}, data...), nil
 }
--- a/internal/coordinator/diskfaults_test.go
+++ b/internal/coordinator/diskfaults_test.go
@@ -16,19 +16,19 @@
 	"wickarch/internal/faultinject"
 )
 
-// asWriter makes the test's own binary append entries to the disk in the folder that it names.
-const asWriter = "COORDINATOR_TEST_WRITER"
+// writerDirEnv is the environment variable that makes the test binary append entries to the disk in the directory it names.
+const writerDirEnv = "COORDINATOR_TEST_WRITER"
 
 func TestMain(m *testing.M) {
 	faultinject.RunRole()
-	if dir := os.Getenv(asWriter); dir != "" {
+	if dir := os.Getenv(writerDirEnv); dir != "" {
 		appendEntries(dir)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// appendEntries tells each entry that is kept, on its own line.
+// appendEntries appends entries until it is killed, and writes a line to standard error for each that is stored.
 func appendEntries(dir string) {
 	d, s, err := Open(dir, 1)
 	if err != nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-// keptIndex is the entry that a line of the writer tells.
-func keptIndex(line string) (index uint64, ok bool) {
+// parseKeptIndex returns the entry's index from a line of the writer.
+func parseKeptIndex(line string) (index uint64, ok bool) {
 	number, ok := strings.CutPrefix(line, "kept ")
 	if !ok {
 		return 0, false
@@ -54,19 +54,19 @@
 	return index, err == nil
 }
 
-// Guards against a coordinator that ends, or forgets what it has confirmed, because its disk failed for a moment: writes
-// and syncs fail and are short, and the process is killed in their midst, again and again.
-func TestDiskKeepsWhatItConfirmedThroughFailingWrites(t *testing.T) {
+// Guards against a coordinator that stops, or loses what it has confirmed, because of transient disk errors: writes
+// and syncs fail or are short, and the process is killed repeatedly in the middle of them.
+func TestConfirmedEntriesSurviveFailingWritesAndKills(t *testing.T) {
 	dir := t.TempDir()
-	d := fresh(t, dir)
+	d := createAndOpen(t, dir)
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
 	confirmed := uint64(1)
 	for round := range uint64(6) {
-		cmd, err := faultinject.Command(t.Context(), round+1, []string{asWriter + "=" + dir},
-			faultinject.Rule{Call: faultinject.WriteFile, Path: file, Fault: "ENOSPC", Share: 0.1, Skip: 40},
-			faultinject.Rule{Call: faultinject.Sync, Path: file, Fault: "EIO", Share: 0.1, Skip: 10},
+		cmd, err := faultinject.Command(t.Context(), round+1, []string{writerDirEnv + "=" + dir},
+			faultinject.Rule{Call: faultinject.WriteFile, Path: logFile, Fault: "ENOSPC", Share: 0.1, Skip: 40},
+			faultinject.Rule{Call: faultinject.Sync, Path: logFile, Fault: "EIO", Share: 0.1, Skip: 10},
 			faultinject.Rule{Call: faultinject.WriteFile, Path: countFile, Fault: "EIO", Share: 0.2},
 			faultinject.Rule{Call: faultinject.WriteFile, Path: countFile, Fault: faultinject.Short, Share: 0.5, Bytes: 5},
 			faultinject.Rule{Call: faultinject.Sync, Path: countFile, Fault: "EIO", Share: 0.2})
@@ -83,23 +83,23 @@
 		lines := bufio.NewScanner(out)
 		kept := 0
 		for kept < 25 && lines.Scan() {
-			index, ok := keptIndex(lines.Text())
+			index, ok := parseKeptIndex(lines.Text())
 			if !ok {
-				t.Fatalf("round %d: the writer says %q", round, lines.Text())
+				t.Fatalf("round %d: unexpected line of the writer: %q", round, lines.Text())
 			}
 			confirmed = max(confirmed, index)
 			kept++
 		}
 		if kept < 25 {
-			t.Fatalf("round %d: the writer ended after %d entries", round, kept)
+			t.Fatalf("round %d: the writer exited after %d entries, want 25", round, kept)
 		}
 		cmd.Process.Kill()
-		for lines.Scan() { // what it had said before its end
-			if index, ok := keptIndex(lines.Text()); ok {
+		for lines.Scan() { // lines written before it was killed
+			if index, ok := parseKeptIndex(lines.Text()); ok {
 				confirmed = max(confirmed, index)
 			}
 		}
-		_ = cmd.Wait() // killed
+		_ = cmd.Wait() // fails, as it was killed
 		d, s, err := Open(dir, 1)
 		if err != nil {
 			t.Fatalf("round %d: %v", round, err)
@@ -108,41 +108,41 @@
 			t.Error(err)
 		}
 		if last := uint64(len(s.Entries)) + 1; last < confirmed {
-			t.Fatalf("round %d: entries up to %d are there, %d were confirmed", round, last, confirmed)
+			t.Fatalf("round %d: the log ends at entry %d, entries up to %d were confirmed", round, last, confirmed)
 		}
 	}
 }
 
-// Guards against a log that is refused for good because a kill left its count half written.
-func TestCountIsReadThroughAHalfWrittenSlot(t *testing.T) {
+// Guards against a log that can never be opened again because the process was killed while it wrote the count.
+func TestReadCountIgnoresAHalfWrittenSlot(t *testing.T) {
 	path := filepath.Join(t.TempDir(), countFile)
 	for count := range uint64(6) {
 		if err := writeCount(path, count); err != nil {
 			t.Fatal(err)
 		}
 	}
-	whole, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range slotBytes {
-		half := append([]byte{}, whole...)
-		slot := int(6%countSlots) * slotBytes
-		copy(half[slot:slot+n], "............")
-		if err := os.WriteFile(path, half, 0o600); err != nil {
+	for n := range slotSize {
+		torn := append([]byte{}, content...)
+		slot := int(6%countSlots) * slotSize
+		copy(torn[slot:slot+n], "............")
+		if err := os.WriteFile(path, torn, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if got, err := readCount(path); err != nil || got != 5 {
-			t.Errorf("with %d bytes of the next: %d, %v, want 5", n, got, err)
+			t.Errorf("with %d bytes of the next count written: %d, %v, want 5", n, got, err)
 		}
 	}
-	for n := range whole {
-		whole[n] = 0xff
+	for n := range content {
+		content[n] = 0xff
 	}
-	if err := os.WriteFile(path, whole, 0o600); err != nil {
+	if err := os.WriteFile(path, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := readCount(path); err == nil {
-		t.Errorf("with no whole slot: %d", got)
+		t.Errorf("with no valid slot: got %d, want an error", got)
 	}
 }
--- a/internal/coordinator/encoded.go
+++ b/internal/coordinator/encoded.go
@@ -8,73 +8,74 @@
 	"wickarch/distribution"
 )
 
-// rawJSON is an answer that is JSON already.
+// rawJSON is a response body that is already encoded as JSON.
 type rawJSON []byte
 
-// encoded keeps what many followers are sent alike, as JSON: one whole state, and a few
-// differences. To write it anew for each would cost a crowd of them seconds.
-type encoded struct {
-	mu    sync.Mutex
-	state *distribution.State
-	whole []byte
-	steps map[*distribution.Difference][]byte
+// replyEncoder caches the JSON of what many followers are sent: one full state and a few
+// differences. To encode it again for each follower of a large fleet would take seconds.
+type replyEncoder struct {
+	mu          sync.Mutex
+	cachedState *distribution.State
+	stateJSON   []byte
+	differences map[*distribution.Difference][]byte
 }
 
-const mostSteps = 16 // differences that are kept
+const maxDifferences = 16 // cached differences
 
-// reply writes a reply.
-func (e *encoded) reply(r distribution.Reply) (rawJSON, error) {
-	state, step := r.State, r.Difference
+// reply returns a reply as JSON.
+func (e *replyEncoder) reply(r distribution.Reply) (rawJSON, error) {
+	state, difference := r.State, r.Difference
 	r.State, r.Difference = nil, nil
 	rest, err := json.Marshal(r)
 	if err != nil {
 		return nil, fmt.Errorf("coordinator: %w", err)
 	}
-	name, part := "", []byte(nil)
+	name, content := "", []byte(nil)
 	switch {
 	case state != nil:
 		name = "state"
-		part, err = e.once(state, nil)
-	case step != nil:
+		content, err = e.encode(state, nil)
+	case difference != nil:
 		name = "difference"
-		part, err = e.once(nil, step)
+		content, err = e.encode(nil, difference)
 	default:
 		return rest, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("coordinator: %w", err)
 	}
-	// rest is an object with one field at least.
-	out := make([]byte, 0, len(part)+len(rest)+len(name)+5)
+	// rest is an object with at least one field, which follows the comma.
+	out := make([]byte, 0, len(content)+len(rest)+len(name)+5)
 	out = append(out, `{"`...)
 	out = append(out, name...)
 	out = append(out, `":`...)
-	out = append(out, part...)
+	out = append(out, content...)
 	out = append(out, ',')
 	return append(out, rest[1:]...), nil
 }
 
-func (e *encoded) once(state *distribution.State, step *distribution.Difference) (b []byte, err error) {
+// encode returns the JSON of the state, or else of the difference, from the cache if it is there.
+func (e *replyEncoder) encode(state *distribution.State, difference *distribution.Difference) (b []byte, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if state != nil {
-		if e.state != state {
+		if e.cachedState != state {
 			if b, err = json.Marshal(state); err != nil {
 				return nil, err
 			}
-			e.state, e.whole = state, b
+			e.cachedState, e.stateJSON = state, b
 		}
-		return e.whole, nil
+		return e.stateJSON, nil
 	}
-	if b = e.steps[step]; b != nil {
+	if b = e.differences[difference]; b != nil {
 		return b, nil
 	}
-	if b, err = json.Marshal(step); err != nil {
+	if b, err = json.Marshal(difference); err != nil {
 		return nil, err
 	}
-	if e.steps == nil || len(e.steps) >= mostSteps {
-		e.steps = map[*distribution.Difference][]byte{}
+	if e.differences == nil || len(e.differences) >= maxDifferences {
+		e.differences = map[*distribution.Difference][]byte{}
 	}
-	e.steps[step] = b
+	e.differences[difference] = b
 	return b, nil
 }
--- a/internal/coordinator/errors.go
+++ b/internal/coordinator/errors.go
@@ -6,12 +6,12 @@
 	"wickarch/rollout"
 )
 
-// Faults lists one of each error of this package.
+// Faults returns a value of each error type of this package.
 func Faults() []rollout.Fault {
 	return []rollout.Fault{&EmptyDisk{}, &DiskInUse{}, &DamagedDisk{}, &DiskFailed{}, &OtherDisk{}, &Busy{}}
 }
 
-// EmptyDisk tells that a coordinator was started on a folder that holds nothing.
+// EmptyDisk reports that a coordinator was started on a directory without a disk.
 type EmptyDisk struct {
 	ID   uint64
 	Path string
@@ -21,12 +21,12 @@
 	return fmt.Sprintf("coordinator %d: %s holds nothing of it", e.ID, e.Path)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *EmptyDisk) Remedy() string {
-	return "for a new set of coordinators run 'coordinator init' on each once; for a lost disk give it a new number, start it with --join and put it in the old one's place (wickarch-fleet coordinator replace)"
+	return "for a new set of coordinators run 'coordinator init' once on each; if the disk was lost, give the coordinator a new id, start it with --join and replace the old one by it (wickarch-fleet coordinator replace)"
 }
 
-// DiskInUse tells that a folder holds something already, or another process has it open.
+// DiskInUse reports that a directory already holds a disk, or that the disk is open in another process.
 type DiskInUse struct {
 	Path string
 	Err  error
@@ -34,24 +34,24 @@
 
 func (e *DiskInUse) Error() string { return fmt.Sprintf("%s is in use: %v", e.Path, e.Err) }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *DiskInUse) Remedy() string {
-	return "stop the other coordinator on this folder, or name another folder"
+	return "stop the other coordinator that uses this directory, or configure another directory"
 }
 
-// DamagedDisk tells that what was read is not what was written.
+// DamagedDisk reports that what was read is not what was written.
 type DamagedDisk struct {
 	Path, What string
 }
 
 func (e *DamagedDisk) Error() string { return fmt.Sprintf("%s is damaged: %s", e.Path, e.What) }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *DamagedDisk) Remedy() string {
-	return "leave this coordinator stopped; start a new one on an empty folder under a new number with --join and put it in this one's place"
+	return "leave this coordinator stopped; start a new one with a new id on an empty directory with --join, and replace this one by it"
 }
 
-// DiskFailed tells that something could not be kept.
+// DiskFailed reports that a write to the disk failed.
 type DiskFailed struct {
 	Path string
 	Err  error
@@ -59,12 +59,12 @@
 
 func (e *DiskFailed) Error() string { return fmt.Sprintf("%s can't be written: %v", e.Path, e.Err) }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *DiskFailed) Remedy() string {
-	return "make room on the disk or mend it, and start the coordinator again; it has said nothing that it did not keep"
+	return "free space on the disk or repair it, and restart the coordinator; it has acknowledged nothing that it did not store"
 }
 
-// OtherDisk tells that a folder belongs to a coordinator of another number.
+// OtherDisk reports that a directory belongs to a coordinator with another ID.
 type OtherDisk struct {
 	Path       string
 	Have, Want uint64
@@ -74,13 +74,13 @@
 	return fmt.Sprintf("%s is the disk of coordinator %d, not of %d", e.Path, e.Have, e.Want)
 }
 
-// Remedy says what an operator can do.
-func (e *OtherDisk) Remedy() string { return "name the folder that belongs to this number" }
+// Remedy implements rollout.Fault.
+func (e *OtherDisk) Remedy() string { return "configure the directory that belongs to this id" }
 
-// Busy tells that more was asked at once than is taken.
-type Busy struct{ Most int }
+// Busy reports that the limit on pending calls is reached.
+type Busy struct{ Max int }
 
-func (e *Busy) Error() string { return fmt.Sprintf("%d calls wait already", e.Most) }
+func (e *Busy) Error() string { return fmt.Sprintf("%d calls are pending, which is the limit", e.Max) }
 
-// Remedy says what an operator can do.
-func (e *Busy) Remedy() string { return "ask again in a moment; agents do so by themselves" }
+// Remedy implements rollout.Fault.
+func (e *Busy) Remedy() string { return "retry shortly; agents do so by themselves" }
