--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,6 +1,6 @@
-// Command agent watches one member of a fleet, starts its program, and takes it out
-// of service when the coordinators grant that (package rollout). It is configured by
-// a file such as deploy/agent.toml.
+// Command agent monitors one member of a fleet, starts its program, and takes it out of service
+// when the coordinators grant that (package rollout). It is configured by a file such as
+// deploy/agent.toml.
 package main
 
 import (
@@ -13,7 +13,7 @@
 
 type runCommand struct{ daemon.ConfigFile }
 
-// Run runs an agent until SIGTERM. Its program goes on.
+// Run runs an agent until SIGTERM or SIGINT. The member's program continues to run.
 func (c *runCommand) Run() error { return daemon.Run(c.Config, agent.LoadConfig, serve) }
 
 func serve(ctx context.Context, cfg agent.Config, log *slog.Logger) error {
@@ -29,7 +29,7 @@
 
 type checkCommand struct{ daemon.ConfigFile }
 
-// Run checks a configuration.
+// Run checks a configuration file.
 func (c *checkCommand) Run() error {
 	_, err := agent.LoadConfig(c.Config)
 	return err
@@ -38,7 +38,7 @@
 func main() {
 	var commands struct {
 		Run   runCommand   `cmd:"" help:"Run an agent."`
-		Check checkCommand `cmd:"" help:"Check a configuration, and tell every fault with its line."`
+		Check checkCommand `cmd:"" help:"Check a configuration file and print every fault with its line."`
 	}
-	daemon.Main("agent", "Watches one member of a fleet.", &commands)
+	daemon.Main("agent", "Monitors one member of a fleet and starts and stops its program.", &commands)
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent runs rollout.Agent beside one member: the program that it watches,
-// the way to the coordinators, a memory on disk. All decisions are in rollout; here
-// one goroutine owns them.
+// Package agent runs a rollout.Agent next to one member: it drives and probes the member's
+// program, reports to the coordinators and persists the agent's state. rollout.Agent makes
+// all decisions; here one goroutine owns it.
 package agent
 
 import (
@@ -22,20 +22,20 @@
 	"wickarch/rollout"
 )
 
-// Agent is one.
+// Agent is the agent of one member.
 type Agent struct {
-	cfg     Config
-	log     *slog.Logger
-	decides *rollout.Agent
-	driver  driver
-	began   time.Time
-	mail    chan func()
-	http    *http.Client
-	lock    *os.File
-	lives   int // programs started, so that the end of one is not taken for that of the next
+	cfg      Config
+	log      *slog.Logger
+	core     *rollout.Agent // makes the decisions
+	driver   driver
+	started  time.Time
+	calls    chan func() // run on the goroutine of Run, which owns core
+	http     *http.Client
+	lock     *os.File
+	launches int // programs launched, so that the exit of one is not taken for that of the next
 }
 
-// New starts an agent: it reads what it remembers, and finds the program that runs.
+// New creates an agent: it reads the stored state and finds the program that is already running.
 func New(cfg Config, log *slog.Logger) (*Agent, error) {
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return nil, &StateFailed{cfg.Dir, err}
@@ -48,86 +48,88 @@
 		_ = lock.Close()
 		return nil, &AlreadyRuns{cfg.Dir}
 	}
-	a := &Agent{cfg: cfg, log: log, began: time.Now(), mail: make(chan func(), 64), http: rolloutlink.NewHTTPClient(2 * cfg.Decides().ReportInterval), lock: lock}
-	var mem rollout.AgentState
-	b, err := retry.For(diskPatience, nil, func() ([]byte, error) { return os.ReadFile(a.path()) })
+	a := &Agent{cfg: cfg, log: log, started: time.Now(), calls: make(chan func(), 64),
+		http: rolloutlink.NewHTTPClient(2 * cfg.CoreConfig().ReportInterval), lock: lock}
+	var state rollout.AgentState
+	b, err := retry.For(diskRetryTimeout, nil, func() ([]byte, error) { return os.ReadFile(a.statePath()) })
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 	case err != nil:
-		return nil, &StateFailed{a.path(), err}
+		return nil, &StateFailed{a.statePath(), err}
 	default:
-		if err := json.Unmarshal(b, &mem); err != nil {
-			return nil, &StateDamaged{a.path(), err}
+		if err := json.Unmarshal(b, &state); err != nil {
+			return nil, &StateDamaged{a.statePath(), err}
 		}
 	}
 	if len(cfg.Hooks.Start) > 0 {
-		a.driver = &hooked{cfg: cfg, exited: a.exited(0), failed: func(err error) { log.Warn("hook", "error", err) }}
+		a.driver = &hookDriver{cfg: cfg, onExit: a.exitCallback(0), onError: func(err error) { log.Warn("hook", "error", err) }}
 	} else {
-		a.driver = &process{cfg: cfg, dir: cfg.Dir, now: a.now, exited: a.exited(0), client: newClient()}
+		a.driver = &processDriver{cfg: cfg, dir: cfg.Dir, now: a.now, onExit: a.exitCallback(0), client: newClient()}
 	}
 	running := a.driver.adopt()
 	if running != nil && running.Version == "" {
 		running.Version = cfg.Version
-		if mem.Version != "" {
-			running.Version = mem.Version
+		if state.Version != "" {
+			running.Version = state.Version
 		}
 	}
-	var inc [8]byte
-	rand.Read(inc[:])
-	a.decides = rollout.NewAgent(cfg.Decides(), mem, running, binary.BigEndian.Uint64(inc[:])>>11|1, a.now())
+	var incarnation [8]byte
+	rand.Read(incarnation[:])
+	a.core = rollout.NewAgent(cfg.CoreConfig(), state, running, binary.BigEndian.Uint64(incarnation[:])>>11|1, a.now())
 	return a, nil
 }
 
-func (a *Agent) path() string { return filepath.Join(a.cfg.Dir, "agent.json") }
+func (a *Agent) statePath() string { return filepath.Join(a.cfg.Dir, "agent.json") }
 
-func (a *Agent) now() time.Duration { return time.Since(a.began) }
+func (a *Agent) now() time.Duration { return time.Since(a.started) }
 
-// exited makes what tells the end of the program that is the n-th to be started.
-func (a *Agent) exited(n int) func(string) {
+// exitCallback returns a function that reports the exit of the n-th program launched, and why it
+// exited; 0 is the program that was already running. Reports on earlier programs are ignored.
+func (a *Agent) exitCallback(n int) func(string) {
 	return func(why string) {
-		a.mail <- func() {
-			if n == a.lives {
-				a.do(a.decides.Exited(a.now(), why))
+		a.calls <- func() {
+			if n == a.launches {
+				a.perform(a.core.Exited(a.now(), why))
 			}
 		}
 	}
 }
 
-// Run runs until ctx ends. The program goes on without its agent.
+// Run runs until ctx is done. The program continues to run without its agent.
 func (a *Agent) Run(ctx context.Context) {
 	defer func() { _ = a.lock.Close() }()
-	poll := time.NewTicker(a.cfg.poll())
+	poll := time.NewTicker(a.cfg.pollInterval())
 	defer poll.Stop()
-	looking := false
+	probing := false // a probe is in flight
 	for {
-		due := time.NewTimer(a.decides.Next() - a.now())
+		due := time.NewTimer(a.core.Next() - a.now())
 		select {
 		case <-ctx.Done():
 			due.Stop()
 			return
-		case f := <-a.mail:
+		case f := <-a.calls:
 			f()
 		case <-due.C:
-			a.do(a.decides.Tick(a.now()))
+			a.perform(a.core.Tick(a.now()))
 		case <-poll.C:
-			if looking {
+			if probing {
 				break
 			}
-			looking = true
-			n := a.lives
-			go func() { // a program that hangs must not hold up its agent
-				lookCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+			probing = true
+			n := a.launches
+			go func() { // a program that hangs must not block its agent
+				probeCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 				defer cancel()
-				s := a.driver.look(lookCtx)
-				a.mail <- func() {
-					looking = false
-					if n != a.lives {
+				result := a.driver.probe(probeCtx)
+				a.calls <- func() {
+					probing = false
+					if n != a.launches {
 						return
 					}
-					if s.gone {
-						a.do(a.decides.Exited(a.now(), "it does not run"))
+					if result.stopped {
+						a.perform(a.core.Exited(a.now(), "it is not running"))
 					}
-					a.do(a.decides.Ready(a.now(), s.ready, a.driver.figures(s)))
+					a.perform(a.core.Ready(a.now(), result.ready, a.driver.stats(result)))
 				}
 			}()
 		}
@@ -135,67 +137,68 @@
 	}
 }
 
-// do does what the decisions say.
-func (a *Agent) do(actions []rollout.Action) {
+// perform performs the actions that core has decided on.
+func (a *Agent) perform(actions []rollout.Action) {
 	for i := 0; i < len(actions); i++ {
-		switch act := actions[i]; {
-		case act.Save != nil:
-			b, err := json.Marshal(act.Save)
+		switch action := actions[i]; {
+		case action.Save != nil:
+			b, err := json.Marshal(action.Save)
 			if err == nil {
-				err = replaceFile(a.path(), b)
+				err = replaceFile(a.statePath(), b)
 			}
 			if err == nil {
 				continue
 			}
-			a.log.Error("memory", "error", &StateFailed{a.path(), err}, "remedy", (&StateFailed{}).Remedy())
-			if act.SaveRequired { // what rests on it is dropped
-				actions = append(slices.Clone(actions[:i+1]), a.decides.SaveFailed(a.now(), err)...)
+			a.log.Error("memory", "error", &StateFailed{a.statePath(), err}, "remedy", (&StateFailed{}).Remedy())
+			if action.SaveRequired { // the actions that depend on the save are dropped
+				actions = append(slices.Clone(actions[:i+1]), a.core.SaveFailed(a.now(), err)...)
 			}
-		case act.Send != nil:
-			a.send(*act.Send, act.To)
-		case act.Launch != "":
-			a.lives++
-			exited := a.exited(a.lives)
+		case action.Send != nil:
+			a.send(*action.Send, action.To)
+		case action.Launch != "":
+			a.launches++
+			onExit := a.exitCallback(a.launches)
 			switch d := a.driver.(type) {
-			case *process:
-				d.exited = exited
-			case *hooked:
-				d.exited = exited
+			case *processDriver:
+				d.onExit = onExit
+			case *hookDriver:
+				d.onExit = onExit
 			}
-			a.log.Info("start", "version", act.Launch)
-			if err := a.driver.launch(act.Launch); err != nil {
-				a.log.Error("start", "version", act.Launch, "error", err)
-				go exited(err.Error())
+			a.log.Info("start", "version", action.Launch)
+			if err := a.driver.launch(action.Launch); err != nil {
+				a.log.Error("start", "version", action.Launch, "error", err)
+				go onExit(err.Error())
 			}
-		case act.Standby:
+		case action.Standby:
 			a.log.Info("standby")
 			a.driver.standby()
-		case act.Terminate:
+		case action.Terminate:
 			a.log.Info("terminate")
 			a.driver.terminate()
-		case act.Kill:
+		case action.Kill:
 			a.log.Warn("kill")
 			a.driver.kill()
-		case act.Log != "":
-			a.log.Info(act.Log)
+		case action.Log != "":
+			a.log.Info(action.Log)
 		}
 	}
 }
 
-// send carries a report, beside everything else.
-func (a *Agent) send(r rollout.Report, to int) {
+// send sends a report to a coordinator in the background.
+func (a *Agent) send(report rollout.Report, to int) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), 2*a.cfg.Decides().ReportInterval)
+		ctx, cancel := context.WithTimeout(context.Background(), 2*a.cfg.CoreConfig().ReportInterval)
 		defer cancel()
 		var reply rollout.Reply
-		leader, err := rolloutlink.Call(ctx, a.http, http.MethodPost, a.cfg.Coordinators[to], rolloutlink.PathReport, r, &reply, rolloutlink.MaxReportBytes)
-		a.mail <- func() {
+		leader, err := rolloutlink.Call(ctx, a.http, http.MethodPost, a.cfg.Coordinators[to], rolloutlink.PathReport,
+			report, &reply, rolloutlink.MaxReportBytes)
+		a.calls <- func() {
 			if err != nil {
 				a.log.Debug("report", "to", a.cfg.Coordinators[to], "error", err)
-				a.decides.Unanswered(a.now(), r.Seq, slices.Index(a.cfg.Coordinators, leader))
+				a.core.Unanswered(a.now(), report.Seq, slices.Index(a.cfg.Coordinators, leader))
 				return
 			}
-			a.do(a.decides.Replied(a.now(), r.Seq, reply))
+			a.perform(a.core.Replied(a.now(), report.Seq, reply))
 		}
 	}()
 }
--- a/internal/agent/diskfaults_test.go
+++ b/internal/agent/diskfaults_test.go
@@ -11,12 +11,12 @@
 	"wickarch/internal/faultinject"
 )
 
-// asWriter makes the test's own binary replace the file that it names.
-const asWriter = "AGENT_TEST_WRITER"
+// writerPathEnv is the environment variable that makes the test binary replace the file it names.
+const writerPathEnv = "AGENT_TEST_WRITER"
 
 func TestMain(m *testing.M) {
 	faultinject.RunRole()
-	if path := os.Getenv(asWriter); path != "" {
+	if path := os.Getenv(writerPathEnv); path != "" {
 		if err := replaceFile(path, []byte("new")); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -26,23 +26,24 @@
 	os.Exit(m.Run())
 }
 
-// Guards against a program that is killed as it starts, or a grant that is dropped, because the agent's disk failed for a moment.
-func TestStateIsKeptThroughADiskThatFailsForAMoment(t *testing.T) {
+// Guards against a program that is killed at its start, or a grant that is dropped, because of a transient error of
+// the agent's disk: the agent kills a program whose record it cannot store, and begins no grant that it cannot store.
+func TestReplaceFileRetriesTransientDiskErrors(t *testing.T) {
 	for _, fault := range []faultinject.Rule{
 		{Call: faultinject.Open, Fault: "ENOSPC"}, {Call: faultinject.WriteFile, Fault: "ENOSPC"}, {Call: faultinject.WriteFile, Fault: "EIO"},
 		{Call: faultinject.WriteFile, Fault: faultinject.Short, Bytes: 1}, {Call: faultinject.Sync, Fault: "EIO"},
 	} {
 		fault.Path, fault.Share, fault.Most = "state.new", 1, 3
 		path := filepath.Join(t.TempDir(), "state")
-		cmd, err := faultinject.Command(t.Context(), 1, []string{asWriter + "=" + path}, fault)
+		cmd, err := faultinject.Command(t.Context(), 1, []string{writerPathEnv + "=" + path}, fault)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if out, err := cmd.CombinedOutput(); err != nil {
-			t.Errorf("%s %s: %v: %s", fault.Call, fault.Fault, err, out)
+			t.Errorf("%s %s: the writer failed: %v: %s", fault.Call, fault.Fault, err, out)
 		}
-		if kept, err := os.ReadFile(path); err != nil || string(kept) != "new" {
-			t.Errorf("%s %s: %q, %v", fault.Call, fault.Fault, kept, err)
+		if content, err := os.ReadFile(path); err != nil || string(content) != "new" {
+			t.Errorf("%s %s: the file holds %q, error %v, want \"new\"", fault.Call, fault.Fault, content, err)
 		}
 	}
 }
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -6,24 +6,24 @@
 	"wickarch/rollout"
 )
 
-// Faults lists one of each error of this package.
+// Faults returns a value of each error type of this package.
 func Faults() []rollout.Fault {
 	return []rollout.Fault{&NoVersion{}, &StateFailed{}, &StateDamaged{}, &AlreadyRuns{}, &HookFailed{}}
 }
 
-// NoVersion tells that a version is to be started that the agent's file does not have.
+// NoVersion reports that the agent's file has no command for the version to start.
 type NoVersion struct{ Version, Path string }
 
 func (e *NoVersion) Error() string {
-	return fmt.Sprintf("version %q is not in %s", e.Version, e.Path)
+	return fmt.Sprintf("there is no command for version %q in %s", e.Version, e.Path)
 }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *NoVersion) Remedy() string {
-	return "put the version's command under [versions] in the agent's file; it is read again at each start of the program"
+	return "add the version's command under [versions] in the agent's file, which is read again at each start of the program"
 }
 
-// StateFailed tells that the agent's memory could not be kept.
+// StateFailed reports that the agent's state could not be stored.
 type StateFailed struct {
 	Path string
 	Err  error
@@ -31,12 +31,12 @@
 
 func (e *StateFailed) Error() string { return fmt.Sprintf("%s can't be written: %v", e.Path, e.Err) }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *StateFailed) Remedy() string {
-	return "make room on the disk or mend it; until then the member goes on serving and does not go out"
+	return "free space on the disk or repair it; until then the member continues to serve and does not go out of service"
 }
 
-// StateDamaged tells that the agent's memory can't be read.
+// StateDamaged reports that the agent's state could not be decoded.
 type StateDamaged struct {
 	Path string
 	Err  error
@@ -44,31 +44,31 @@
 
 func (e *StateDamaged) Error() string { return fmt.Sprintf("%s can't be read: %v", e.Path, e.Err) }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *StateDamaged) Remedy() string {
-	return "move the file away and start the agent again: the coordinators give it its order again if it holds one; set version in its file to the one that runs"
+	return "set version in the agent's file to the one that is running, move the damaged file away and restart the agent: if it held a grant, the coordinators send that again"
 }
 
-// AlreadyRuns tells that another agent runs on the same folder.
+// AlreadyRuns reports that another agent uses the same directory.
 type AlreadyRuns struct{ Path string }
 
-func (e *AlreadyRuns) Error() string { return fmt.Sprintf("another agent runs on %s", e.Path) }
+func (e *AlreadyRuns) Error() string { return fmt.Sprintf("another agent uses %s", e.Path) }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *AlreadyRuns) Remedy() string {
-	return "stop the other agent, or give this one a folder and a name of its own"
+	return "stop the other agent, or give this one its own directory and name"
 }
 
-// HookFailed tells that an owner's command did not do what it is for.
+// HookFailed reports that a hook command failed.
 type HookFailed struct {
-	Hook string
-	Err  error
-	Said string
+	Hook   string
+	Err    error
+	Output string
 }
 
-func (e *HookFailed) Error() string { return fmt.Sprintf("hook %s: %v: %s", e.Hook, e.Err, e.Said) }
+func (e *HookFailed) Error() string { return fmt.Sprintf("hook %s: %v: %s", e.Hook, e.Err, e.Output) }
 
-// Remedy says what an operator can do.
+// Remedy implements rollout.Fault.
 func (e *HookFailed) Remedy() string {
-	return "run the command by hand as it stands in the agent's file, and mend it; the agent tries again"
+	return "run the command manually as it stands in the agent's file, and fix it; the agent retries it"
 }
--- a/internal/agent/program.go
+++ b/internal/agent/program.go
@@ -23,57 +23,57 @@
 	"wickarch/rollout"
 )
 
-// driver is how an agent acts on its member. No method waits for the program to do
-// what it is told; exited hears of its end.
+// driver controls a member's program. No method waits for the program to comply; its exit is
+// reported by the callback onExit.
 type driver interface {
 	launch(version string) error
 	standby()
 	terminate()
 	kill()
-	// look asks the program whether it is ready and what it has done. It may take
-	// as long as its time limit, and is called beside the others: it changes nothing.
-	look(ctx context.Context) seen
-	// figures makes of what was seen what is reported.
-	figures(s seen) rollout.Stats
-	// adopt finds the program that ran before this agent started.
+	// probe asks the program for its readiness and its request counts. It may take until ctx is
+	// done and runs concurrently with the other methods: it must not change the driver.
+	probe(ctx context.Context) probeResult
+	// stats returns the stats to report, given the result of the latest probe.
+	stats(result probeResult) rollout.Stats
+	// adopt finds the program that was already running when this agent started; nil for none.
 	adopt() *rollout.Running
 }
 
-// seen is what a look at a program tells.
-type seen struct {
-	ready, gone bool
-	classes     map[string]rollout.Count // nil where it does not tell
-	open        uint64                   // requests at that moment
+// probeResult is the result of a probe.
+type probeResult struct {
+	ready, stopped bool
+	classes        map[string]rollout.Count // nil if unknown
+	inFlight       uint64                   // requests in flight at that moment
 }
 
-// process drives a program that the agent starts. It outlives its agent, and the
-// next one finds it by what is written in the agent's folder.
-type process struct {
+// processDriver controls a program that the agent starts. The program survives its agent, and the
+// next agent finds it by the record in the agent's directory.
+type processDriver struct {
 	cfg    Config
 	dir    string
 	now    func() time.Duration
-	exited func(why string)
+	onExit func(why string)
 	client *http.Client
 
-	lived *alive
-	open  float64       // request seconds, as far as looked at
-	last  time.Duration // when it was looked at last
-	boot  uint64
+	program         *processRecord // nil if none has been started
+	inFlightSeconds float64        // see rollout.Stats
+	lastProbe       time.Duration  // when inFlightSeconds was last updated
+	bootID          uint64         // see rollout.Stats
 }
 
-// alive is a program that runs, as the agent's folder has it.
-type alive struct {
+// processRecord identifies a running program; it is stored in the agent's directory.
+type processRecord struct {
 	PID     int    `json:"pid"`
-	Start   uint64 `json:"start"` // clock ticks since the machine's start: with the number it names one process
+	Start   uint64 `json:"start"` // clock ticks from system boot to the process's start: with the PID, it identifies one process
 	Version string `json:"version"`
 }
 
-const mostLog = 4 << 20 // bytes of a program's log, before a new one is begun
+const maxLogBytes = 4 << 20 // a larger log is rotated when the program is started
 
-func (p *process) path() string { return filepath.Join(p.dir, "program.json") }
+func (p *processDriver) recordPath() string { return filepath.Join(p.dir, "program.json") }
 
-// startOf is when a process started, in clock ticks; 0 if there is none.
-func startOf(pid int) uint64 {
+// processStartTime returns when a process started, in clock ticks since system boot; 0 if it does not run.
+func processStartTime(pid int) uint64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -89,49 +89,50 @@
 	return n
 }
 
-func (p *process) adopt() *rollout.Running {
-	b, err := os.ReadFile(p.path())
-	var a alive
-	if err != nil || json.Unmarshal(b, &a) != nil || a.PID <= 0 || a.Start == 0 || startOf(a.PID) != a.Start {
+func (p *processDriver) adopt() *rollout.Running {
+	b, err := os.ReadFile(p.recordPath())
+	var record processRecord
+	if err != nil || json.Unmarshal(b, &record) != nil || record.PID <= 0 || record.Start == 0 ||
+		processStartTime(record.PID) != record.Start {
 		return nil
 	}
-	fd, err := unix.PidfdOpen(a.PID, 0)
-	if err != nil || startOf(a.PID) != a.Start {
+	fd, err := unix.PidfdOpen(record.PID, 0)
+	if err != nil || processStartTime(record.PID) != record.Start {
 		return nil
 	}
-	p.lived = &a
-	p.boot = a.Start
-	exited := p.exited
-	go func() { // it is no child of ours: the kernel tells its end by this descriptor
+	p.program = &record
+	p.bootID = record.Start
+	onExit := p.onExit
+	go func() { // it is not a child of this process: the pidfd becomes readable when it exits
 		defer func() { _ = unix.Close(fd) }()
 		for {
 			if _, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, -1); !errors.Is(err, unix.EINTR) {
 				break
 			}
 		}
-		exited("ended, and its exit code went to the agent before")
+		onExit("exited with an unknown code, as a previous agent started it")
 	}()
-	return &rollout.Running{Version: a.Version}
+	return &rollout.Running{Version: record.Version}
 }
 
-func (p *process) launch(version string) error {
+func (p *processDriver) launch(version string) error {
 	cfg := p.cfg
-	if again, err := LoadConfig(cfg.path); err == nil { // a build that was put in place since
-		cfg = again
+	if reloaded, err := LoadConfig(cfg.path); err == nil { // the version may have been added since
+		cfg = reloaded
 	}
 	command := cfg.Versions[version]
 	if len(command) == 0 {
 		return &NoVersion{version, cfg.path}
 	}
-	name := filepath.Join(p.dir, "program.log")
-	if st, err := os.Stat(name); err == nil && st.Size() > mostLog {
-		_ = os.Rename(name, name+".1") // or the log grows on: no reason not to start
+	logPath := filepath.Join(p.dir, "program.log")
+	if info, err := os.Stat(logPath); err == nil && info.Size() > maxLogBytes {
+		_ = os.Rename(logPath, logPath+".1") // if this fails, the log keeps growing, which must not prevent the start
 	}
-	log, err := os.OpenFile(name, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return &StateFailed{name, err}
+		return &StateFailed{logPath, err}
 	}
-	defer func() { _ = log.Close() }() // the program has a descriptor of its own
+	defer func() { _ = log.Close() }() // the program has its own descriptor
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(append(os.Environ(), cfg.Program.Env...), "WICKARCH_VERSION="+version, "WICKARCH_MEMBER="+cfg.Name)
 	cmd.Stdout, cmd.Stderr = log, log
@@ -139,40 +140,41 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	a := &alive{PID: cmd.Process.Pid, Start: startOf(cmd.Process.Pid), Version: version}
-	p.lived, p.open, p.boot = a, 0, a.Start
-	p.last = p.now()
-	if b, err := json.Marshal(a); err == nil {
-		if err := replaceFile(p.path(), b); err != nil {
-			// A later agent would start a second one beside it.
+	record := &processRecord{PID: cmd.Process.Pid, Start: processStartTime(cmd.Process.Pid), Version: version}
+	p.program, p.inFlightSeconds, p.bootID = record, 0, record.Start
+	p.lastProbe = p.now()
+	if b, err := json.Marshal(record); err == nil {
+		if err := replaceFile(p.recordPath(), b); err != nil {
+			// Without the record, the next agent would not find this program and would start a second one.
 			cmd.Process.Kill()
 			_ = cmd.Wait()
-			return &StateFailed{p.path(), err}
+			return &StateFailed{p.recordPath(), err}
 		}
 	}
-	exited := p.exited
+	onExit := p.onExit
 	go func() {
 		err := cmd.Wait()
 		why := "exit code 0"
 		if err != nil {
 			why = err.Error()
 		}
-		exited(why)
+		onExit(why)
 	}()
 	return nil
 }
 
-func (p *process) signal(s syscall.Signal) {
-	if a := p.lived; a != nil && startOf(a.PID) == a.Start {
-		_ = syscall.Kill(a.PID, s)
+// signal sends a signal to the program, unless it has exited and its PID may have been reused.
+func (p *processDriver) signal(sig syscall.Signal) {
+	if record := p.program; record != nil && processStartTime(record.PID) == record.Start {
+		_ = syscall.Kill(record.PID, sig)
 	}
 }
 
-func (p *process) terminate() { p.signal(syscall.SIGTERM) }
-func (p *process) kill()      { p.signal(syscall.SIGKILL) }
+func (p *processDriver) terminate() { p.signal(syscall.SIGTERM) }
+func (p *processDriver) kill()      { p.signal(syscall.SIGKILL) }
 
-func (p *process) standby() {
-	go func() { // not waited for: SIGTERM drains as well
+func (p *processDriver) standby() {
+	go func() { // best effort: SIGTERM drains as well
 		req, err := http.NewRequest(http.MethodPut, "http://"+p.cfg.Program.Admin+"/standby", nil)
 		if err != nil {
 			return
@@ -183,7 +185,7 @@
 	}()
 }
 
-func (p *process) get(ctx context.Context, path string) (int, []byte) {
+func (p *processDriver) get(ctx context.Context, path string) (int, []byte) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.cfg.Program.Admin+path, nil)
 	if err != nil {
 		return 0, nil
@@ -200,17 +202,17 @@
 	return resp.StatusCode, b
 }
 
-func (p *process) look(ctx context.Context) (s seen) {
+func (p *processDriver) probe(ctx context.Context) (result probeResult) {
 	code, _ := p.get(ctx, "/status")
 	if code != http.StatusOK {
-		return s
+		return result
 	}
-	s.ready = true
+	result.ready = true
 	code, b := p.get(ctx, "/status/metrics")
 	if code != http.StatusOK {
-		return s
+		return result
 	}
-	s.classes = map[string]rollout.Count{}
+	result.classes = map[string]rollout.Count{}
 	lines := bufio.NewScanner(strings.NewReader(string(b)))
 	for lines.Scan() {
 		name, value, ok := strings.Cut(lines.Text(), "=")
@@ -219,44 +221,46 @@
 			continue
 		}
 		kind, class, _ := strings.Cut(strings.TrimPrefix(name, "edge_node."), ".")
-		c := s.classes[class]
+		count := result.classes[class]
 		switch kind {
 		case "inflight":
-			s.open = n
+			result.inFlight = n
 			continue
 		case "success":
-			c.Served = n
+			count.Served = n
 		case "busy":
-			c.Refused = n
+			count.Refused = n
 		case "failure":
-			c.Failed = n
+			count.Failed = n
 		default:
 			continue
 		}
-		s.classes[class] = c
+		result.classes[class] = count
 	}
-	return s
+	return result
 }
 
-func (p *process) figures(s seen) rollout.Stats {
-	if s.classes == nil {
+func (p *processDriver) stats(result probeResult) rollout.Stats {
+	if result.classes == nil {
 		return rollout.Stats{}
 	}
-	// Requests open, added up over time: how many there are now stands for the time since the last look.
+	// The integral over time of the requests in flight: their present number is taken for the time since the last
+	// probe, of which at most 2 s count.
 	now := p.now()
-	p.open += float64(s.open) * min(now-p.last, 2*time.Second).Seconds()
-	p.last = now
-	return rollout.Stats{BootID: p.boot, Classes: s.classes, InFlightSeconds: p.open}
+	p.inFlightSeconds += float64(result.inFlight) * min(now-p.lastProbe, 2*time.Second).Seconds()
+	p.lastProbe = now
+	return rollout.Stats{BootID: p.bootID, Classes: result.classes, InFlightSeconds: p.inFlightSeconds}
 }
 
-// hooked drives a member by its owner's commands.
-type hooked struct {
-	cfg    Config
-	exited func(why string)
-	failed func(error)
+// hookDriver controls a member by the hook commands of its owner.
+type hookDriver struct {
+	cfg     Config
+	onExit  func(why string)
+	onError func(error)
 }
 
-func (h *hooked) run(ctx context.Context, name string, command []string, version string) error {
+// run runs a hook and waits for it. A hook without a command succeeds.
+func (h *hookDriver) run(ctx context.Context, name string, command []string, version string) error {
 	if len(command) == 0 {
 		return nil
 	}
@@ -270,72 +274,73 @@
 	return nil
 }
 
-const hookTime = 60 * time.Second
+const hookTimeout = 60 * time.Second
 
-func (h *hooked) start(name string, command []string, version string, then func(error)) {
+// runAsync runs a hook in the background. It reports an error to onError, and calls done, unless nil, with the result.
+func (h *hookDriver) runAsync(name string, command []string, version string, done func(error)) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), hookTime)
+		ctx, cancel := context.WithTimeout(context.Background(), hookTimeout)
 		defer cancel()
 		err := h.run(ctx, name, command, version)
 		if err != nil {
-			h.failed(err)
+			h.onError(err)
 		}
-		if then != nil {
-			then(err)
+		if done != nil {
+			done(err)
 		}
 	}()
 }
 
-func (h *hooked) launch(version string) error {
-	exited := h.exited
-	h.start("start", h.cfg.Hooks.Start, version, func(err error) {
+func (h *hookDriver) launch(version string) error {
+	onExit := h.onExit
+	h.runAsync("start", h.cfg.Hooks.Start, version, func(err error) {
 		if err != nil {
-			exited(err.Error())
+			onExit(err.Error())
 		}
 	})
 	return nil
 }
 
-func (h *hooked) standby() { h.start("drain", h.cfg.Hooks.Drain, "", nil) }
+func (h *hookDriver) standby() { h.runAsync("drain", h.cfg.Hooks.Drain, "", nil) }
 
-func (h *hooked) terminate() {
-	exited := h.exited
-	h.start("stop", h.cfg.Hooks.Stop, "", func(err error) {
+func (h *hookDriver) terminate() {
+	onExit := h.onExit
+	h.runAsync("stop", h.cfg.Hooks.Stop, "", func(err error) {
 		if err == nil {
-			exited("stopped as told")
+			onExit("stopped by the stop hook")
 		}
 	})
 }
 
-func (h *hooked) kill() {
+func (h *hookDriver) kill() {
 	if len(h.cfg.Hooks.Kill) == 0 {
 		h.terminate()
 		return
 	}
-	exited := h.exited
-	h.start("kill", h.cfg.Hooks.Kill, "", func(err error) {
+	onExit := h.onExit
+	h.runAsync("kill", h.cfg.Hooks.Kill, "", func(err error) {
 		if err == nil {
-			exited("killed")
+			onExit("killed")
 		}
 	})
 }
 
-func (h *hooked) look(ctx context.Context) seen {
+func (h *hookDriver) probe(ctx context.Context) probeResult {
 	err := h.run(ctx, "ready", h.cfg.Hooks.Ready, "")
-	return seen{ready: err == nil, gone: notRunning(err)}
+	return probeResult{ready: err == nil, stopped: notRunning(err)}
 }
 
-func (h *hooked) figures(seen) rollout.Stats { return rollout.Stats{} }
+func (h *hookDriver) stats(probeResult) rollout.Stats { return rollout.Stats{} }
 
-// notRunning tells whether a ready hook says that its program does not run.
+// notRunning reports whether the error of the ready hook means that the program is not running.
 func notRunning(err error) bool {
-	var f *HookFailed
+	var failed *HookFailed
 	var exit *exec.ExitError
-	return errors.As(err, &f) && errors.As(f.Err, &exit) && exit.ExitCode() == 3
+	return errors.As(err, &failed) && errors.As(failed.Err, &exit) && exit.ExitCode() == 3
 }
 
-func (h *hooked) adopt() *rollout.Running {
-	ctx, cancel := context.WithTimeout(context.Background(), hookTime)
+func (h *hookDriver) adopt() *rollout.Running {
+	ctx, cancel := context.WithTimeout(context.Background(), hookTimeout)
 	defer cancel()
 	err := h.run(ctx, "ready", h.cfg.Hooks.Ready, "")
 	if notRunning(err) {
@@ -346,12 +351,12 @@
 
 func newClient() *http.Client { return rolloutlink.NewHTTPClient(2 * time.Second) }
 
-// diskPatience is how long an agent waits for a disk that fails.
-const diskPatience = time.Second
+// diskRetryTimeout is how long a failed read or write of the agent's files is retried.
+const diskRetryTimeout = time.Second
 
-// replaceFile writes a file as a whole and syncs it. While the disk fails by errors that pass it is tried again.
+// replaceFile replaces a file atomically and syncs it. Transient errors are retried.
 func replaceFile(path string, b []byte) error {
-	_, err := retry.For(diskPatience, nil, func() (struct{}, error) { return struct{}{}, replaceOnce(path, b) })
+	_, err := retry.For(diskRetryTimeout, nil, func() (struct{}, error) { return struct{}{}, replaceOnce(path, b) })
 	return err
 }
 
@@ -364,8 +369,8 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon starts the long-running commands of a fleet, the agent and the
-// coordinator: their command line, their configuration file, their logger, the signals
-// that stop them and what they tell of an error before they exit.
+// Package daemon holds what the commands agent and coordinator share: parsing the command
+// line, loading the configuration file, the logger, the signals that stop them, and the
+// report of an error before they exit.
 package daemon
 
 import (
@@ -23,11 +23,11 @@
 
 // ConfigFile is the argument of a command that reads a configuration file.
 type ConfigFile struct {
-	Config string `arg:"" help:"The configuration." type:"path"`
+	Config string `arg:"" help:"The configuration file." type:"path"`
 }
 
-// Main parses the command line into commands, a pointer to a struct as kong takes it, runs
-// the command that was named, and exits with a failure if that returns an error.
+// Main parses the command line into commands, a pointer to a struct with kong's tags, runs the
+// selected command, and exits with exitFailure if it returns an error.
 func Main(name, description string, commands any) {
 	parsed := kong.Parse(commands, kong.Name(name), kong.Description(description), kong.UsageOnError())
 	if err := parsed.Run(); err != nil {
@@ -36,8 +36,8 @@
 	}
 }
 
-// report writes an error, with the remedy of one that has any. The exit code tells of a
-// failure even where this can't be written.
+// report writes an error, and its remedy if it has one. A failed write is ignored: the exit
+// code reports the failure as well.
 func report(w io.Writer, name string, err error) {
 	_, _ = fmt.Fprintf(w, "%s: %v\n", name, err)
 	var fault rollout.Fault
@@ -53,8 +53,9 @@
 	if err != nil {
 		return err
 	}
-	// The signals are held until the process has exited: were they let go when serve returns, a
-	// second SIGTERM would end a process that has done all its work as if it had crashed.
+	// The signal handler stays installed until the process exits. If it were removed when serve
+	// returns, a second SIGTERM would kill a process that has finished its work, and it would look
+	// like a crash.
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	return serve(ctx, config, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -15,26 +15,26 @@
 
 var errMissing = errors.New("no such file")
 
-// A configuration that does not load is the error, and nothing is served.
+// Guards against a daemon that serves without its configuration: a failed load is returned, and serve is not called.
 func TestRunReturnsTheErrorOfLoad(t *testing.T) {
 	err := Run("missing", func(path string) (int, error) { return 0, fmt.Errorf("%s: %w", path, errMissing) },
 		func(context.Context, int, *slog.Logger) error {
-			t.Error("served without a configuration")
+			t.Error("serve was called without a configuration")
 			return nil
 		})
 	if !errors.Is(err, errMissing) || !strings.HasPrefix(err.Error(), "missing: ") {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want the error of load with its prefix", err)
 	}
 }
 
-// Each of the two signals cancels the context; serve's error is returned.
+// Guards against a daemon that SIGTERM or SIGINT does not stop, and against a lost error of serve.
 func TestRunStopsOnASignal(t *testing.T) {
 	errServed := errors.New("served")
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		err := Run("file", func(path string) (string, error) { return "loaded " + path, nil },
 			func(ctx context.Context, config string, log *slog.Logger) error {
 				if config != "loaded file" || log == nil {
-					t.Errorf("configuration %q, logger %v", config, log)
+					t.Errorf("serve got configuration %q and logger %v", config, log)
 				}
 				if err := syscall.Kill(syscall.Getpid(), sig); err != nil {
 					return err
@@ -42,18 +42,18 @@
 				select {
 				case <-ctx.Done():
 				case <-time.After(10 * time.Second):
-					t.Errorf("%v does not cancel the context", sig)
+					t.Errorf("%v did not cancel the context within 10 s", sig)
 				}
 				return errServed
 			})
 		if err != errServed {
-			t.Errorf("%v: error %v", sig, err)
+			t.Errorf("%v: got error %v, want the error of serve", sig, err)
 		}
 	}
 }
 
-// An error is told after the command's name, with the remedy it has, if any.
-func TestReport(t *testing.T) {
+// Guards against an error that is reported without the command's name or without its remedy.
+func TestReportWritesTheErrorAndItsRemedy(t *testing.T) {
 	undecided := &rollout.Undecided{Why: "no answer"}
 	for _, test := range []struct {
 		err  error
@@ -64,7 +64,7 @@
 	} {
 		var out strings.Builder
 		if report(&out, "agent", test.err); out.String() != test.want {
-			t.Errorf("%v is told as %q, want %q", test.err, out.String(), test.want)
+			t.Errorf("report of %v wrote %q, want %q", test.err, out.String(), test.want)
 		}
 	}
 }
