--- a/cmd/wickarch-fleet/config.go
+++ b/cmd/wickarch-fleet/config.go
@@ -15,23 +15,23 @@
 	"wickarch/internal/rolloutlink"
 )
 
-// codeBehind: the version is in the log, and not in force everywhere in time.
-const codeBehind = 8
+// codeNotInForce is the exit code for a version that is in the log but was not in force everywhere within the timeout.
+const codeNotInForce = 8
 
 type configCommand struct {
-	Check  configCheck  `cmd:"" help:"Check a file, and tell its first fault with resource and line."`
-	Push   configPush   `cmd:"" help:"Make a file the newest version, and wait until it is in force."`
-	Status configStatus `cmd:"" help:"Tell which version is in force where, and who is missing."`
-	Show   configShow   `cmd:"" help:"Write the newest version as a file."`
-	Back   configBack   `cmd:"" help:"Put an earlier version in force again, as a new one."`
-	Forget configForget `cmd:"" help:"Forget an ingress that will not follow again."`
+	Check  configCheck  `cmd:"" help:"Check a configuration file and print its first fault with resource and line."`
+	Push   configPush   `cmd:"" help:"Publish a configuration file as the newest version and wait until it is in force."`
+	Status configStatus `cmd:"" help:"Show which version is in force where, and at which ingresses it is not."`
+	Show   configShow   `cmd:"" help:"Print the newest version as a configuration file."`
+	Back   configBack   `cmd:"" help:"Restore an earlier version as a new one."`
+	Forget configForget `cmd:"" help:"Remove an ingress that will not follow configuration again."`
 }
 
 type configCheck struct {
-	File string `arg:"" help:"The file." type:"path"`
+	File string `arg:"" help:"The configuration file." type:"path"`
 }
 
-// Run checks a file. It asks nobody.
+// Run checks a configuration file. It makes no call to a coordinator.
 func (c *configCheck) Run(f *fleet) error {
 	set, err := configfile.Load(c.File)
 	if err != nil {
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// config is the newest version, whole.
-func (f *fleet) config() (c rolloutlink.Config, set distribution.Set, err error) {
-	if err = f.ask(http.MethodGet, rolloutlink.PathConfig, nil, &c, rolloutlink.MaxConfigBytes); err != nil {
+// newestConfig returns the newest version, and its resources as a set.
+func (f *fleet) newestConfig() (c rolloutlink.Config, set distribution.Set, err error) {
+	if err = f.call(http.MethodGet, rolloutlink.PathConfig, nil, &c, rolloutlink.MaxConfigBytes); err != nil {
 		return c, nil, err
 	}
 	set = distribution.Set{}
@@ -53,9 +53,9 @@
 	return c, set, nil
 }
 
-// configure sends an order of configuration until it is decided, under one name, and returns
-// the version that it made.
-func (f *fleet) configure(e distribution.Entry) (uint64, error) {
+// sendConfigOrder sends an order that changes the configuration, and returns the version that it created.
+// Retries use the same request name, so it is applied at most once.
+func (f *fleet) sendConfigOrder(e distribution.Entry) (uint64, error) {
 	if e.By = f.By; e.By == "" {
 		e.By = "someone"
 		if u, err := user.Current(); err == nil {
@@ -65,136 +65,137 @@
 	if e.Request = f.Request; e.Request == "" {
 		e.Request = rand.Text()
 	}
-	var made rolloutlink.ConfigOrderReply
-	err := f.ask(http.MethodPost, rolloutlink.PathConfigOrder, e, &made, rolloutlink.MaxReportBytes)
-	return made.Version, err
+	var reply rolloutlink.ConfigOrderReply
+	err := f.call(http.MethodPost, rolloutlink.PathConfigOrder, e, &reply, rolloutlink.MaxReportBytes)
+	return reply.Version, err
 }
 
 type configPush struct {
-	File string        `arg:"" help:"The file." type:"path"`
-	Base *uint64       `help:"The version that the file was made from: refused if there is a newer one. The newest if left out."`
-	Wait time.Duration `help:"How long to wait until it is in force at all that are heard; 0 for not at all." default:"10s"`
+	File string        `arg:"" help:"The configuration file." type:"path"`
+	Base *uint64       `help:"The version that the file is based on: the push is refused if there is a newer one. The newest if omitted."`
+	Wait time.Duration `help:"How long to wait until it is in force at all live ingresses; 0 for no wait." default:"10s"`
 }
 
-// Run pushes a file.
+// Run publishes a configuration file.
 func (c *configPush) Run(f *fleet) error {
 	next, err := configfile.Load(c.File)
 	if err != nil {
 		return err
 	}
-	newest, now, err := f.config()
+	newest, current, err := f.newestConfig()
 	if err != nil {
 		return err
 	}
-	p := distribution.Push{Base: newest.Version, Hash: next.Sum()}
+	push := distribution.Push{Base: newest.Version, Hash: next.Sum()}
 	if c.Base != nil {
-		p.Base = *c.Base // compared where it is set, so that nobody's change is lost between
+		push.Base = *c.Base // the coordinator compares it with the newest version, so that no concurrent change is lost
 	}
 	for _, r := range next.List() {
-		if string(now[r.Key].Data) != string(r.Data) {
-			p.Set = append(p.Set, r)
+		if string(current[r.Key].Data) != string(r.Data) {
+			push.Set = append(push.Set, r)
 		}
 	}
-	for _, r := range now.List() {
-		if _, stays := next[r.Key]; !stays {
-			p.Delete = append(p.Delete, r.Key)
+	for _, r := range current.List() {
+		if _, kept := next[r.Key]; !kept {
+			push.Delete = append(push.Delete, r.Key)
 		}
 	}
-	version, err := f.configure(distribution.Entry{Push: &p})
+	version, err := f.sendConfigOrder(distribution.Entry{Push: &push})
 	if err != nil {
 		return err
 	}
 	if !f.JSON {
-		fmt.Printf("version %d: %d set, %d taken out\n", version, len(p.Set), len(p.Delete))
+		fmt.Printf("version %d: %d resources set, %d deleted\n", version, len(push.Set), len(push.Delete))
 	}
-	return f.await(version, c.Wait)
+	return f.awaitConfig(version, c.Wait)
 }
 
 type configBack struct {
-	To   uint64        `help:"The version to go back to." required:""`
-	Wait time.Duration `help:"How long to wait until it is in force at all that are heard; 0 for not at all." default:"10s"`
+	To   uint64        `help:"The version to restore." required:""`
+	Wait time.Duration `help:"How long to wait until it is in force at all live ingresses; 0 for no wait." default:"10s"`
 }
 
-// Run goes back.
+// Run restores an earlier version as a new one.
 func (c *configBack) Run(f *fleet) error {
-	newest, _, err := f.config()
+	newest, _, err := f.newestConfig()
 	if err != nil {
 		return err
 	}
-	version, err := f.configure(distribution.Entry{Back: &distribution.Back{Base: newest.Version, To: c.To}})
+	version, err := f.sendConfigOrder(distribution.Entry{Back: &distribution.Back{Base: newest.Version, To: c.To}})
 	if err != nil {
 		return err
 	}
 	if !f.JSON {
-		fmt.Printf("version %d: as version %d was\n", version, c.To)
+		fmt.Printf("version %d: restores version %d\n", version, c.To)
 	}
-	return f.await(version, c.Wait)
+	return f.awaitConfig(version, c.Wait)
 }
 
-// await waits until a version, or a newer one, is in force at all that are heard, and tells how it stands.
-func (f *fleet) await(version uint64, most time.Duration) error {
-	end := time.Now().Add(most)
+// awaitConfig waits until a version, or a newer one, is in force at all live ingresses, then prints the status.
+func (f *fleet) awaitConfig(version uint64, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for {
 		st, err := f.configStatus()
 		if err != nil {
 			return err
 		}
 		halted := st.Halt != nil && st.Halt.Version >= version
-		if st.Settled < version && !halted && time.Now().Before(end) {
+		if st.Settled < version && !halted && time.Now().Before(deadline) {
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		if err := f.tellConfig(st, false); err != nil {
+		if err := f.printConfigStatus(st, false); err != nil {
 			return err
 		}
 		switch {
 		case halted:
 			return status(codeHalted)
-		case st.Settled < version && most > 0:
-			return status(codeBehind)
+		case st.Settled < version && timeout > 0:
+			return status(codeNotInForce)
 		}
 		return nil
 	}
 }
 
 func (f *fleet) configStatus() (st distribution.Status, err error) {
-	err = f.ask(http.MethodGet, rolloutlink.PathConfigStatus, nil, &st, rolloutlink.MaxStatusBytes)
+	err = f.call(http.MethodGet, rolloutlink.PathConfigStatus, nil, &st, rolloutlink.MaxStatusBytes)
 	return st, err
 }
 
 type configStatus struct {
-	All bool `help:"Every follower, not only those where it is not in force."`
+	All bool `help:"List every ingress, not only those where the version is not in force."`
 }
 
-// Run tells how configuration stands.
+// Run prints the status of the configuration.
 func (c *configStatus) Run(f *fleet) error {
 	st, err := f.configStatus()
 	if err != nil {
 		return err
 	}
-	return f.tellConfig(st, c.All)
+	return f.printConfigStatus(st, c.All)
 }
 
-// mostMissing are named without --all.
-const mostMissing = 20
+// maxListedMissing is the number of ingresses without the version in force that are listed without --all.
+const maxListedMissing = 20
 
-func (f *fleet) tellConfig(st distribution.Status, all bool) error {
+func (f *fleet) printConfigStatus(st distribution.Status, all bool) error {
 	if f.JSON {
-		return f.print(st)
+		return f.printJSON(st)
 	}
-	fmt.Printf("version %d of %s: %d resources, %d bytes, %.12s; versions from %d on are kept\n", st.Version, st.By, st.Resources, st.Bytes, st.Hash, st.Oldest)
+	fmt.Printf("version %d by %s: %d resources, %d bytes, %.12s; the oldest version that can be restored is %d\n",
+		st.Version, st.By, st.Resources, st.Bytes, st.Hash, st.Oldest)
 	if st.Settled == st.Version {
-		fmt.Println("in force at all that are heard")
+		fmt.Println("in force at all live ingresses")
 	} else {
-		fmt.Printf("in force at all that are heard: version %d\n", st.Settled)
+		fmt.Printf("in force at all live ingresses: version %d\n", st.Settled)
 	}
 	if h := st.Halt; h != nil {
 		fmt.Printf("HALTED: %v\nwhat to do: %s\n", h, h.Remedy())
 	}
-	type count struct{ there, all int }
+	type count struct{ inForce, all int }
 	regions := map[string]*count{}
 	var names []string
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	missing := 0
 	for _, s := range st.Followers {
 		r := regions[s.Region]
@@ -205,12 +206,13 @@
 		}
 		r.all++
 		if s.Standing == distribution.InForce {
-			r.there++
+			r.inForce++
 		} else {
 			missing++
 		}
-		if all || s.Standing != distribution.InForce && missing <= mostMissing {
-			fmt.Fprintf(w, "%s\t%s\tversion %d\t%s\theard %v ago\t%s\n", s.Name, s.Region, s.Version, s.Standing, s.Heard.Round(100*time.Millisecond), s.Why)
+		if all || s.Standing != distribution.InForce && missing <= maxListedMissing {
+			fmt.Fprintf(table, "%s\t%s\tversion %d\t%s\tlast poll %v ago\t%s\n",
+				s.Name, s.Region, s.Version, s.Standing, s.Heard.Round(100*time.Millisecond), s.Why)
 		}
 	}
 	slices.Sort(names)
@@ -219,22 +221,22 @@
 		if label == "" {
 			label = "(no region)"
 		}
-		fmt.Printf("%s: %d of %d\n", label, regions[name].there, regions[name].all)
+		fmt.Printf("%s: %d of %d\n", label, regions[name].inForce, regions[name].all)
 	}
-	if err := w.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	if !all && missing > mostMissing {
-		fmt.Printf("and %d more: config status --all\n", missing-mostMissing)
+	if !all && missing > maxListedMissing {
+		fmt.Printf("and %d more, which config status --all lists\n", missing-maxListedMissing)
 	}
 	return nil
 }
 
 type configShow struct{}
 
-// Run writes the newest version.
+// Run prints the newest version as a configuration file.
 func (c *configShow) Run(f *fleet) error {
-	newest, set, err := f.config()
+	newest, set, err := f.newestConfig()
 	if err != nil {
 		return err
 	}
@@ -247,12 +249,12 @@
 }
 
 type configForget struct {
-	Follower string `arg:"" help:"Its name."`
+	Follower string `arg:"" help:"The name of the ingress."`
 }
 
-// Run forgets a follower.
+// Run removes a follower from the coordinators' state.
 func (c *configForget) Run(f *fleet) error {
-	if _, err := f.configure(distribution.Entry{Forget: c.Follower}); err != nil {
+	if _, err := f.sendConfigOrder(distribution.Entry{Forget: c.Follower}); err != nil {
 		return err
 	}
 	fmt.Println("forgotten: " + c.Follower)
--- a/cmd/wickarch-fleet/main.go
+++ b/cmd/wickarch-fleet/main.go
@@ -1,9 +1,9 @@
-// Command wickarch-fleet is what operators order rollouts, drains and configuration by.
+// Command wickarch-fleet is the operators' command for rollouts, drains and configuration of a fleet.
 //
-// Exit codes: 0 done as ordered; 1 something else went wrong; 2 the command line is
-// wrong; 3 the rollout stands halted; 4 it has gone back; 5 no coordinator or no
-// majority was reached; 6 it is not known whether the order was taken; 7 the order
-// was refused; 8 a version of configuration is not in force everywhere in time.
+// Exit codes: 0 done; 1 another error; 2 invalid command line; 3 the rollout is halted; 4 it is
+// rolled back; 5 no coordinator or no majority could be reached; 6 it is unknown whether the
+// order was applied; 7 the order was refused; 8 a configuration version was not in force
+// everywhere within the timeout.
 package main
 
 import (
@@ -30,42 +30,44 @@
 	"wickarch/rollout"
 )
 
-// The exit codes.
+// Exit codes, see the package comment; kong and main exit with 2.
 const (
 	codeOther       = 1
 	codeHalted      = 3
-	codeUndone      = 4
+	codeRolledBack  = 4
 	codeUnreachable = 5
 	codeUndecided   = 6
 	codeRefused     = 7
 )
 
-// fleet is what all commands share.
+// fleet holds the flags that all commands share, and makes their calls to the coordinators.
 type fleet struct {
-	Coordinators []string      `help:"Their addresses, host:port." env:"WICKARCH_COORDINATORS" placeholder:"ADDRESS"`
-	Patience     time.Duration `help:"How long to try." default:"15s"`
-	JSON         bool          `name:"json" help:"Answer in JSON."`
-	By           string        `help:"Who orders; your login if left out."`
-	Request      string        `help:"A name for this order: sent again under the same one, it counts once. Drawn if left out."`
+	Coordinators []string      `help:"Addresses of the coordinators, host:port." env:"WICKARCH_COORDINATORS" placeholder:"ADDRESS"`
+	Timeout      time.Duration `name:"patience" help:"How long to retry calls to the coordinators." default:"15s"`
+	JSON         bool          `name:"json" help:"Print JSON."`
+	By           string        `help:"Name of the operator; your login name if omitted."`
+	Request      string        `help:"A name for this order, which is applied once even if sent again under it. Random if omitted."`
 
 	http *http.Client
 }
 
-// status is an exit code with nothing to say.
+// status is the error of a command that exits with a code other than 0 and prints no error.
 type status int
 
 func (s status) Error() string { return fmt.Sprintf("exit code %d", int(s)) }
 
-func (f *fleet) ask(method, path string, in, out any, most int64) error {
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stop()
-	ctx, cancel := context.WithTimeout(ctx, f.Patience)
+// call makes a call to the coordinator that leads, and retries it until the timeout.
+func (f *fleet) call(method, path string, in, out any, maxBytes int64) error {
+	ctx, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stopSignals()
+	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
 	defer cancel()
-	return rolloutlink.CallLeader(ctx, f.http, f.Coordinators, method, path, in, out, most)
+	return rolloutlink.CallLeader(ctx, f.http, f.Coordinators, method, path, in, out, maxBytes)
 }
 
-// order sends an order until it is decided, under one name.
-func (f *fleet) order(e rollout.Entry, done string) error {
+// sendOrder sends an order and prints done when it is applied. Retries use the same request name, so it is
+// applied at most once.
+func (f *fleet) sendOrder(e rollout.Entry, done string) error {
 	if e.By = f.By; e.By == "" {
 		e.By = "someone"
 		if u, err := user.Current(); err == nil {
@@ -75,17 +77,17 @@
 	if e.Request = f.Request; e.Request == "" {
 		e.Request = rand.Text()
 	}
-	if err := f.ask(http.MethodPost, rolloutlink.PathOrder, e, nil, rolloutlink.MaxReportBytes); err != nil {
+	if err := f.call(http.MethodPost, rolloutlink.PathOrder, e, nil, rolloutlink.MaxReportBytes); err != nil {
 		return err
 	}
 	if f.JSON {
-		return f.print(map[string]string{"done": done, "request": e.Request})
+		return f.printJSON(map[string]string{"done": done, "request": e.Request})
 	}
 	fmt.Println(done)
 	return nil
 }
 
-func (f *fleet) print(v any) error {
+func (f *fleet) printJSON(v any) error {
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return err
@@ -95,30 +97,31 @@
 }
 
 func (f *fleet) status() (s rolloutlink.Status, err error) {
-	err = f.ask(http.MethodGet, rolloutlink.PathStatus, nil, &s, rolloutlink.MaxStatusBytes)
+	err = f.call(http.MethodGet, rolloutlink.PathStatus, nil, &s, rolloutlink.MaxStatusBytes)
 	return s, err
 }
 
 type startCommand struct {
 	ID       string        `arg:"" help:"A name for the rollout."`
-	Version  string        `help:"What to release, as the agents' files name it." required:""`
-	Role     string        `help:"Of the members." default:"ingress"`
-	Zones    []string      `help:"Of the members; all if left out."`
-	Waves    []string      `help:"How many are changed after each wave: numbers, shares, and 100% at last." default:"1,10%,50%,100%"`
-	ByZone   bool          `help:"A zone at a time."`
-	After    string        `help:"A rollout that has to be done before."`
-	Soak     time.Duration `help:"How long each wave serves before the next." default:"1m"`
-	Requests uint64        `help:"Wanted where changed, to judge by." default:"500"`
-	Wait     time.Duration `help:"How long without progress before it halts." default:"15m"`
-	Alpha    float64       `help:"Chance at most that a good release is halted by its figures." default:"0.01"`
-	Margin   float64       `help:"Difference of the shares refused or failed that does not matter." default:"0.02"`
-	Slower   float64       `help:"Factor of the mean latency that does not matter." default:"1.5"`
+	Version  string        `help:"The version to release, as named in the agents' files." required:""`
+	Role     string        `help:"Role of the members." default:"ingress"`
+	Zones    []string      `help:"Zones of the members; all if omitted."`
+	Waves    []string      `help:"Members changed by the end of each wave: numbers or percentages, at last 100%." default:"1,10%,50%,100%"`
+	ByZone   bool          `help:"Change one zone after another."`
+	After    string        `help:"A rollout that must be done first."`
+	Soak     time.Duration `help:"How long each wave must be in service before the next one." default:"1m"`
+	Requests uint64        `help:"Requests on changed members that a verdict requires." default:"500"`
+	Wait     time.Duration `help:"Time without progress after which the rollout halts." default:"15m"`
+	Alpha    float64       `help:"Maximum probability that a good release is halted by its stats." default:"0.01"`
+	Margin   float64       `help:"Tolerated increase of the share refused or failed." default:"0.02"`
+	Slower   float64       `help:"Tolerated increase of the mean latency, as a factor." default:"1.5"`
 }
 
 // Run starts a rollout.
 func (c *startCommand) Run(f *fleet) error {
 	spec := rollout.Spec{ID: c.ID, Role: c.Role, Zones: c.Zones, Version: c.Version, After: c.After, ByZone: c.ByZone,
-		Gate: rollout.Gate{Soak: c.Soak, MinRequests: c.Requests, StallTimeout: c.Wait, Alpha: c.Alpha, Margin: c.Margin, MaxLatencyFactor: c.Slower}}
+		Gate: rollout.Gate{Soak: c.Soak, MinRequests: c.Requests, StallTimeout: c.Wait,
+			Alpha: c.Alpha, Margin: c.Margin, MaxLatencyFactor: c.Slower}}
 	for _, w := range c.Waves {
 		size, err := parseWave(w)
 		if err != nil {
@@ -129,29 +132,29 @@
 	if err := spec.Check(); err != nil {
 		return err
 	}
-	return f.order(rollout.Entry{Start: &spec}, "started "+c.ID)
+	return f.sendOrder(rollout.Entry{Start: &spec}, "started "+c.ID)
 }
 
-// parseWave reads "3" or "10%".
-func parseWave(s string) (float64, error) {
-	share, percent := strings.CutSuffix(s, "%")
-	v, err := strconv.ParseFloat(share, 64)
+// parseWave parses a number of members such as "3", or a percentage such as "10%".
+func parseWave(text string) (float64, error) {
+	number, percent := strings.CutSuffix(text, "%")
+	value, err := strconv.ParseFloat(number, 64)
 	switch {
-	case err != nil || !(v > 0):
-		return 0, &rollout.BadRequest{What: fmt.Sprintf("a wave is a number of members or a share such as 10%%, not %q", s)}
-	case percent && v >= 100:
+	case err != nil || !(value > 0):
+		return 0, &rollout.BadRequest{What: fmt.Sprintf("a wave must be a number of members or a percentage such as 10%%, not %q", text)}
+	case percent && value >= 100:
 		return rollout.AllMembers, nil
 	case percent:
-		return v / 100, nil
-	case v < 1 || v != float64(int(v)):
-		return 0, &rollout.BadRequest{What: fmt.Sprintf("a wave is a whole number of members, not %q", s)}
+		return value / 100, nil
+	case value < 1 || value != float64(int(value)):
+		return 0, &rollout.BadRequest{What: fmt.Sprintf("a wave must be a whole number of members, not %q", text)}
 	}
-	return v, nil
+	return value, nil
 }
 
 type haltCommand struct {
 	ID  string `arg:"" help:"The rollout."`
-	Why string `help:"For those who look at it later." default:"halted by hand"`
+	Why string `help:"The reason, shown in status." default:"halted by hand"`
 }
 
 // Run halts a rollout.
@@ -160,12 +163,12 @@
 	if u, err := user.Current(); by == "" && err == nil {
 		by = u.Username
 	}
-	return f.order(rollout.Entry{Halt: rollout.NewHaltEntry(c.ID, &rollout.HaltedByOperator{By: by, Why: c.Why})}, "halted "+c.ID)
+	return f.sendOrder(rollout.Entry{Halt: rollout.NewHaltEntry(c.ID, &rollout.HaltedByOperator{By: by, Why: c.Why})}, "halted "+c.ID)
 }
 
 type resumeCommand struct {
 	ID   string `arg:"" help:"The rollout."`
-	Halt uint64 `help:"The number of the halt that you have seen: a later one holds. The one there is now if left out."`
+	Halt uint64 `help:"The number of the halt to lift: a later halt stays in force. The present halt if omitted."`
 }
 
 // Run lifts the halt of a rollout.
@@ -181,28 +184,28 @@
 			}
 		}
 	}
-	return f.order(rollout.Entry{Resume: &rollout.ResumeEntry{Rollout: c.ID, Number: c.Halt}}, "resumed "+c.ID)
+	return f.sendOrder(rollout.Entry{Resume: &rollout.ResumeEntry{Rollout: c.ID, Number: c.Halt}}, "resumed "+c.ID)
 }
 
 type backCommand struct {
 	ID string `arg:"" help:"The rollout."`
 }
 
-// Run has a rollout go back.
+// Run rolls a rollout back.
 func (c *backCommand) Run(f *fleet) error {
-	return f.order(rollout.Entry{Rollback: c.ID}, "going back: "+c.ID)
+	return f.sendOrder(rollout.Entry{Rollback: c.ID}, "rolling back: "+c.ID)
 }
 
 type watchCommand struct {
 	ID    string        `arg:"" help:"The rollout."`
-	Every time.Duration `help:"How often to look." default:"2s"`
-	For   time.Duration `help:"How long to watch at most; 0 for until it ends or halts." default:"0s"`
+	Every time.Duration `help:"Interval between two checks." default:"2s"`
+	For   time.Duration `help:"Maximum time to watch; 0 for until it ends or halts." default:"0s"`
 }
 
-// Run watches a rollout until it ends or halts, and ends with what became of it.
+// Run watches a rollout until it ends or halts. The exit code tells which.
 func (c *watchCommand) Run(f *fleet) error {
-	began := time.Now()
-	last := ""
+	started := time.Now()
+	lastPrinted := ""
 	for {
 		s, err := f.status()
 		var remote *rollout.RemoteError
@@ -216,36 +219,36 @@
 		if err == nil {
 			r := s.Rollouts[i]
 			if f.JSON {
-				if b, err := json.Marshal(r); err == nil && string(b) != last {
-					last = string(b)
-					fmt.Println(last)
+				if b, err := json.Marshal(r); err == nil && string(b) != lastPrinted {
+					lastPrinted = string(b)
+					fmt.Println(lastPrinted)
 				}
-			} else if text := words(s, r); text != last {
-				last = text
+			} else if text := describe(s, r); text != lastPrinted {
+				lastPrinted = text
 				fmt.Printf("%s %s", time.Now().Format(time.TimeOnly), text)
 			}
 			switch {
 			case r.Phase == rollout.Done:
 				return nil
 			case r.Phase == rollout.RolledBack:
-				return status(codeUndone)
+				return status(codeRolledBack)
 			case r.Halt != nil:
 				return status(codeHalted)
 			}
 		}
-		if c.For > 0 && time.Since(began) > c.For {
+		if c.For > 0 && time.Since(started) > c.For {
 			return status(codeOther)
 		}
 		time.Sleep(c.Every)
 	}
 }
 
-// words tells how a rollout stands, in lines.
-func words(s rolloutlink.Status, r rollout.Progress) string {
+// describe returns the progress of a rollout in one or more lines.
+func describe(s rolloutlink.Status, r rollout.Progress) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s to %s: %s, wave %d of %d, %d of %d members", r.ID, r.Version, r.Phase, r.Wave, r.Waves, r.Done, r.Total)
 	if r.TimeLeft > 0 && r.Done < r.Total {
-		fmt.Fprintf(&b, ", some %v left", r.TimeLeft.Round(time.Second))
+		fmt.Fprintf(&b, ", about %v left", r.TimeLeft.Round(time.Second))
 	}
 	b.WriteByte('\n')
 	if r.Halt != nil {
@@ -255,7 +258,7 @@
 		fmt.Fprintf(&b, "  %s\n", r.Gate)
 	}
 	for _, w := range r.WaitingFor {
-		fmt.Fprintf(&b, "  waits for %s\n", w)
+		fmt.Fprintf(&b, "  waiting for %s\n", w)
 	}
 	for _, m := range s.Members {
 		if m.Out != "" && m.Grant == nil {
@@ -266,19 +269,19 @@
 }
 
 type statusCommand struct {
-	All bool `help:"List all members, not those alone that are out or changing."`
+	All bool `help:"List all members, not only those that are out or changing."`
 }
 
-// Run tells how all stands.
+// Run prints the status of the fleet.
 func (c *statusCommand) Run(f *fleet) error {
 	s, err := f.status()
 	if err != nil {
 		return err
 	}
 	if f.JSON {
-		return f.print(s)
+		return f.printJSON(s)
 	}
-	fmt.Printf("coordinator %d leads (term %d, log %d)\n", s.Coordinator, s.Term, s.Index)
+	fmt.Printf("coordinator %d leads (term %d, log index %d)\n", s.Coordinator, s.Term, s.Index)
 	for _, id := range slices.Sorted(maps.Keys(s.Coordinators)) {
 		fmt.Printf("coordinator %d at %s\n", id, s.Coordinators[id])
 	}
@@ -286,150 +289,153 @@
 		fmt.Printf("nothing is granted: %s\n", s.GrantsBlocked)
 	}
 	if s.Stop != nil {
-		fmt.Printf("everything is stopped (number %d, %s): %s\nwhat to do: %s\n", s.Stop.Number, s.Stop.Kind, s.Stop.Text, s.Stop.Remedy)
+		fmt.Printf("all grants are stopped (number %d, %s): %s\nwhat to do: %s\n", s.Stop.Number, s.Stop.Kind, s.Stop.Text, s.Stop.Remedy)
 	}
-	t := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "budget\tof\tout\tmost\tweight out\tallowed\tmembers")
+	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "budget\tgroup\tout\tmax out\tweight out\tmax weight out\tmembers")
 	for _, b := range s.Budgets {
-		most, share := "-", "-"
+		maxOut, share := "-", "-"
 		if b.MaxOut > 0 {
-			most = fmt.Sprint(b.MaxOut)
+			maxOut = fmt.Sprint(b.MaxOut)
 		}
 		if b.Share > 0 {
 			share = fmt.Sprintf("%.1f%%", 100*b.Share)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%.1f%%\t%s\t%d\n", b.Budget, b.Group, b.Out, most, 100*b.Weight, share, b.Members)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%.1f%%\t%s\t%d\n", b.Budget, b.Group, b.Out, maxOut, 100*b.Weight, share, b.Members)
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	for _, r := range s.Rollouts {
-		fmt.Print(words(rolloutlink.Status{}, r))
+		fmt.Print(describe(rolloutlink.Status{}, r))
 	}
-	fmt.Fprintln(t, "member\tzone\tversion\tdoes\tcounts as out\tdenied\tcan't")
+	fmt.Fprintln(table, "member\tzone\tversion\tstate\tcounts as out\tdenied\tfailed")
 	for _, m := range s.Members {
 		if c.All || m.Out != "" || m.Denied != "" || m.Failed != "" || m.Drain != "" {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Zone, m.Version, m.State, m.Out, m.Denied, m.Failed)
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Zone, m.Version, m.State, m.Out, m.Denied, m.Failed)
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 type drainCommand struct {
 	Member string `arg:"" help:"The member."`
 }
 
-// Run wants a member out.
+// Run orders a member to be drained.
 func (c *drainCommand) Run(f *fleet) error {
-	return f.order(rollout.Entry{Drain: c.Member}, "to be drained, when the budgets have room: "+c.Member)
+	return f.sendOrder(rollout.Entry{Drain: c.Member}, "will be drained when the budgets allow it: "+c.Member)
 }
 
 type undrainCommand struct {
 	Member string `arg:"" help:"The member."`
 }
 
-// Run wants a drained member back.
+// Run orders a drained member back into service.
 func (c *undrainCommand) Run(f *fleet) error {
-	return f.order(rollout.Entry{Undrain: c.Member}, "to come back: "+c.Member)
+	return f.sendOrder(rollout.Entry{Undrain: c.Member}, "will return to service: "+c.Member)
 }
 
 type forgetCommand struct {
-	Member string `arg:"" help:"The member, which is gone for good."`
+	Member string `arg:"" help:"The member, which will not return."`
 }
 
-// Run forgets a member.
+// Run removes a member from the coordinators' state.
 func (c *forgetCommand) Run(f *fleet) error {
-	return f.order(rollout.Entry{Forget: c.Member}, "forgotten: "+c.Member)
+	return f.sendOrder(rollout.Entry{Forget: c.Member}, "forgotten: "+c.Member)
 }
 
 type stopCommand struct {
-	Why string `help:"For those who look at it later." default:"stopped by hand"`
+	Why string `help:"The reason, shown in status." default:"stopped by hand"`
 }
 
-// Run stops all grants.
+// Run stops all grants until the stop is lifted.
 func (c *stopCommand) Run(f *fleet) error {
 	by := f.By
 	if u, err := user.Current(); by == "" && err == nil {
 		by = u.Username
 	}
-	return f.order(rollout.Entry{Halt: rollout.NewHaltEntry("", &rollout.HaltedByOperator{By: by, Why: c.Why})}, "stopped: nothing new goes out")
+	return f.sendOrder(rollout.Entry{Halt: rollout.NewHaltEntry("", &rollout.HaltedByOperator{By: by, Why: c.Why})},
+		"stopped: no further member goes out of service")
 }
 
 type liftCommand struct {
-	Halt uint64 `help:"The number of the stop that you have seen." required:""`
+	Halt uint64 `help:"The number of the stop to lift." required:""`
 }
 
 // Run lifts a stop.
 func (c *liftCommand) Run(f *fleet) error {
-	return f.order(rollout.Entry{Resume: &rollout.ResumeEntry{Number: c.Halt}}, "lifted")
+	return f.sendOrder(rollout.Entry{Resume: &rollout.ResumeEntry{Number: c.Halt}}, "lifted")
 }
 
 type replaceCommand struct {
-	Old     uint64 `arg:"" help:"The number of the coordinator that is gone for good."`
-	New     uint64 `arg:"" help:"The number of the one in its place, which runs with --join."`
-	Address string `arg:"" help:"Its address, host:port."`
+	Old     uint64 `arg:"" help:"The ID of the coordinator to replace, which will not return."`
+	New     uint64 `arg:"" help:"The ID of the new coordinator, which runs with --join."`
+	Address string `arg:"" help:"The new coordinator's address, host:port."`
 }
 
 // Run replaces a coordinator.
 func (c *replaceCommand) Run(f *fleet) error {
-	if err := f.ask(http.MethodPost, rolloutlink.PathReplace, rolloutlink.Replace{Old: c.Old, New: c.New, Address: c.Address}, nil, rolloutlink.MaxReportBytes); err != nil {
+	if err := f.call(http.MethodPost, rolloutlink.PathReplace, rolloutlink.Replace{Old: c.Old, New: c.New, Address: c.Address},
+		nil, rolloutlink.MaxReportBytes); err != nil {
 		return err
 	}
-	fmt.Println("on its way: see status")
+	fmt.Println("replacement started: see status")
 	return nil
 }
 
 func main() {
-	var line struct {
+	var commandLine struct {
 		fleet
 		Rollout struct {
-			Start  startCommand  `cmd:"" help:"Start a release."`
-			Watch  watchCommand  `cmd:"" help:"Watch it until it ends or halts."`
-			Halt   haltCommand   `cmd:"" help:"Halt it; holds until somebody resumes it."`
-			Resume resumeCommand `cmd:"" help:"Lift its halt."`
-			Back   backCommand   `cmd:"" help:"Go back to the version before."`
-		} `cmd:"" help:"Releases."`
+			Start  startCommand  `cmd:"" help:"Start a rollout."`
+			Watch  watchCommand  `cmd:"" help:"Watch a rollout until it ends or halts."`
+			Halt   haltCommand   `cmd:"" help:"Halt a rollout until it is resumed."`
+			Resume resumeCommand `cmd:"" help:"Lift the halt of a rollout."`
+			Back   backCommand   `cmd:"" help:"Roll back to the prior version."`
+		} `cmd:"" help:"Rollouts of releases."`
 		Config      configCommand  `cmd:"" help:"Configuration of all ingresses."`
-		Status      statusCommand  `cmd:"" help:"Tell who is out, why, and what is waited for."`
-		Drain       drainCommand   `cmd:"" help:"Take a member out, when the budgets have room."`
-		Undrain     undrainCommand `cmd:"" help:"Bring a drained member back."`
-		Forget      forgetCommand  `cmd:"" help:"Forget a member that is gone for good."`
-		Stop        stopCommand    `cmd:"" help:"Stop all: nothing new goes out."`
+		Status      statusCommand  `cmd:"" help:"Show which members are out of service and why, and what rollouts wait for."`
+		Drain       drainCommand   `cmd:"" help:"Take a member out of service when the budgets allow it."`
+		Undrain     undrainCommand `cmd:"" help:"Bring a drained member back into service."`
+		Forget      forgetCommand  `cmd:"" help:"Remove a member that will not return."`
+		Stop        stopCommand    `cmd:"" help:"Stop all grants: no further member goes out of service."`
 		Lift        liftCommand    `cmd:"" help:"Lift a stop."`
 		Coordinator struct {
-			Replace replaceCommand `cmd:"" help:"Put a new coordinator in the place of one that is gone for good."`
+			Replace replaceCommand `cmd:"" help:"Replace a coordinator that will not return by a new one."`
 		} `cmd:"" help:"Coordinators."`
 	}
-	k := kong.Parse(&line, kong.Name("wickarch-fleet"), kong.Description("Orders rollouts, drains and configuration of a fleet."), kong.UsageOnError(),
+	parsed := kong.Parse(&commandLine, kong.Name("wickarch-fleet"),
+		kong.Description("Controls rollouts, drains and configuration of a fleet."), kong.UsageOnError(),
 		kong.Exit(func(code int) {
 			if code != 0 {
 				code = 2
 			}
 			os.Exit(code)
 		}))
-	if len(line.Coordinators) == 0 && !strings.HasPrefix(k.Command(), "config check") {
-		k.Errorf("missing flags: --coordinators=ADDRESS,... (or WICKARCH_COORDINATORS)")
+	if len(commandLine.Coordinators) == 0 && !strings.HasPrefix(parsed.Command(), "config check") {
+		parsed.Errorf("missing flags: --coordinators=ADDRESS,... (or WICKARCH_COORDINATORS)")
 		os.Exit(2)
 	}
-	line.fleet.http = rolloutlink.NewHTTPClient(12 * time.Second)
-	if err := k.Run(&line.fleet); err != nil {
-		os.Exit(end(&line.fleet, err))
+	commandLine.fleet.http = rolloutlink.NewHTTPClient(12 * time.Second)
+	if err := parsed.Run(&commandLine.fleet); err != nil {
+		os.Exit(reportError(&commandLine.fleet, err))
 	}
 }
 
-// end tells an error and its remedy, and gives the exit code.
-func end(f *fleet, err error) int {
-	var s status
-	if errors.As(err, &s) {
-		return int(s)
+// reportError prints an error and its remedy, and returns the exit code.
+func reportError(f *fleet, err error) int {
+	var code status
+	if errors.As(err, &code) {
+		return int(code)
 	}
-	t := rollout.ToRemoteError(err)
+	remote := rollout.ToRemoteError(err)
 	if f.JSON {
-		_ = f.print(map[string]any{"error": t}) // plain strings: always made
+		_ = f.printJSON(map[string]any{"error": remote}) // cannot fail: it holds only strings
 	} else {
-		fmt.Fprintf(os.Stderr, "wickarch-fleet: %s (%s)\nwhat to do: %s\n", t.Text, t.Kind, t.Advice)
+		fmt.Fprintf(os.Stderr, "wickarch-fleet: %s (%s)\nwhat to do: %s\n", remote.Text, remote.Kind, remote.Advice)
 	}
-	switch t.Kind {
+	switch remote.Kind {
 	case "Unreachable", "NotLeader", "NoMajority", "Busy":
 		return codeUnreachable
 	case "Undecided":
