--- a/internal/agent/program.go
+++ b/internal/agent/program.go
@@ -117,7 +117,7 @@
 
 func (p *processDriver) launch(version string) error {
 	cfg := p.cfg
-	if reloaded, err := LoadConfig(cfg.path); err == nil { // the version may have been added since
+	if reloaded, err := LoadConfig(cfg.path); err == nil { // the commands may have changed since the agent started
 		cfg = reloaded
 	}
 	command := cfg.Versions[version]
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// send queues a message for its receiver. Each peer has its own goroutine, which makes its calls.
+// send queues a message for its receiver. Each peer has its own goroutine and its own connection.
 func (s *Server) send(ctx context.Context, senders *sync.WaitGroup, m replica.Message) {
 	address := s.replica.Peers()[m.To]
 	for _, p := range s.cfg.Peers {
