--- a/cmd/bench/followers/main.go
+++ b/cmd/bench/followers/main.go
@@ -91,7 +91,7 @@
 func (*hollow) CheckConfig([]distribution.Resource) error { return nil }
 
 // Configure notes the time. A version comes once more when it has settled.
-func (h *hollow) Configure(u *distribution.InUse) error {
+func (h *hollow) Configure(u *distribution.Active) error {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	if u.Version == h.has {
@@ -106,14 +106,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel, h.done = cancel, make(chan struct{})
 	cfg := follower.Config{Name: fmt.Sprint("h", h.n), Region: fmt.Sprint("r", h.n%2), Coordinators: h.fleet.control.Addresses, Dir: h.folder()}
-	client := countedClient(cfg.Patience(), &h.fleet.traffic)
+	client := countedClient(cfg.PollTimeout(), &h.fleet.traffic)
 	go func() {
 		defer close(h.done)
 		if h.fleet.Whole {
 			h.poll(ctx, client)
 			return
 		}
-		f := follower.NewWith(cfg, h, slog.New(slog.DiscardHandler), client)
+		f := follower.NewWithClient(cfg, h, slog.New(slog.DiscardHandler), client)
 		f.Run(ctx, h)
 	}()
 }
@@ -150,7 +150,7 @@
 		}
 		if set.Sum() == c.Hash {
 			version = c.Version
-			_ = h.Configure(&distribution.InUse{Version: version}) // a hollow follower takes any
+			_ = h.Configure(&distribution.Active{Version: version}) // a hollow follower takes any
 		}
 	}
 }
--- a/cmd/wickarch-fleet/config.go
+++ b/cmd/wickarch-fleet/config.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	version, err := f.configure(distribution.Entry{Back: &distribution.Back{Base: newest.Version, To: c.To}})
+	version, err := f.configure(distribution.Entry{Rollback: &distribution.Rollback{Base: newest.Version, To: c.To}})
 	if err != nil {
 		return err
 	}
@@ -204,13 +204,13 @@
 			names = append(names, s.Region)
 		}
 		r.all++
-		if s.Standing == distribution.InForce {
+		if s.Sync == distribution.SyncInForce {
 			r.there++
 		} else {
 			missing++
 		}
-		if all || s.Standing != distribution.InForce && missing <= mostMissing {
-			fmt.Fprintf(w, "%s\t%s\tversion %d\t%s\theard %v ago\t%s\n", s.Name, s.Region, s.Version, s.Standing, s.Heard.Round(100*time.Millisecond), s.Why)
+		if all || s.Sync != distribution.SyncInForce && missing <= mostMissing {
+			fmt.Fprintf(w, "%s\t%s\tversion %d\t%s\theard %v ago\t%s\n", s.Name, s.Region, s.Version, s.Sync, s.SinceLastPoll.Round(100*time.Millisecond), s.Why)
 		}
 	}
 	slices.Sort(names)
@@ -238,7 +238,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := configfile.Text(set)
+	text, err := configfile.Format(set)
 	if err != nil {
 		return err
 	}
--- a/distribution/cases_test.go
+++ b/distribution/cases_test.go
@@ -42,13 +42,13 @@
 		g.must(Entry{Join: &Join{map[string]string{n: "r"}}})
 	}
 	timing := DefaultTiming()
-	timing.Fresh = 0 // its own test has it
+	timing.MaxStaleness = 0 // its own test has it
 	return NewPublisher(timing, g.c, now)
 }
 
-func (g *rig) follower(name string, kept *Kept) *Follower {
+func (g *rig) follower(name string, kept *StoredConfig) *Follower {
 	g.t.Helper()
-	f, err := NewFollower(FollowerConfig{Name: name, Region: "r", Life: 1, Coordinators: 3, Patience: DefaultPatience}, kept, 1, 0)
+	f, err := NewFollower(FollowerConfig{Name: name, Region: "r", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, kept, 1, 0)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -92,16 +92,16 @@
 	save, err := f.Replied(now, number, r)
 	if save != nil {
 		f.Saved(now, nil)
-		f.Using(now)
+		f.Activated(now)
 	}
 	return err
 }
 
-func keptOf(c *Catalog) *Kept {
-	return &Kept{State: State{c.Version, c.Hash, c.Resources}, Settled: c.Settled}
+func keptOf(c *Catalog) *StoredConfig {
+	return &StoredConfig{State: State{c.Version, c.Hash, c.Resources}, Settled: c.Settled}
 }
 
-func goldRate(t *testing.T, u *InUse) float64 {
+func goldRate(t *testing.T, u *Active) float64 {
 	t.Helper()
 	p, err := u.Plan(KeyOf(KindPlan, "gold"))
 	if err != nil {
@@ -128,18 +128,18 @@
 	// Lost: the next question gets it again, and the late one counts no more.
 	f.Failed(2*time.Second, q.Number, -1)
 	q3 := ask(t, f, 4*time.Second)
-	if err := give(f, 4*time.Second, q.Number, r2); err != nil || f.InUse().Version != 1 {
-		t.Fatalf("a reply that was given up is taken: %v, version %d", err, f.InUse().Version)
+	if err := give(f, 4*time.Second, q.Number, r2); err != nil || f.Active().Version != 1 {
+		t.Fatalf("a reply that was given up is taken: %v, version %d", err, f.Active().Version)
 	}
 	r3, _, _ := p.Poll(4*time.Second, q3)
-	if err := give(f, 4*time.Second, q3.Number, r3); err != nil || f.InUse().Version != 2 {
-		t.Fatal(err, f.InUse().Version)
+	if err := give(f, 4*time.Second, q3.Number, r3); err != nil || f.Active().Version != 2 {
+		t.Fatal(err, f.Active().Version)
 	}
 	// Repeated to another question: it is for another base.
 	g.push(3)
 	q4 := ask(t, f, 5*time.Second)
-	if err := give(f, 5*time.Second, q4.Number, r2); !as[*WrongBase](err) || f.InUse().Version != 2 {
-		t.Fatalf("%v, version %d", err, f.InUse().Version)
+	if err := give(f, 5*time.Second, q4.Number, r2); !as[*WrongBase](err) || f.Active().Version != 2 {
+		t.Fatalf("%v, version %d", err, f.Active().Version)
 	}
 	// Of the same version with another hash.
 	q5 := ask(t, f, 6*time.Second)
@@ -153,11 +153,11 @@
 	q6 := ask(t, f, 7*time.Second)
 	other = *r5.Difference
 	other.Set = []Resource{planOf(t, "gold", 9)}
-	if err := give(f, 7*time.Second, q6.Number, Reply{Difference: &other}); !as[*WrongHash](err) || f.InUse().Version != 2 || goldRate(t, f.InUse()) > 2 {
+	if err := give(f, 7*time.Second, q6.Number, Reply{Difference: &other}); !as[*WrongHash](err) || f.Active().Version != 2 || goldRate(t, f.Active()) > 2 {
 		t.Fatal(err)
 	}
-	if r, err := exchange(t, f, p, 8*time.Second); err != nil || r.State == nil || f.InUse().Version != 3 {
-		t.Fatalf("%v; %+v; version %d", err, r, f.InUse().Version)
+	if r, err := exchange(t, f, p, 8*time.Second); err != nil || r.State == nil || f.Active().Version != 3 {
+		t.Fatalf("%v; %+v; version %d", err, r, f.Active().Version)
 	}
 }
 
@@ -167,14 +167,14 @@
 	old := keptOf(g.c).State
 	g.push(2)
 	f := g.follower("a", keptOf(g.c))
-	if err := give(f, 0, ask(t, f, 0).Number, Reply{State: &old, Settled: 1}); err != nil || f.InUse().Version != 2 {
-		t.Fatalf("it goes back to version %d (%v)", f.InUse().Version, err)
+	if err := give(f, 0, ask(t, f, 0).Number, Reply{State: &old, Settled: 1}); err != nil || f.Active().Version != 2 {
+		t.Fatalf("it goes back to version %d (%v)", f.Active().Version, err)
 	}
 	f = g.follower("b", nil)
 	bad := old
 	bad.Resources = []Resource{planOf(t, "gold", 7)}
-	if err := give(f, 0, ask(t, f, 0).Number, Reply{State: &bad}); !as[*WrongHash](err) || f.InUse().Version != 0 {
-		t.Fatal(err, f.InUse().Version)
+	if err := give(f, 0, ask(t, f, 0).Number, Reply{State: &bad}); !as[*WrongHash](err) || f.Active().Version != 0 {
+		t.Fatal(err, f.Active().Version)
 	}
 }
 
@@ -191,15 +191,15 @@
 	before := stale.publisher(0, "a")
 	set, _ := g.c.At(2)
 	hash, _ := g.c.hashAt(2)
-	f := g.follower("a", &Kept{State: State{2, hash, set.List()}, Settled: 2})
+	f := g.follower("a", &StoredConfig{State: State{2, hash, set.List()}, Settled: 2})
 	// To version 3 by the one that knows no settling of 2: the ceiling of 2 holds on all the same.
-	if _, err := exchange(t, f, before, time.Second); err != nil || f.InUse().Version != 3 || f.InUse().Settled != 2 || goldRate(t, f.InUse()) != 50 {
-		t.Fatalf("%v; version %d, settled %d, %v", err, f.InUse().Version, f.InUse().Settled, goldRate(t, f.InUse()))
+	if _, err := exchange(t, f, before, time.Second); err != nil || f.Active().Version != 3 || f.Active().Settled != 2 || goldRate(t, f.Active()) != 50 {
+		t.Fatalf("%v; version %d, settled %d, %v", err, f.Active().Version, f.Active().Settled, goldRate(t, f.Active()))
 	}
 	g.push(300)
 	mustExchange(t, f, p, 2*time.Second)
-	if _, err := exchange(t, f, before, 3*time.Second); err != nil || f.InUse().Version != 4 {
-		t.Fatalf("%v, version %d", err, f.InUse().Version)
+	if _, err := exchange(t, f, before, 3*time.Second); err != nil || f.Active().Version != 4 {
+		t.Fatalf("%v, version %d", err, f.Active().Version)
 	}
 }
 
@@ -210,16 +210,16 @@
 	g.push(1)
 	p := NewPublisher(DefaultTiming(), g.c, 0)
 	f := g.follower("a", nil)
-	p.Confirmed(0)
+	p.LeadershipConfirmed(0)
 	for now := time.Duration(0); now <= 6*time.Second; now += time.Second {
 		p.Tick(now)
 	}
-	p.Confirmed(3 * time.Second) // asked long ago
+	p.LeadershipConfirmed(3 * time.Second) // asked long ago
 	q := ask(t, f, 6*time.Second)
 	if r, held, _ := p.Poll(6*time.Second, q); !held {
 		t.Fatalf("%+v is given out", r)
 	}
-	p.Confirmed(6 * time.Second)
+	p.LeadershipConfirmed(6 * time.Second)
 	if a := p.Due(6 * time.Second); len(a) != 1 || a[0].Reply.Difference == nil {
 		t.Fatalf("%+v, want the difference from nothing", a)
 	}
@@ -232,7 +232,7 @@
 	g.push(2)
 	h1, _ := g.c.hashAt(1)
 	at := func(life, number, version uint64) Poll {
-		q := Poll{Follower: "a", Region: "r", Life: life, Number: number, Version: version, Settled: 0}
+		q := Poll{Follower: "a", Region: "r", Incarnation: life, Number: number, Version: version, Settled: 0}
 		q.Hash, _ = g.c.hashAt(version)
 		return q
 	}
@@ -242,7 +242,7 @@
 	}
 	for _, q := range []Poll{at(2, 5, 2), at(2, 4, 2), at(1, 99, 2)} {
 		if err := poll(time.Millisecond, q); !as[*BadPoll](err) {
-			t.Errorf("life %d, question %d: %v", q.Life, q.Number, err)
+			t.Errorf("life %d, question %d: %v", q.Incarnation, q.Number, err)
 		}
 	}
 	if to := p.settles(); to != 1 {
@@ -265,7 +265,7 @@
 	if r, _, err := p.Poll(time.Minute+2*time.Second, at(3, 2, 9)); err != nil || !r.empty() || p.settles() != 0 {
 		t.Errorf("%+v, %v, settles %d", r, err, p.settles())
 	}
-	if s := p.Status(time.Minute + 2*time.Second).Followers[0]; s.Standing != IsAhead {
+	if s := p.Status(time.Minute + 2*time.Second).Followers[0]; s.Sync != SyncAhead {
 		t.Errorf("%+v", s)
 	}
 	// Nor does one halt version 0, or any other than the newest.
@@ -299,14 +299,14 @@
 	turned.Resources = []Resource{{Key: turned.Resources[0].Key, Data: data}}
 	for _, c := range []struct {
 		name    string
-		kept    *Kept
+		kept    *StoredConfig
 		version uint64
 		damaged bool
 		want    string
 	}{{"empty", nil, 0, false, "state"}, {"stale", stale, mostPast + 1, false, "difference"}, {"newest", good, mostPast + 2, false, "nothing"}, {"one bit turned", turned, 0, true, "state"}} {
-		f, err := NewFollower(FollowerConfig{Name: "a", Life: 1, Coordinators: 3, Patience: DefaultPatience}, c.kept, 1, 0)
-		if as[*StateDamaged](err) != c.damaged || f.InUse().Version != c.version {
-			t.Errorf("%s: %v, version %d", c.name, err, f.InUse().Version)
+		f, err := NewFollower(FollowerConfig{Name: "a", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, c.kept, 1, 0)
+		if as[*StateDamaged](err) != c.damaged || f.Active().Version != c.version {
+			t.Errorf("%s: %v, version %d", c.name, err, f.Active().Version)
 		}
 		p.followers = map[string]*followerState{}
 		r, err := exchange(t, f, p, 0)
@@ -316,8 +316,8 @@
 		} else if r.Difference != nil {
 			got = "difference"
 		}
-		if err != nil || got != c.want || f.InUse().Version != mostPast+2 {
-			t.Errorf("%s: %s, version %d, %v", c.name, got, f.InUse().Version, err)
+		if err != nil || got != c.want || f.Active().Version != mostPast+2 {
+			t.Errorf("%s: %s, version %d, %v", c.name, got, f.Active().Version, err)
 		}
 	}
 }
@@ -349,7 +349,7 @@
 	}
 	g.must(big)
 	f := g.follower("a", nil)
-	for now := time.Duration(0); f.InUse().Version != 1; now += 100 * time.Millisecond {
+	for now := time.Duration(0); f.Active().Version != 1; now += 100 * time.Millisecond {
 		if now > 3*time.Second {
 			t.Fatal("2 MB do not come")
 		}
@@ -368,10 +368,10 @@
 	}
 	// All of them change at once.
 	g.must(g.pushOf(routes(t, 2200, 900, 50)...))
-	if d, err := exchange(t, f, p, 10*time.Second); err != nil || d.Difference == nil || len(d.Difference.Set) != 2200 || f.InUse().Version != 2 {
-		t.Fatal(err, f.InUse().Version)
+	if d, err := exchange(t, f, p, 10*time.Second); err != nil || d.Difference == nil || len(d.Difference.Set) != 2200 || f.Active().Version != 2 {
+		t.Fatal(err, f.Active().Version)
 	}
-	if f.InUse().Set.Sum() != g.c.Hash {
+	if f.Active().Set.Sum() != g.c.Hash {
 		t.Error("what is in force has another hash")
 	}
 	// 100 MB are not taken, neither before the log nor in it.
@@ -437,7 +437,7 @@
 			t.Fatalf("%d states of %v bytes by %v, want %v bytes at most", sent, size, now, most)
 		}
 		for _, f := range p.Status(now).Followers {
-			if f.Standing == Silent {
+			if f.Sync == SyncSilent {
 				t.Fatalf("%s waits, and its lease runs out at %v", f.Name, now)
 			}
 		}
@@ -488,7 +488,7 @@
 	if err := g.apply(g.pushOf(planOf(t, "gold", 1))); !as[*NothingChanged](err) {
 		t.Error(err)
 	}
-	if err := g.apply(Entry{Back: &Back{Base: 1, To: 7}}); !as[*NoSuchVersion](err) {
+	if err := g.apply(Entry{Rollback: &Rollback{Base: 1, To: 7}}); !as[*NoSuchVersion](err) {
 		t.Error(err)
 	}
 }
@@ -525,10 +525,10 @@
 	if replies < 30 || replies > 60 {
 		t.Errorf("%d replies for 440 changes, want about one a second", replies)
 	}
-	if f.InUse().Version < 420 {
-		t.Errorf("version %d", f.InUse().Version)
+	if f.Active().Version < 420 {
+		t.Errorf("version %d", f.Active().Version)
 	}
-	if n := len(g.c.Past); n != 440 || g.c.Oldest() != 0 {
+	if n := len(g.c.History); n != 440 || g.c.Oldest() != 0 {
 		t.Errorf("%d versions are kept while none has settled", n)
 	}
 	var err error
@@ -541,11 +541,11 @@
 	g.must(Entry{Settle: g.c.Version})
 	g.push(1)
 	g.must(Entry{Settle: g.c.Version})
-	if n := len(g.c.Past); n != mostPast {
+	if n := len(g.c.History); n != mostPast {
 		t.Errorf("%d versions are kept, want %d", n, mostPast)
 	}
 	// Beyond the past a follower gets the whole.
-	if r, _, err := p.Poll(2*time.Minute, Poll{Follower: "a", Life: 2, Number: 1, Version: g.c.Oldest() - 1}); err != nil || r.State == nil {
+	if r, _, err := p.Poll(2*time.Minute, Poll{Follower: "a", Incarnation: 2, Number: 1, Version: g.c.Oldest() - 1}); err != nil || r.State == nil {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -571,7 +571,7 @@
 	g.must(g.pushOf(bad))
 	mustExchange(t, begun, p, time.Second)
 	var halted *Halted
-	if _, err := exchange(t, refuses, p, time.Second); !errors.As(err, &halted) || halted.Refused.Line != 17 || refuses.InUse().Version != 1 {
+	if _, err := exchange(t, refuses, p, time.Second); !errors.As(err, &halted) || halted.Refused.Line != 17 || refuses.Active().Version != 1 {
 		t.Fatal(err)
 	}
 	now := 1200 * time.Millisecond
@@ -588,8 +588,8 @@
 	mustExchange(t, other, p, now)
 	empty := g.follower("empty", nil) // restarted with nothing
 	mustExchange(t, empty, p, now)
-	if begun.InUse().Version != 2 || other.InUse().Version != 1 || empty.InUse().Version != 1 {
-		t.Errorf("begun %d, other %d, empty %d", begun.InUse().Version, other.InUse().Version, empty.InUse().Version)
+	if begun.Active().Version != 2 || other.Active().Version != 1 || empty.Active().Version != 1 {
+		t.Errorf("begun %d, other %d, empty %d", begun.Active().Version, other.Active().Version, empty.Active().Version)
 	}
 	for _, f := range []*Follower{begun, refuses, other, empty} {
 		mustExchange(t, f, p, 1500*time.Millisecond)
@@ -600,13 +600,13 @@
 		t.Errorf("settled %d, to settle %d", g.c.Settled, p.settles())
 	}
 	// Back is a version forward, and all are at it.
-	g.must(Entry{By: "ann", Back: &Back{Base: 2, To: 1}})
+	g.must(Entry{By: "ann", Rollback: &Rollback{Base: 2, To: 1}})
 	if g.c.Version != 3 || g.c.Halt != nil {
 		t.Fatalf("version %d, halt %v", g.c.Version, g.c.Halt)
 	}
 	for _, f := range []*Follower{begun, refuses, other, empty} {
-		if _, err := exchange(t, f, p, 2*time.Second); err != nil || f.InUse().Version != 3 || goldRate(t, f.InUse()) != 100 {
-			t.Errorf("%s: %v, version %d", f.cfg.Name, err, f.InUse().Version)
+		if _, err := exchange(t, f, p, 2*time.Second); err != nil || f.Active().Version != 3 || goldRate(t, f.Active()) != 100 {
+			t.Errorf("%s: %v, version %d", f.cfg.Name, err, f.Active().Version)
 		}
 	}
 	if refuses.Refused() != nil {
@@ -650,8 +650,8 @@
 		}
 	}
 	f := g.follower("a", nil)
-	if mustExchange(t, f, p, 0); f.InUse().Version != 1 || g.c.Verify() != nil {
-		t.Fatalf("version %d, %v", f.InUse().Version, g.c.Verify())
+	if mustExchange(t, f, p, 0); f.Active().Version != 1 || g.c.Verify() != nil {
+		t.Fatalf("version %d, %v", f.Active().Version, g.c.Verify())
 	}
 	// However much comes before and after it, the way back stays.
 	g.push(5)
@@ -693,7 +693,7 @@
 	g.push(200)
 	mustExchange(t, a, p, 2*time.Second)
 	mustExchange(t, a, p, 3*time.Second)
-	if goldRate(t, a.InUse()) != 100 {
+	if goldRate(t, a.Active()) != 100 {
 		t.Error("the raise holds before it has settled")
 	}
 	for now := 4 * time.Second; now < 8*time.Second; now += 500 * time.Millisecond {
@@ -706,7 +706,7 @@
 		t.Fatalf("%d settles, want 2: the silent one's lease is over", p.settles())
 	}
 	g.must(Entry{Settle: 2})
-	if mustExchange(t, a, p, 8*time.Second); goldRate(t, a.InUse()) != 200 {
+	if mustExchange(t, a, p, 8*time.Second); goldRate(t, a.Active()) != 200 {
 		t.Error("the raise does not hold")
 	}
 	// A new leader knows none of that, and waits for a lease.
@@ -766,14 +766,14 @@
 	if u := f.Saved(0, full); u == nil || u.Version != 1 {
 		t.Fatal("it is not to be used")
 	}
-	f.Using(0)
+	f.Activated(0)
 	for now := time.Second; now < 3*time.Second; now += time.Second {
 		q := ask(t, f, now)
-		if q.Disk != "no space" {
-			t.Errorf("%q is told", q.Disk)
+		if q.StorageError != "no space" {
+			t.Errorf("%q is told", q.StorageError)
 		}
 		_, _, _ = p.Poll(now, q)
-		if s := p.Status(now).Followers[0]; s.Why != "no space" || s.Standing != InForce {
+		if s := p.Status(now).Followers[0]; s.Why != "no space" || s.Sync != SyncInForce {
 			t.Errorf("%+v", s)
 		}
 		save, err := f.Replied(now, q.Number, Reply{})
@@ -781,24 +781,24 @@
 			t.Fatalf("%v: %+v, %v", now, save, err)
 		}
 		if save != nil {
-			if !save.Whole || len(save.Set) != 1 || save.Version != 1 {
+			if !save.Full || len(save.Set) != 1 || save.Version != 1 {
 				t.Errorf("%+v, want the whole", save)
 			}
 			f.Saved(now, nil)
-			f.Using(now)
+			f.Activated(now)
 		}
 	}
-	if q := ask(t, f, 4*time.Second); q.Disk != "" {
-		t.Errorf("%q is told", q.Disk)
+	if q := ask(t, f, 4*time.Second); q.StorageError != "" {
+		t.Errorf("%q is told", q.StorageError)
 	}
 }
 
 func TestCeilingsInUse(t *testing.T) {
 	for _, c := range []struct{ old, own, want float64 }{{100, 200, 100}, {200, 100, 100}, {0, 100, 100}, {100, 0, 100}, {0, 0, 0}} {
 		k := KeyOf(KindPlan, "gold")
-		u := InUse{Set: Set{k: planOf(t, "gold", c.own)}, Before: map[Key][]byte{k: planOf(t, "gold", c.old).Data}}
+		u := Active{Set: Set{k: planOf(t, "gold", c.own)}, PreviousPlans: map[Key][]byte{k: planOf(t, "gold", c.old).Data}}
 		if c.old == 0 || c.own == 0 { // burst 0 goes with rate 0
-			u.Set[k], u.Before[k] = ceilingOf(t, c.own), ceilingOf(t, c.old).Data
+			u.Set[k], u.PreviousPlans[k] = ceilingOf(t, c.own), ceilingOf(t, c.old).Data
 		}
 		if got := goldRate(t, &u); got != c.want {
 			t.Errorf("of %v and then %v: %v, want %v", c.old, c.own, got, c.want)
@@ -828,11 +828,11 @@
 		"resource": func(c *Catalog) { c.Resources[0].Data = planOf(t, "gold", 8).Data },
 		"hash":     func(c *Catalog) { c.Hash[3] ^= 1 },
 		"past": func(c *Catalog) {
-			c.Past[1].Before[0].Data = planOf(t, "gold", 8).Data
-			c.Past[0].Before[0].Data = c.Past[1].Before[0].Data
+			c.History[1].Replaced[0].Data = planOf(t, "gold", 8).Data
+			c.History[0].Replaced[0].Data = c.History[1].Replaced[0].Data
 		},
-		"hole":      func(c *Catalog) { c.Past = append(c.Past[:1], c.Past[2:]...) },
-		"no past":   func(c *Catalog) { c.Past = nil },
+		"hole":      func(c *Catalog) { c.History = append(c.History[:1], c.History[2:]...) },
+		"no past":   func(c *Catalog) { c.History = nil },
 		"settled":   func(c *Catalog) { c.Settled = 4 },
 		"two alike": func(c *Catalog) { c.Resources = append(c.Resources, c.Resources[0]) },
 	} {
--- a/distribution/catalog.go
+++ b/distribution/catalog.go
@@ -10,7 +10,7 @@
 
 // Bounds on what the log keeps.
 const (
-	MostFollowers  = 10_000
+	MaxFollowers   = 10_000
 	mostPast       = 512     // versions that can be gone back to, and that differences can begin from
 	mostPastBytes  = 1 << 20 // of what they replaced, beyond the newest one
 	mostPastWaits  = 4 << 20 // and while they have not settled
@@ -19,24 +19,24 @@
 )
 
 // Old is what a resource was before a change.
-type Old struct {
+type PreviousResource struct {
 	Key  Key             `json:"key"`
 	Data json.RawMessage `json:"data,omitempty"` // nil: it was not there
 	Line int             `json:"line,omitempty"`
 }
 
 // Past is one version and what it replaced.
-type Past struct {
-	Version uint64 `json:"version"`
-	Hash    Hash   `json:"hash"`
-	Prior   Hash   `json:"prior"` // of the version before
-	By      string `json:"by,omitempty"`
-	Halted  bool   `json:"halted,omitempty"`
-	Before  []Old  `json:"before"` // in the order of their keys
+type History struct {
+	Version  uint64             `json:"version"`
+	Hash     Hash               `json:"hash"`
+	Prior    Hash               `json:"prior"` // of the version before
+	By       string             `json:"by,omitempty"`
+	Halted   bool               `json:"halted,omitempty"`
+	Replaced []PreviousResource `json:"before"` // in the order of their keys
 }
 
-func (p Past) size() (n int) {
-	for _, o := range p.Before {
+func (p History) size() (n int) {
+	for _, o := range p.Replaced {
 		n += len(o.Key) + len(o.Data) + 64
 	}
 	return n
@@ -51,7 +51,7 @@
 }
 
 // Back wants an earlier version's resources in force again, as a new version.
-type Back struct {
+type Rollback struct {
 	Base uint64 `json:"base"`
 	To   uint64 `json:"to"`
 }
@@ -63,14 +63,14 @@
 
 // Entry is one entry of the log. One of its fields but Request and By is set.
 type Entry struct {
-	Request string  `json:"request,omitempty"` // an operator's, so that it counts once
-	By      string  `json:"by,omitempty"`
-	Push    *Push   `json:"push,omitempty"`
-	Back    *Back   `json:"back,omitempty"`
-	Halt    *Halted `json:"halt,omitempty"`
-	Settle  uint64  `json:"settle,omitempty"`
-	Join    *Join   `json:"join,omitempty"`
-	Forget  string  `json:"forget,omitempty"`
+	Request  string    `json:"request,omitempty"` // an operator's, so that it counts once
+	By       string    `json:"by,omitempty"`
+	Push     *Push     `json:"push,omitempty"`
+	Rollback *Rollback `json:"back,omitempty"`
+	Halt     *Halted   `json:"halt,omitempty"`
+	Settle   uint64    `json:"settle,omitempty"`
+	Join     *Join     `json:"join,omitempty"`
+	Forget   string    `json:"forget,omitempty"`
 }
 
 // Check tells why an operator's entry is not to go into the log at all: it holds more than
@@ -87,14 +87,14 @@
 }
 
 func (p *Push) check() error {
-	if n, size := len(p.Set), sizeOf(p.Set); n > MostResources || size > MostState {
+	if n, size := len(p.Set), sizeOf(p.Set); n > MaxResources || size > MaxStateBytes {
 		return &TooLarge{n, size}
 	}
-	if len(p.Delete) > MostResources {
-		return &BadRequest{fmt.Sprintf("%d resources are to go, %d at most", len(p.Delete), MostResources)}
+	if len(p.Delete) > MaxResources {
+		return &BadRequest{fmt.Sprintf("%d resources are to go, %d at most", len(p.Delete), MaxResources)}
 	}
 	for _, k := range p.Delete {
-		if len(k) > MostResource {
+		if len(k) > MaxResourceBytes {
 			return &BadRequest{"a key is too long"}
 		}
 	}
@@ -102,9 +102,9 @@
 }
 
 // CheckOrder tells why an entry is no order of an operator's, as Check does or as a *BadRequest.
-func (e Entry) CheckOrder() error {
+func (e Entry) CheckOperatorRequest() error {
 	orders := 0
-	for _, is := range []bool{e.Push != nil, e.Back != nil, e.Forget != ""} {
+	for _, is := range []bool{e.Push != nil, e.Rollback != nil, e.Forget != ""} {
 		if is {
 			orders++
 		}
@@ -131,7 +131,7 @@
 	Hash      Hash              `json:"hash"`
 	By        string            `json:"by,omitempty"` // who made the newest version
 	Resources []Resource        `json:"resources"`    // in the order of their keys
-	Past      []Past            `json:"past"`         // oldest first, up to the newest version
+	History   []History         `json:"past"`         // oldest first, up to the newest version
 	Settled   uint64            `json:"settled"`      // nobody that is heard decides by an older version
 	Halt      *Halted           `json:"halt,omitempty"`
 	Followers map[string]string `json:"followers"` // regions by name
@@ -158,10 +158,10 @@
 
 // Oldest is the oldest version that is kept.
 func (c *Catalog) Oldest() uint64 {
-	if len(c.Past) == 0 {
+	if len(c.History) == 0 {
 		return c.Version
 	}
-	return c.Past[0].Version - 1
+	return c.History[0].Version - 1
 }
 
 // Fallback is the newest version before the newest one that was not halted: what is given out
@@ -169,7 +169,7 @@
 func (c *Catalog) Fallback() uint64 {
 	oldest, v := c.Oldest(), c.Version
 	for v > oldest {
-		if v--; v == oldest || !c.Past[v-oldest-1].Halted {
+		if v--; v == oldest || !c.History[v-oldest-1].Halted {
 			break
 		}
 	}
@@ -184,25 +184,25 @@
 	case v > c.Version || v < c.Oldest():
 		return Hash{}, false
 	}
-	return c.Past[v-c.Oldest()].Prior, true
+	return c.History[v-c.Oldest()].Prior, true
 }
 
 // since is what the resources that have changed after a version were in it, in the
 // order of their keys, as far as versions up to another one changed them.
-func (c *Catalog) since(v, upTo uint64) (olds []Old) {
+func (c *Catalog) since(v, upTo uint64) (olds []PreviousResource) {
 	seen := map[Key]bool{}
-	for _, p := range c.Past {
+	for _, p := range c.History {
 		if p.Version <= v || p.Version > upTo {
 			continue
 		}
-		for _, o := range p.Before {
+		for _, o := range p.Replaced {
 			if !seen[o.Key] { // the first change after v is the one that replaced v's
 				seen[o.Key] = true
 				olds = append(olds, o)
 			}
 		}
 	}
-	slices.SortFunc(olds, func(a, b Old) int {
+	slices.SortFunc(olds, func(a, b PreviousResource) int {
 		if a.Key < b.Key {
 			return -1
 		}
@@ -299,7 +299,7 @@
 
 // Made is the version that an operator's request made, or met where it made none; false if
 // the request is not remembered.
-func (c *Catalog) Made(request string) (version uint64, known bool) {
+func (c *Catalog) RequestVersion(request string) (version uint64, known bool) {
 	for _, done := range c.Requests {
 		if done.ID == request {
 			return done.Version, true
@@ -312,12 +312,12 @@
 	switch {
 	case e.Push != nil:
 		return c.push(e.By, *e.Push)
-	case e.Back != nil:
-		return c.back(e.By, *e.Back)
+	case e.Rollback != nil:
+		return c.back(e.By, *e.Rollback)
 	case e.Halt != nil:
 		if e.Halt.Version == c.Version && c.Version > 0 && c.Halt == nil {
 			c.Halt = e.Halt
-			c.Past[len(c.Past)-1].Halted = true
+			c.History[len(c.History)-1].Halted = true
 			// Whoever comes from now on decides by an earlier one, and ceilings are held so.
 			c.Settled = min(c.Settled, c.Fallback())
 		}
@@ -328,7 +328,7 @@
 		}
 	case e.Join != nil:
 		for _, name := range slices.Sorted(maps.Keys(e.Join.Followers)) {
-			if _, known := c.Followers[name]; known || len(c.Followers) < MostFollowers {
+			if _, known := c.Followers[name]; known || len(c.Followers) < MaxFollowers {
 				c.Followers[name] = e.Join.Followers[name]
 			}
 		}
@@ -341,7 +341,7 @@
 	return nil
 }
 
-func (c *Catalog) back(by string, b Back) error {
+func (c *Catalog) back(by string, b Rollback) error {
 	if b.Base != c.Version {
 		return &Conflict{b.Base, c.Version, c.By}
 	}
@@ -370,7 +370,7 @@
 	if waits := int(c.Version - c.Settled); waits >= mostPast || waits > 0 && c.pastBytes() > mostPastWaits {
 		return &Unsettled{waits}
 	}
-	before, old := c.Set(), Past{Version: c.Version + 1, Prior: c.Hash, By: by}
+	before, old := c.Set(), History{Version: c.Version + 1, Prior: c.Hash, By: by}
 	next := before.with(p.Set, p.Delete)
 	if err := next.Check(); err != nil {
 		return err
@@ -389,23 +389,23 @@
 		touched[k] = true
 	}
 	for _, k := range slices.Sorted(maps.Keys(touched)) {
-		o := Old{Key: k}
+		o := PreviousResource{Key: k}
 		if r, there := before[k]; there {
 			o.Data, o.Line = r.Data, r.Line
 		}
 		if string(o.Data) != string(next[k].Data) {
-			old.Before = append(old.Before, o)
+			old.Replaced = append(old.Replaced, o)
 		}
 	}
 	c.Version, c.Hash, c.By, c.Halt = old.Version, old.Hash, by, nil
 	c.set, c.Resources = next, next.List()
-	c.Past = append(c.Past, old)
+	c.History = append(c.History, old)
 	c.trim()
 	return nil
 }
 
 func (c *Catalog) pastBytes() (n int) {
-	for _, p := range c.Past {
+	for _, p := range c.History {
 		n += p.size()
 	}
 	return n
@@ -416,15 +416,15 @@
 // the newest one stays in any case, and the oldest one is none that was halted.
 func (c *Catalog) trim() {
 	bytes, drop, until := c.pastBytes(), 0, min(c.Settled, c.Fallback())
-	for i, p := range c.Past {
-		if p.Version > until || len(c.Past)-i <= mostPast && bytes <= mostPastBytes {
+	for i, p := range c.History {
+		if p.Version > until || len(c.History)-i <= mostPast && bytes <= mostPastBytes {
 			break
 		}
 		if bytes -= p.size(); !p.Halted {
 			drop = i + 1
 		}
 	}
-	c.Past = slices.Delete(c.Past, 0, drop)
+	c.History = slices.Delete(c.History, 0, drop)
 }
 
 // Verify tells whether a catalog that was kept is whole.
@@ -436,12 +436,12 @@
 	if sum := c.Set().Sum(); sum != c.Hash || len(c.Set()) != len(c.Resources) {
 		return &WrongHash{c.Version, sum, c.Hash}
 	}
-	n := uint64(len(c.Past))
+	n := uint64(len(c.History))
 	if n > c.Version || n == 0 && c.Version > 0 || c.Settled > c.Version {
 		return errors.New("distribution: the versions before are not those of the newest")
 	}
-	for i, p := range c.Past {
-		if p.Version != c.Version-n+1+uint64(i) || i > 0 && p.Prior != c.Past[i-1].Hash || p.Version == c.Version && p.Hash != c.Hash {
+	for i, p := range c.History {
+		if p.Version != c.Version-n+1+uint64(i) || i > 0 && p.Prior != c.History[i-1].Hash || p.Version == c.Version && p.Hash != c.Hash {
 			return errors.New("distribution: the versions before are not those of the newest")
 		}
 	}
@@ -450,8 +450,8 @@
 		if err != nil {
 			return err
 		}
-		if sum := oldest.Sum(); sum != c.Past[0].Prior {
-			return &WrongHash{c.Oldest(), sum, c.Past[0].Prior}
+		if sum := oldest.Sum(); sum != c.History[0].Prior {
+			return &WrongHash{c.Oldest(), sum, c.History[0].Prior}
 		}
 	}
 	return nil
--- a/distribution/distribution_test.go
+++ b/distribution/distribution_test.go
@@ -19,7 +19,7 @@
 func TestVersionGetsInForceAndSettles(t *testing.T) {
 	c := NewCatalog()
 	p := NewPublisher(DefaultTiming(), c, 0)
-	f, err := NewFollower(FollowerConfig{Name: "n1", Life: 1, Coordinators: 3, Patience: DefaultPatience}, nil, 1, 0)
+	f, err := NewFollower(FollowerConfig{Name: "n1", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, nil, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 	run := func(from, to time.Duration) {
 		t.Helper()
 		for now := from; now < to; now += 10 * time.Millisecond {
-			p.Confirmed(now) // as a majority does
+			p.LeadershipConfirmed(now) // as a majority does
 			take := func(n uint64, r Reply) {
 				save, err := f.Replied(now, n, r)
 				if err != nil {
@@ -47,7 +47,7 @@
 				}
 				if save != nil {
 					f.Saved(now, nil)
-					f.Using(now)
+					f.Activated(now)
 				}
 			}
 			if ask := f.Tick(now); ask != nil {
@@ -66,7 +66,7 @@
 		}
 	}
 	ceiling := func() float64 {
-		plan, err := f.InUse().Plan(KeyOf(KindPlan, "gold"))
+		plan, err := f.Active().Plan(KeyOf(KindPlan, "gold"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,17 +74,17 @@
 	}
 	push(100)
 	run(0, time.Second)
-	if f.InUse().Version != 1 || c.Settled != 1 || ceiling() != 100 {
-		t.Fatalf("version %d, settled %d, ceiling %v", f.InUse().Version, c.Settled, ceiling())
+	if f.Active().Version != 1 || c.Settled != 1 || ceiling() != 100 {
+		t.Fatalf("version %d, settled %d, ceiling %v", f.Active().Version, c.Settled, ceiling())
 	}
 	// Another one stays behind: the raise does not hold before its lease has run out.
-	if _, held, err := p.Poll(time.Second, Poll{Follower: "n2", Life: 1, Number: 1, Version: 1, Hash: c.Hash, Settled: 1}); err != nil || !held {
+	if _, held, err := p.Poll(time.Second, Poll{Follower: "n2", Incarnation: 1, Number: 1, Version: 1, Hash: c.Hash, Settled: 1}); err != nil || !held {
 		t.Fatal(held, err)
 	}
 	push(200)
 	run(time.Second, 2*time.Second)
-	if f.InUse().Version != 2 || c.Settled != 1 || ceiling() != 100 {
-		t.Fatalf("version %d, settled %d, ceiling %v", f.InUse().Version, c.Settled, ceiling())
+	if f.Active().Version != 2 || c.Settled != 1 || ceiling() != 100 {
+		t.Fatalf("version %d, settled %d, ceiling %v", f.Active().Version, c.Settled, ceiling())
 	}
 	run(2*time.Second, 7*time.Second)
 	if c.Settled != 2 || ceiling() != 200 {
--- a/distribution/errors.go
+++ b/distribution/errors.go
@@ -78,7 +78,7 @@
 type TooLarge struct{ Resources, Bytes int }
 
 func (e *TooLarge) Error() string {
-	return fmt.Sprintf("%d resources in %d bytes; %d in %d at most", e.Resources, e.Bytes, MostResources, MostState)
+	return fmt.Sprintf("%d resources in %d bytes; %d in %d at most", e.Resources, e.Bytes, MaxResources, MaxStateBytes)
 }
 
 // Remedy says what an operator can do.
--- a/distribution/follower.go
+++ b/distribution/follower.go
@@ -12,9 +12,9 @@
 type FollowerConfig struct {
 	Name         string
 	Region       string
-	Life         uint64        // greater at each start, such as the system's time in nanoseconds
+	Incarnation  uint64        // greater at each start, such as the system's time in nanoseconds
 	Coordinators int           // how many there are to ask
-	Patience     time.Duration // with one question: more than the publisher holds it
+	PollTimeout  time.Duration // with one question: more than the publisher holds it
 	// Check tells why resources that are new or have changed can't be used here, as a *Refused
 	// where it is for one of them. It has no effects. Each is sound by itself by then, and the
 	// whole is what the log has, which was checked there.
@@ -31,44 +31,44 @@
 )
 
 // DefaultPatience goes with the Hold of [DefaultTiming].
-const DefaultPatience = 1800 * time.Millisecond
+const DefaultPollTimeout = 1800 * time.Millisecond
 
 // Kept is what a follower keeps on its disk, all or nothing.
-type Kept struct {
+type StoredConfig struct {
 	State
-	Settled uint64 `json:"settled"`
-	Before  []Old  `json:"before,omitempty"`
+	Settled       uint64             `json:"settled"`
+	PreviousPlans []PreviousResource `json:"before,omitempty"`
 }
 
 // Save is what is to be kept in place of what was before, whole or not at all.
-type Save struct {
-	Version uint64
-	Hash    Hash
-	Settled uint64
-	Before  []Old
-	Set     []Resource // that have changed
-	Delete  []Key      // that are gone
-	Whole   bool       // nothing of before stays; Set is all
+type StoreUpdate struct {
+	Version       uint64
+	Hash          Hash
+	Settled       uint64
+	PreviousPlans []PreviousResource
+	Set           []Resource // that have changed
+	Delete        []Key      // that are gone
+	Full          bool       // nothing of before stays; Set is all
 }
 
 // InUse is what an ingress decides by.
-type InUse struct {
-	Version uint64
-	Hash    Hash
-	Set     Set            // not to be changed
-	Before  map[Key][]byte // data of plans that some ingress may still decide by
-	Settled uint64
+type Active struct {
+	Version       uint64
+	Hash          Hash
+	Set           Set            // not to be changed
+	PreviousPlans map[Key][]byte // data of plans that some ingress may still decide by
+	Settled       uint64
 }
 
 // Plan is a plan as it holds now: its ceiling is the lower one of its own and of the one that
 // others may still decide by, so that all together keep within the higher of both from the
 // first moment on, and within the new one from when all have it.
-func (u *InUse) Plan(k Key) (Plan, error) {
+func (u *Active) Plan(k Key) (Plan, error) {
 	p, err := u.Set[k].Plan()
 	if err != nil {
 		return p, err
 	}
-	if data, there := u.Before[k]; there {
+	if data, there := u.PreviousPlans[k]; there {
 		old, err := (Resource{Key: k, Data: data}).Plan()
 		if err != nil {
 			return p, err
@@ -87,7 +87,7 @@
 }
 
 // Ask is a question to one of the coordinators.
-type Ask struct {
+type PollRequest struct {
 	Coordinator int
 	Poll        Poll
 }
@@ -100,8 +100,8 @@
 	cfg   FollowerConfig
 	rng   *rand.Rand
 	now   time.Duration
-	use   InUse // in force
-	next  *InUse
+	use   Active // in force
+	next  *Active
 	whole bool // ours can't be built on
 	poll  Poll // the last one
 
@@ -118,9 +118,9 @@
 
 // NewFollower starts a follower by what it kept; nil for nothing. The error tells that it
 // can't be used: the follower works all the same, from version 0.
-func NewFollower(cfg FollowerConfig, kept *Kept, seed uint64, now time.Duration) (*Follower, error) {
-	f := &Follower{cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.Life)), now: now, heard: now, due: now}
-	f.use = InUse{Set: Set{}, Hash: Set{}.Sum()}
+func NewFollower(cfg FollowerConfig, kept *StoredConfig, seed uint64, now time.Duration) (*Follower, error) {
+	f := &Follower{cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.Incarnation)), now: now, heard: now, due: now}
+	f.use = Active{Set: Set{}, Hash: Set{}.Sum()}
 	f.at = f.rng.IntN(max(1, cfg.Coordinators))
 	if kept == nil || kept.Version == 0 {
 		return f, nil
@@ -132,22 +132,22 @@
 	if err := f.check(kept.Resources); err != nil {
 		return f, &StateDamaged{err.Error()}
 	}
-	f.use = inUse(kept.Version, kept.Hash, set, kept.Settled, kept.Before)
+	f.use = inUse(kept.Version, kept.Hash, set, kept.Settled, kept.PreviousPlans)
 	return f, nil
 }
 
-func inUse(version uint64, hash Hash, set Set, settled uint64, before []Old) InUse {
-	u := InUse{Version: version, Hash: hash, Set: set, Settled: settled, Before: map[Key][]byte{}}
+func inUse(version uint64, hash Hash, set Set, settled uint64, before []PreviousResource) Active {
+	u := Active{Version: version, Hash: hash, Set: set, Settled: settled, PreviousPlans: map[Key][]byte{}}
 	for _, o := range before {
-		u.Before[o.Key] = o.Data
+		u.PreviousPlans[o.Key] = o.Data
 	}
 	return u
 }
 
 // before is Before as it is kept, in the order of the keys.
-func (u *InUse) before() (list []Old) {
-	for _, k := range slices.Sorted(maps.Keys(u.Before)) {
-		list = append(list, Old{Key: k, Data: u.Before[k]})
+func (u *Active) before() (list []PreviousResource) {
+	for _, k := range slices.Sorted(maps.Keys(u.PreviousPlans)) {
+		list = append(list, PreviousResource{Key: k, Data: u.PreviousPlans[k]})
 	}
 	return list
 }
@@ -165,10 +165,10 @@
 }
 
 // InUse is what is in force here.
-func (f *Follower) InUse() *InUse { return &f.use }
+func (f *Follower) Active() *Active { return &f.use }
 
 // Heard tells when a coordinator answered last.
-func (f *Follower) Heard() time.Duration { return f.heard }
+func (f *Follower) LastReply() time.Duration { return f.heard }
 
 // Refused tells the last version that could not be used, if none was in force since; or nil.
 func (f *Follower) Refused() *Halted { return f.refused }
@@ -186,7 +186,7 @@
 
 // Tick takes the time. It returns the question to ask, if one is due. One that is out longer
 // than the patience with it is given up: what comes of it later counts no more.
-func (f *Follower) Tick(now time.Duration) *Ask {
+func (f *Follower) Tick(now time.Duration) *PollRequest {
 	f.now = max(f.now, now)
 	if f.out && f.now >= f.deadline {
 		f.Failed(now, f.poll.Number, -1)
@@ -194,11 +194,11 @@
 	if f.out || f.next != nil || f.now < f.due {
 		return nil
 	}
-	f.poll = Poll{Follower: f.cfg.Name, Region: f.cfg.Region, Life: f.cfg.Life, Number: f.poll.Number + 1, Version: f.use.Version, Hash: f.use.Hash,
-		Settled: f.use.Settled, Whole: f.whole, Refused: f.refused, Disk: f.disk}
-	f.out, f.deadline = true, f.now+f.cfg.Patience
+	f.poll = Poll{Follower: f.cfg.Name, Region: f.cfg.Region, Incarnation: f.cfg.Incarnation, Number: f.poll.Number + 1, Version: f.use.Version, Hash: f.use.Hash,
+		Settled: f.use.Settled, NeedFullState: f.whole, Refused: f.refused, StorageError: f.disk}
+	f.out, f.deadline = true, f.now+f.cfg.PollTimeout
 	f.due = f.now + pollGap
-	return &Ask{f.at, f.poll}
+	return &PollRequest{f.at, f.poll}
 }
 
 // Failed tells that a question has no answer. leader is the place of the coordinator to ask
@@ -221,20 +221,20 @@
 
 // Replied takes a reply. What it returns is to be kept, and then told by Saved; nil where there
 // is nothing to keep. The error tells why the reply was not taken.
-func (f *Follower) Replied(now time.Duration, number uint64, r Reply) (*Save, error) {
+func (f *Follower) Replied(now time.Duration, number uint64, r Reply) (*StoreUpdate, error) {
 	f.now = max(f.now, now)
 	if !f.out || number != f.poll.Number {
 		return nil, nil // given up, or told twice
 	}
 	f.out, f.fails, f.heard = false, 0, f.now
-	if r.Wait > 0 {
-		f.due = max(f.due, f.now+min(r.Wait, waitMost))
+	if r.RetryAfter > 0 {
+		f.due = max(f.due, f.now+min(r.RetryAfter, waitMost))
 		return nil, nil
 	}
 	save, next, err := f.take(r)
 	if err == nil && next == nil && f.disk != "" && f.now-f.tried >= keepAgain {
 		same := f.use
-		save, next = &Save{Version: same.Version, Hash: same.Hash, Settled: same.Settled, Before: same.before()}, &same
+		save, next = &StoreUpdate{Version: same.Version, Hash: same.Hash, Settled: same.Settled, PreviousPlans: same.before()}, &same
 	}
 	if err != nil || next == nil {
 		if _, refused := err.(*Halted); err != nil && !refused {
@@ -243,16 +243,16 @@
 		return nil, err
 	}
 	if f.disk != "" { // what is on the disk is older than what differences begin from
-		save.Whole, save.Set, save.Delete = true, next.Set.List(), nil
+		save.Full, save.Set, save.Delete = true, next.Set.List(), nil
 	}
 	f.next = next
 	return save, nil
 }
 
 // take works out what a reply makes of what is in force.
-func (f *Follower) take(r Reply) (*Save, *InUse, error) {
-	var next InUse
-	save := &Save{}
+func (f *Follower) take(r Reply) (*StoreUpdate, *Active, error) {
+	var next Active
+	save := &StoreUpdate{}
 	switch {
 	case r.State != nil:
 		s := r.State
@@ -263,8 +263,8 @@
 		if sum := set.Sum(); sum != s.Hash {
 			return nil, nil, &WrongHash{s.Version, sum, s.Hash}
 		}
-		next = inUse(s.Version, s.Hash, set, r.Settled, r.Before)
-		save.Whole, save.Set = true, s.Resources
+		next = inUse(s.Version, s.Hash, set, r.Settled, r.PreviousPlans)
+		save.Full, save.Set = true, s.Resources
 	case r.Difference != nil:
 		d := r.Difference
 		if d.Base != f.use.Version || d.BaseHash != f.use.Hash || d.Version <= d.Base {
@@ -275,10 +275,10 @@
 			f.whole = true // what is here may be what is wrong
 			return nil, nil, &WrongHash{d.Version, sum, d.Hash}
 		}
-		next = inUse(d.Version, d.Hash, set, r.Settled, r.Before)
+		next = inUse(d.Version, d.Hash, set, r.Settled, r.PreviousPlans)
 		save.Set, save.Delete = d.Set, d.Delete
 	case r.Settled > f.use.Settled:
-		next = inUse(f.use.Version, f.use.Hash, f.use.Set, r.Settled, r.Before)
+		next = inUse(f.use.Version, f.use.Hash, f.use.Set, r.Settled, r.PreviousPlans)
 	default:
 		return nil, nil, nil
 	}
@@ -286,14 +286,14 @@
 		// From one that led before, or of a version that has been halted. What has settled here
 		// stays so: ceilings go on from it.
 		next.Settled = f.use.Settled
-		next.Before = maps.Clone(f.use.Before)
+		next.PreviousPlans = maps.Clone(f.use.PreviousPlans)
 		for k, r := range f.use.Set {
-			if kind, _ := k.Split(); kind == KindPlan && string(next.Set[k].Data) != string(r.Data) && next.Before[k] == nil {
-				next.Before[k] = r.Data
+			if kind, _ := k.Split(); kind == KindPlan && string(next.Set[k].Data) != string(r.Data) && next.PreviousPlans[k] == nil {
+				next.PreviousPlans[k] = r.Data
 			}
 		}
 	}
-	save.Version, save.Hash, save.Settled, save.Before = next.Version, next.Hash, next.Settled, next.before()
+	save.Version, save.Hash, save.Settled, save.PreviousPlans = next.Version, next.Hash, next.Settled, next.before()
 	if r.State != nil || r.Difference != nil {
 		if err := f.check(save.Set); err != nil {
 			f.refused = f.halted(&next, err)
@@ -304,7 +304,7 @@
 }
 
 // halted makes of the fault of a version the refusal that the publisher is sent.
-func (f *Follower) halted(next *InUse, fault error) *Halted {
+func (f *Follower) halted(next *Active, fault error) *Halted {
 	refused, one := fault.(*Refused)
 	if !one {
 		refused = &Refused{Why: fault.Error()}
@@ -318,7 +318,7 @@
 // Saved tells that what Replied returned is kept, or why not: it is put in force all the same,
 // and operators are told. What it returns is to be decided by from now on, and then told by
 // Using.
-func (f *Follower) Saved(now time.Duration, err error) *InUse {
+func (f *Follower) Saved(now time.Duration, err error) *Active {
 	f.now = max(f.now, now)
 	if f.disk, f.tried = "", f.now; err != nil {
 		f.disk = err.Error()
@@ -327,7 +327,7 @@
 }
 
 // Using tells that the ingress decides by what Saved returned.
-func (f *Follower) Using(now time.Duration) {
+func (f *Follower) Activated(now time.Duration) {
 	f.now = max(f.now, now)
 	if f.next == nil {
 		return
@@ -340,7 +340,7 @@
 
 // Unusable tells, in place of Using, that the ingress could not decide by what Saved returned,
 // though it had been checked: it is refused as if the check had found it.
-func (f *Follower) Unusable(now time.Duration, why error) {
+func (f *Follower) ActivationFailed(now time.Duration, why error) {
 	f.now = max(f.now, now)
 	if f.next == nil {
 		return
@@ -350,7 +350,7 @@
 }
 
 // Describe tells in one line what is in force, for logs and status.
-func (u *InUse) Describe() string {
+func (u *Active) Describe() string {
 	kinds := map[string]int{}
 	for k := range u.Set {
 		kind, _ := k.Split()
@@ -366,7 +366,7 @@
 }
 
 // Keys are the keys of a kind, in order.
-func (u *InUse) Keys(kind string) (keys []Key) {
+func (u *Active) Keys(kind string) (keys []Key) {
 	for k := range u.Set {
 		if is, _ := k.Split(); is == kind {
 			keys = append(keys, k)
--- a/distribution/publisher.go
+++ b/distribution/publisher.go
@@ -9,11 +9,11 @@
 
 // Timing is the times and the pace that a publisher goes by.
 type Timing struct {
-	Hold  time.Duration // a question is held for so long at most while there is nothing new
-	Lease time.Duration // who was heard longer ago counts as gone; a new publisher waits for so long to hear all
-	Fresh time.Duration // nothing is given out if a majority confirmed longer ago that this one leads; 0: none has to
-	Rate  float64       // bytes a second of large replies, to all followers together
-	Burst float64       // bytes of these that may go at once
+	Hold         time.Duration // a question is held for so long at most while there is nothing new
+	Lease        time.Duration // who was heard longer ago counts as gone; a new publisher waits for so long to hear all
+	MaxStaleness time.Duration // nothing is given out if a majority confirmed longer ago that this one leads; 0: none has to
+	Rate         float64       // bytes a second of large replies, to all followers together
+	Burst        float64       // bytes of these that may go at once
 }
 
 const (
@@ -28,21 +28,21 @@
 // made anew after Hold and the follower's patience. The pace is half of what a link of a gigabit
 // carries: 2,200 routes that all change, 440 KB to each of 480, take 3.3 s.
 func DefaultTiming() Timing {
-	return Timing{Hold: time.Second, Lease: 4 * time.Second, Fresh: 2 * time.Second, Rate: 64 << 20, Burst: 8 << 20}
+	return Timing{Hold: time.Second, Lease: 4 * time.Second, MaxStaleness: 2 * time.Second, Rate: 64 << 20, Burst: 8 << 20}
 }
 
 // Poll is what a follower tells and asks: what it decides by, and for what is newer.
 type Poll struct {
-	Follower string  `json:"follower"`
-	Region   string  `json:"region,omitempty"`
-	Life     uint64  `json:"life"`              // of its process: a later start has a greater one
-	Number   uint64  `json:"number"`            // of the question in this life, from 1
-	Version  uint64  `json:"version"`           // in force; 0: none
-	Hash     Hash    `json:"hash"`              // of that version as it is there
-	Settled  uint64  `json:"settled"`           // as it was told last
-	Whole    bool    `json:"whole,omitempty"`   // its own is damaged
-	Refused  *Halted `json:"refused,omitempty"` // the last version that it could not use, if none was since
-	Disk     string  `json:"disk,omitempty"`    // why it can't keep what it has
+	Follower      string  `json:"follower"`
+	Region        string  `json:"region,omitempty"`
+	Incarnation   uint64  `json:"life"`              // of its process: a later start has a greater one
+	Number        uint64  `json:"number"`            // of the question in this life, from 1
+	Version       uint64  `json:"version"`           // in force; 0: none
+	Hash          Hash    `json:"hash"`              // of that version as it is there
+	Settled       uint64  `json:"settled"`           // as it was told last
+	NeedFullState bool    `json:"whole,omitempty"`   // its own is damaged
+	Refused       *Halted `json:"refused,omitempty"` // the last version that it could not use, if none was since
+	StorageError  string  `json:"disk,omitempty"`    // why it can't keep what it has
 }
 
 // State is a whole version as it is sent and kept.
@@ -64,21 +64,21 @@
 
 // Reply answers a Poll. Without State and Difference the follower has what there is for it.
 type Reply struct {
-	State      *State        `json:"state,omitempty"` // shared with other replies: not to be changed
-	Difference *Difference   `json:"difference,omitempty"`
-	Wait       time.Duration `json:"wait,omitempty"`    // the whole state comes then: other followers are before it
-	Settled    uint64        `json:"settled,omitempty"` // no follower that is heard decides by an older version than this; 0: says nothing
-	Before     []Old         `json:"before,omitempty"`  // what the resources changed since Settled were in it, up to the follower's version
-	Newest     uint64        `json:"newest"`            // version in the log
+	State         *State             `json:"state,omitempty"` // shared with other replies: not to be changed
+	Difference    *Difference        `json:"difference,omitempty"`
+	RetryAfter    time.Duration      `json:"wait,omitempty"`    // the whole state comes then: other followers are before it
+	Settled       uint64             `json:"settled,omitempty"` // no follower that is heard decides by an older version than this; 0: says nothing
+	PreviousPlans []PreviousResource `json:"before,omitempty"`  // what the resources changed since Settled were in it, up to the follower's version
+	Newest        uint64             `json:"newest"`            // version in the log
 }
 
 // empty tells that a reply has nothing that its follower lacks.
 func (r *Reply) empty() bool {
-	return r.State == nil && r.Difference == nil && r.Wait == 0 && r.Settled == 0
+	return r.State == nil && r.Difference == nil && r.RetryAfter == 0 && r.Settled == 0
 }
 
 // Answer is the reply to a question that was held.
-type Answer struct {
+type HeldReply struct {
 	Follower string
 	Number   uint64
 	Reply    Reply
@@ -109,7 +109,7 @@
 	whole     *State        // of the version that is given out
 	steps     map[uint64]*Difference
 	stepsTo   uint64 // the version that these lead to
-	befores   map[[2]uint64][]Old
+	befores   map[[2]uint64][]PreviousResource
 	asked     uint64        // the version whose settling is on its way into the log
 	askedAt   time.Duration // when that was asked
 	halting   uint64        // the version whose halt is
@@ -121,17 +121,19 @@
 // entries to.
 func NewPublisher(timing Timing, catalog *Catalog, now time.Duration) *Publisher {
 	return &Publisher{timing: timing, catalog: catalog, began: now, now: now, sure: now, followers: map[string]*followerState{}, joinAt: now - again,
-		befores: map[[2]uint64][]Old{}}
+		befores: map[[2]uint64][]PreviousResource{}}
 }
 
 // Confirmed tells that a majority held this coordinator for the leader at a time: that at which
 // it was asked, not that of its answer. The caller asks at least twice in Timing.Fresh. So a
 // leader that was paused or cut off, and deposed meanwhile, gives out nothing by its old log:
 // no version that the others have halted since.
-func (p *Publisher) Confirmed(at time.Duration) { p.sure = max(p.sure, at) }
+func (p *Publisher) LeadershipConfirmed(at time.Duration) { p.sure = max(p.sure, at) }
 
 // confirmed tells whether this publisher may give out anything.
-func (p *Publisher) confirmed() bool { return p.timing.Fresh == 0 || p.now-p.sure < p.timing.Fresh }
+func (p *Publisher) confirmed() bool {
+	return p.timing.MaxStaleness == 0 || p.now-p.sure < p.timing.MaxStaleness
+}
 
 // setTime sets the current time. A publisher that was paused for long has heard nobody meanwhile; that
 // says nothing about them, so it waits for all once more.
@@ -171,21 +173,21 @@
 	}
 	s := p.followers[q.Follower]
 	if s == nil {
-		if _, known := p.catalog.Followers[q.Follower]; !known && max(len(p.followers), len(p.catalog.Followers)) >= MostFollowers {
-			return reply, false, &TooMany{MostFollowers}
+		if _, known := p.catalog.Followers[q.Follower]; !known && max(len(p.followers), len(p.catalog.Followers)) >= MaxFollowers {
+			return reply, false, &TooMany{MaxFollowers}
 		}
 		s = &followerState{}
 		p.followers[q.Follower] = s
 	}
 	// Repeated, or come late: it tells of what was before. A clock that was set back makes a
 	// later life's number the lower one; it is taken once nobody else is heard under the name.
-	if q.Life == s.poll.Life && q.Number <= s.poll.Number || q.Life < s.poll.Life && p.live(s) {
+	if q.Incarnation == s.poll.Incarnation && q.Number <= s.poll.Number || q.Incarnation < s.poll.Incarnation && p.live(s) {
 		return reply, false, &BadPoll{"a later one has come under this name"}
 	}
-	if q.Life != s.poll.Life {
+	if q.Incarnation != s.poll.Incarnation {
 		s.waits = false
 	}
-	q.Disk = q.Disk[:min(len(q.Disk), mostWhy)]
+	q.StorageError = q.StorageError[:min(len(q.StorageError), mostWhy)]
 	if q.Refused != nil {
 		q.Refused = &Halted{q.Refused.Version, q.Follower, q.Refused.Refused.bounded()}
 	}
@@ -211,28 +213,28 @@
 		return reply
 	case q.Refused != nil && q.Refused.Version == target && q.Version < target:
 		return reply // until there is another
-	case q.Whole && q.Version <= target, q.Version < target && (!known || have != q.Hash), q.Version == target && have != q.Hash:
-		if reply.Wait = p.pace(s, p.state().size()); reply.Wait > 0 {
+	case q.NeedFullState && q.Version <= target, q.Version < target && (!known || have != q.Hash), q.Version == target && have != q.Hash:
+		if reply.RetryAfter = p.pace(s, p.state().size()); reply.RetryAfter > 0 {
 			return reply
 		}
 		reply.State, at = p.state(), target
 	case q.Version < target:
 		d := p.step(q.Version)
-		if reply.Wait = p.pace(s, d.size()); reply.Wait > 0 {
+		if reply.RetryAfter = p.pace(s, d.size()); reply.RetryAfter > 0 {
 			return reply
 		}
 		reply.Difference, at = d, target
 	}
 	if at != q.Version || reply.State != nil || c.Settled > q.Settled && c.Settled <= at {
 		reply.Settled = min(c.Settled, at)
-		reply.Before = p.before(reply.Settled, at)
+		reply.PreviousPlans = p.before(reply.Settled, at)
 	}
 	return reply
 }
 
 // before is what plans changed after a version, up to another, were in it. Most followers get
 // the same, so it is made once.
-func (p *Publisher) before(settled, at uint64) []Old {
+func (p *Publisher) before(settled, at uint64) []PreviousResource {
 	span := [2]uint64{settled, at}
 	list, made := p.befores[span]
 	if !made {
@@ -320,7 +322,7 @@
 
 // Due answers the held questions that have an answer now: because there is something new,
 // or because their time is over.
-func (p *Publisher) Due(now time.Duration) (answers []Answer) {
+func (p *Publisher) Due(now time.Duration) (answers []HeldReply) {
 	p.setTime(now)
 	looked := p.news()
 	var names []string
@@ -335,7 +337,7 @@
 		s := p.followers[name]
 		if reply := p.next(s); !reply.empty() || p.now >= s.until {
 			s.held = false
-			answers = append(answers, Answer{name, s.poll.Number, reply})
+			answers = append(answers, HeldReply{name, s.poll.Number, reply})
 		}
 	}
 	return answers
@@ -364,7 +366,7 @@
 	if p.now-p.joinAt >= again {
 		joined := map[string]string{}
 		for name, s := range p.followers {
-			if region, known := c.Followers[name]; p.live(s) && (!known || region != s.poll.Region) && len(c.Followers)+len(joined) < MostFollowers {
+			if region, known := c.Followers[name]; p.live(s) && (!known || region != s.poll.Region) && len(c.Followers)+len(joined) < MaxFollowers {
 				joined[name] = s.poll.Region
 			}
 		}
@@ -418,26 +420,26 @@
 }
 
 // Standing is how one follower stands.
-type Standing string
+type Sync string
 
 // The standings.
 const (
-	InForce    Standing = "in force" // it decides by the version that is given out
-	Behind     Standing = "behind"
-	RefusedIt  Standing = "refused"
-	Silent     Standing = "silent"      // its lease has run out
-	NeverHeard Standing = "never heard" // by this publisher
-	IsAhead    Standing = "ahead"
+	SyncInForce   Sync = "in force" // it decides by the version that is given out
+	SyncBehind    Sync = "behind"
+	SyncRefused   Sync = "refused"
+	SyncSilent    Sync = "silent"      // its lease has run out
+	SyncNeverSeen Sync = "never heard" // by this publisher
+	SyncAhead     Sync = "ahead"
 )
 
 // FollowerStatus is how one follower stands.
 type FollowerStatus struct {
-	Name     string        `json:"name"`
-	Region   string        `json:"region,omitempty"`
-	Standing Standing      `json:"standing"`
-	Version  uint64        `json:"version"`
-	Heard    time.Duration `json:"heard"` // ago
-	Why      string        `json:"why,omitempty"`
+	Name          string        `json:"name"`
+	Region        string        `json:"region,omitempty"`
+	Sync          Sync          `json:"standing"`
+	Version       uint64        `json:"version"`
+	SinceLastPoll time.Duration `json:"heard"` // ago
+	Why           string        `json:"why,omitempty"`
 }
 
 // Status is how configuration stands.
@@ -464,20 +466,20 @@
 	}
 	for name, region := range names {
 		s := p.followers[name]
-		f := FollowerStatus{Name: name, Region: region, Standing: NeverHeard}
+		f := FollowerStatus{Name: name, Region: region, Sync: SyncNeverSeen}
 		if s != nil {
-			f.Version, f.Heard, f.Why = s.poll.Version, p.now-s.heard, s.poll.Disk
+			f.Version, f.SinceLastPoll, f.Why = s.poll.Version, p.now-s.heard, s.poll.StorageError
 			switch r := s.poll.Refused; {
 			case !p.live(s):
-				f.Standing = Silent
+				f.Sync = SyncSilent
 			case s.poll.Version > c.Version:
-				f.Standing, f.Why = IsAhead, (&Ahead{name, s.poll.Version, c.Version}).Error()
+				f.Sync, f.Why = SyncAhead, (&Ahead{name, s.poll.Version, c.Version}).Error()
 			case r != nil && r.Version > s.poll.Version:
-				f.Standing, f.Why = RefusedIt, r.Refused.Error()
+				f.Sync, f.Why = SyncRefused, r.Refused.Error()
 			case s.poll.Version < p.target():
-				f.Standing = Behind
+				f.Sync = SyncBehind
 			default:
-				f.Standing = InForce
+				f.Sync = SyncInForce
 			}
 		}
 		st.Followers = append(st.Followers, f)
@@ -489,7 +491,7 @@
 }
 
 // Heard tells how long ago a follower asked; false if it did not since this publisher began.
-func (p *Publisher) Heard(now time.Duration, follower string) (ago time.Duration, ever bool) {
+func (p *Publisher) SinceLastPoll(now time.Duration, follower string) (ago time.Duration, ever bool) {
 	s := p.followers[follower]
 	if s == nil {
 		return 0, false
--- a/distribution/resource.go
+++ b/distribution/resource.go
@@ -29,10 +29,10 @@
 
 // Bounds on what is configured.
 const (
-	MostState     = 5 << 19 // bytes of all resources of one version
-	MostResource  = 16 << 10
-	MostResources = 20_000
-	mostName      = 128
+	MaxStateBytes    = 5 << 19 // bytes of all resources of one version
+	MaxResourceBytes = 16 << 10
+	MaxResources     = 20_000
+	mostName         = 128
 )
 
 // Key names a resource: its kind and its name, as "plan/gold".
@@ -211,8 +211,8 @@
 	if name == "" || len(name) > mostName || strings.ContainsFunc(name, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
 		return fmt.Sprintf("a name has 1 to %d characters and no blanks", mostName)
 	}
-	if r.size() > MostResource {
-		return fmt.Sprintf("%d bytes, %d at most", r.size(), MostResource)
+	if r.size() > MaxResourceBytes {
+		return fmt.Sprintf("%d bytes, %d at most", r.size(), MaxResourceBytes)
 	}
 	to := newValue(kind)
 	if to == nil {
@@ -293,7 +293,7 @@
 
 // Check tells the first fault of a set in the order of its keys, as a *Refused, or nil.
 func (s Set) Check() error {
-	if len(s) > MostResources || s.Size() > MostState {
+	if len(s) > MaxResources || s.Size() > MaxStateBytes {
 		return &TooLarge{Resources: len(s), Bytes: s.Size()}
 	}
 	matches := map[[2]string]Key{}
--- a/internal/configfile/configfile.go
+++ b/internal/configfile/configfile.go
@@ -15,7 +15,7 @@
 )
 
 // mostFile bounds a file, in bytes: more than the text of the largest version.
-const mostFile = 4 * distribution.MostState
+const mostFile = 4 * distribution.MaxStateBytes
 
 // file is the text of a file.
 type file struct {
@@ -94,7 +94,7 @@
 }
 
 // Text writes a set as a file.
-func Text(set distribution.Set) ([]byte, error) {
+func Format(set distribution.Set) ([]byte, error) {
 	f := file{map[string]distribution.Plan{}, map[string]float64{}, map[string]distribution.Service{}, map[string]distribution.Route{}}
 	for _, r := range set {
 		kind, name := r.Key.Split()
--- a/internal/configfile/configfile_test.go
+++ b/internal/configfile/configfile_test.go
@@ -22,7 +22,7 @@
 			t.Errorf("%s: %+v", key, r)
 		}
 	}
-	text, err := Text(set)
+	text, err := Format(set)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -317,14 +317,14 @@
 }
 
 func (s *Server) configOrder(ctx context.Context, e distribution.Entry) (any, error) {
-	if err := e.CheckOrder(); err != nil {
+	if err := e.CheckOperatorRequest(); err != nil {
 		return nil, err
 	}
 	var made uint64
 	err := s.do(ctx, func(done func(error)) {
 		s.replica.Configure(s.now(), e, func(err error) {
 			if c, failed := s.replica.Catalog(); failed == nil {
-				made, _ = c.Made(e.Request)
+				made, _ = c.RequestVersion(e.Request)
 			}
 			done(err)
 		})
--- a/internal/distsim/coordinator.go
+++ b/internal/distsim/coordinator.go
@@ -166,7 +166,7 @@
 		}
 		for _, r := range ready.ReadStates {
 			if b := r.RequestCtx; len(b) == 16 && c.pub != nil && binary.BigEndian.Uint64(b) == c.term {
-				c.pub.Confirmed(time.Duration(binary.BigEndian.Uint64(b[8:])))
+				c.pub.LeadershipConfirmed(time.Duration(binary.BigEndian.Uint64(b[8:])))
 			}
 		}
 		for _, e := range ready.CommittedEntries {
--- a/internal/distsim/follower.go
+++ b/internal/distsim/follower.go
@@ -16,15 +16,15 @@
 type disk struct {
 	version, settled uint64
 	hash             distribution.Hash
-	before           []distribution.Old
+	before           []distribution.PreviousResource
 	set              distribution.Set
 }
 
-func (d *disk) kept() *distribution.Kept {
+func (d *disk) kept() *distribution.StoredConfig {
 	if d == nil {
 		return nil
 	}
-	return &distribution.Kept{State: distribution.State{Version: d.version, Hash: d.hash, Resources: d.set.List()}, Settled: d.settled, Before: d.before}
+	return &distribution.StoredConfig{State: distribution.State{Version: d.version, Hash: d.hash, Resources: d.set.List()}, Settled: d.settled, PreviousPlans: d.before}
 }
 
 // follower is one ingress.
@@ -62,12 +62,12 @@
 	f.until = 0
 	before := f.used
 	var err error
-	f.f, err = distribution.NewFollower(distribution.FollowerConfig{Name: f.name, Region: fmt.Sprint("r", f.region), Life: uint64(f.life), Coordinators: 3,
-		Patience: distribution.DefaultPatience, Check: f.check}, f.disk.kept(), f.w.Seed*7919+uint64(f.id), f.now())
+	f.f, err = distribution.NewFollower(distribution.FollowerConfig{Name: f.name, Region: fmt.Sprint("r", f.region), Incarnation: uint64(f.life), Coordinators: 3,
+		PollTimeout: distribution.DefaultPollTimeout, Check: f.check}, f.disk.kept(), f.w.Seed*7919+uint64(f.id), f.now())
 	if err != nil {
 		f.disk = nil
 	}
-	u := f.f.InUse()
+	u := f.f.Active()
 	if u.Version < before {
 		if !f.lost {
 			f.w.Fault("%s starts by version %d, and decided by %d", f.name, u.Version, before)
@@ -169,8 +169,8 @@
 				u := f.f.Saved(f.now(), err)
 				f.w.After(time.Duration(f.w.rng.Int64N(int64(3*time.Millisecond))), func() {
 					f.told(life, func() {
-						f.use(u, save.Whole)
-						f.f.Using(f.now())
+						f.use(u, save.Full)
+						f.f.Activated(f.now())
 					})
 				})
 			})
@@ -178,9 +178,9 @@
 	})
 }
 
-func (f *follower) keep(s *distribution.Save) {
+func (f *follower) keep(s *distribution.StoreUpdate) {
 	set := distribution.Set{}
-	if !s.Whole && f.disk != nil {
+	if !s.Full && f.disk != nil {
 		set = maps.Clone(f.disk.set)
 	}
 	for _, k := range s.Delete {
@@ -189,7 +189,7 @@
 	for _, r := range s.Set {
 		set[r.Key] = r
 	}
-	f.disk = &disk{s.Version, s.Settled, s.Hash, s.Before, set}
+	f.disk = &disk{s.Version, s.Settled, s.Hash, s.PreviousPlans, set}
 	if s.Version >= f.used {
 		f.lost = false
 	}
@@ -213,7 +213,7 @@
 }
 
 // use puts a version in force, and checks it.
-func (f *follower) use(u *distribution.InUse, whole bool) {
+func (f *follower) use(u *distribution.Active, whole bool) {
 	w := f.w
 	switch {
 	case u.Version < f.used:
@@ -232,7 +232,7 @@
 }
 
 // holds checks what is in force by itself, and notes its ceilings.
-func (f *follower) holds(u *distribution.InUse) {
+func (f *follower) holds(u *distribution.Active) {
 	w := f.w
 	if u.Version > w.log.Version {
 		w.Fault("%s has version %d, and the log %d", f.name, u.Version, w.log.Version)
--- a/internal/distsim/scenario.go
+++ b/internal/distsim/scenario.go
@@ -89,7 +89,7 @@
 	}
 	switch n := w.rng.IntN(10); {
 	case n == 0 && w.log.Version > 2:
-		w.order(distribution.Entry{By: by, Back: &distribution.Back{Base: w.log.Version, To: w.log.Version - 1}})
+		w.order(distribution.Entry{By: by, Rollback: &distribution.Rollback{Base: w.log.Version, To: w.log.Version - 1}})
 	case n == 1:
 		w.push(by, distribution.Push{Set: []distribution.Resource{w.encode(bad, distribution.Service{Owner: by})}})
 	case n == 2:
--- a/internal/distsim/world.go
+++ b/internal/distsim/world.go
@@ -158,8 +158,8 @@
 		base := was
 		if e.Push != nil {
 			base = e.Push.Base
-		} else if e.Back != nil {
-			base = e.Back.Base
+		} else if e.Rollback != nil {
+			base = e.Rollback.Base
 		}
 		if err != nil || v != was+1 || base != was {
 			w.Fault("a change from version %d makes version %d of %d (%v)", base, v, was, err)
@@ -207,7 +207,7 @@
 	}
 	slack := time.Duration(0) // a leader that is deposed may not know it for so long
 	if w.leader() != c {
-		slack = time.Duration(1.02 * float64(w.Timing.Fresh))
+		slack = time.Duration(1.02 * float64(w.Timing.MaxStaleness))
 	}
 	if h := w.versions[v].halted; h > 0 && w.Now() > h+slack && f.disk.kept() != nil && f.disk.version < v {
 		w.Fault("%s is given version %d, which was halted at %.3f s", f.name, v, h.Seconds())
--- a/internal/fleetproc/configured.go
+++ b/internal/fleetproc/configured.go
@@ -83,7 +83,7 @@
 	return f.WaitConfig(time.Minute, "all follow", func(s distribution.Status) bool {
 		heard := 0
 		for _, x := range s.Followers {
-			if x.Standing == distribution.InForce {
+			if x.Sync == distribution.SyncInForce {
 				heard++
 			}
 		}
--- a/internal/fleetproc/configured_test.go
+++ b/internal/fleetproc/configured_test.go
@@ -44,7 +44,7 @@
 	return func(s distribution.Status) bool {
 		n := 0
 		for _, x := range s.Followers {
-			if x.Standing == distribution.InForce && x.Version == version {
+			if x.Sync == distribution.SyncInForce && x.Version == version {
 				n++
 			}
 		}
@@ -114,11 +114,11 @@
 		f.waitConfig(t, "all but the one cut off have it", func(s distribution.Status) bool {
 			n := 0
 			for _, x := range s.Followers {
-				if x.Standing == distribution.InForce && x.Version == 2 {
+				if x.Sync == distribution.SyncInForce && x.Version == 2 {
 					n++
 				}
 			}
-			return n == f.Ingresses-1 && s.Settled == 2 && standing(s, "n0").Version < 2 && standing(s, "n0").Standing != distribution.InForce
+			return n == f.Ingresses-1 && s.Settled == 2 && standing(s, "n0").Version < 2 && standing(s, "n0").Sync != distribution.SyncInForce
 		})
 		if err := f.Coordinators[lead].Start(); err != nil {
 			t.Fatal(err)
--- a/internal/follower/config.go
+++ b/internal/follower/config.go
@@ -9,16 +9,16 @@
 
 // Config is a follower's file (deploy/follower.toml).
 type Config struct {
-	Name         string   `toml:"name"`
-	Region       string   `toml:"region"`
-	Coordinators []string `toml:"coordinators"`
-	Dir          string   `toml:"dir"`
-	PatienceMS   int      `toml:"patience_ms"`
+	Name          string   `toml:"name"`
+	Region        string   `toml:"region"`
+	Coordinators  []string `toml:"coordinators"`
+	Dir           string   `toml:"dir"`
+	PollTimeoutMS int      `toml:"patience_ms"`
 }
 
 // Patience is how long a question may be out: longer than the coordinators hold it.
-func (c Config) Patience() time.Duration {
-	return tomlfile.Milliseconds(c.PatienceMS, distribution.DefaultPatience)
+func (c Config) PollTimeout() time.Duration {
+	return tomlfile.Milliseconds(c.PollTimeoutMS, distribution.DefaultPollTimeout)
 }
 
 // LoadConfig reads a file and finds all its faults, each with its line.
@@ -45,7 +45,7 @@
 		file.Fault("coordinators", "the addresses of all of them")
 	}
 	file.CheckAddresses("coordinators", c.Coordinators)
-	if c.PatienceMS < 0 || c.Patience() <= distribution.DefaultTiming().Hold {
+	if c.PollTimeoutMS < 0 || c.PollTimeout() <= distribution.DefaultTiming().Hold {
 		file.Fault("patience_ms", "above the %v for which a question is held", distribution.DefaultTiming().Hold)
 	}
 	return c, file.Faults()
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -25,7 +25,7 @@
 	CheckConfig(changed []distribution.Resource) error
 	// Configure decides by it from when it returns. It has been checked. The error, if there
 	// is one all the same, is told; what was in force stays.
-	Configure(*distribution.InUse) error
+	Configure(*distribution.Active) error
 }
 
 // Follower is one.
@@ -45,11 +45,11 @@
 // New reads what is kept, has the ingress, which does not run yet, decide by it, and returns
 // before any coordinator was asked. What is wrong with the folder is told in the log, and to the coordinators.
 func New(cfg Config, ingress Ingress, log *slog.Logger) *Follower {
-	return NewWith(cfg, ingress, log, rolloutlink.NewHTTP(cfg.Patience()))
+	return NewWithClient(cfg, ingress, log, rolloutlink.NewHTTP(cfg.PollTimeout()))
 }
 
 // NewWith is New with a client of the caller's own.
-func NewWith(cfg Config, ingress Ingress, log *slog.Logger, client *http.Client) *Follower {
+func NewWithClient(cfg Config, ingress Ingress, log *slog.Logger, client *http.Client) *Follower {
 	f := &Follower{cfg: cfg, log: log.With("follower", cfg.Name), ingress: ingress, http: client, began: time.Now(), mail: make(chan func(), 1)}
 	store, kept, err := openStore(cfg.Dir)
 	if err != nil {
@@ -57,12 +57,12 @@
 	}
 	f.store = store
 	life := uint64(f.began.UnixNano())
-	decides := distribution.FollowerConfig{Name: cfg.Name, Region: cfg.Region, Life: life, Coordinators: len(cfg.Coordinators),
-		Patience: cfg.Patience(), Check: ingress.CheckConfig}
+	decides := distribution.FollowerConfig{Name: cfg.Name, Region: cfg.Region, Incarnation: life, Coordinators: len(cfg.Coordinators),
+		PollTimeout: cfg.PollTimeout(), Check: ingress.CheckConfig}
 	if f.decides, err = distribution.NewFollower(decides, kept, life, 0); err != nil {
 		f.tell("what was kept is not used", err)
 	}
-	if u := f.decides.InUse(); u.Version > 0 {
+	if u := f.decides.Active(); u.Version > 0 {
 		if err := ingress.Configure(u); err != nil {
 			f.tell("what was kept is not used", err)
 			f.decides, _ = distribution.NewFollower(decides, nil, life, 0) // with nothing kept there is nothing to refuse
@@ -117,17 +117,17 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if silent := f.now() - f.decides.Heard(); silent > alone && !f.lost {
+		if silent := f.now() - f.decides.LastReply(); silent > alone && !f.lost {
 			f.lost = true
-			u := f.decides.InUse()
-			f.log.Warn("no coordinator answers, and what is in force stays", "in_force", u.Describe(), "since", f.began.Add(f.decides.Heard()))
+			u := f.decides.Active()
+			f.log.Warn("no coordinator answers, and what is in force stays", "in_force", u.Describe(), "since", f.began.Add(f.decides.LastReply()))
 		}
 	}
 }
 
 // ask carries one question, and hands what comes of it to the follower's goroutine.
-func (f *Follower) ask(ctx context.Context, ask distribution.Ask) {
-	call, cancel := context.WithTimeout(ctx, f.cfg.Patience())
+func (f *Follower) ask(ctx context.Context, ask distribution.PollRequest) {
+	call, cancel := context.WithTimeout(ctx, f.cfg.PollTimeout())
 	defer cancel()
 	var reply distribution.Reply
 	leader, err := rolloutlink.Call(call, f.http, http.MethodPost, f.cfg.Coordinators[ask.Coordinator], rolloutlink.PathConfigPoll, ask.Poll, &reply, rolloutlink.MostConfig)
@@ -141,7 +141,7 @@
 	}
 }
 
-func (f *Follower) failed(ask distribution.Ask, leader string, err error) {
+func (f *Follower) failed(ask distribution.PollRequest, leader string, err error) {
 	var remote *rollout.RemoteError
 	if errors.As(err, &remote) && remote.Kind != "NotLeader" {
 		f.tell("a coordinator does not answer the question", remote)
@@ -149,11 +149,11 @@
 	f.decides.Failed(f.now(), ask.Poll.Number, slices.Index(f.cfg.Coordinators, leader))
 }
 
-func (f *Follower) replied(ask distribution.Ask, reply distribution.Reply) {
-	before := f.decides.InUse()
+func (f *Follower) replied(ask distribution.PollRequest, reply distribution.Reply) {
+	before := f.decides.Active()
 	was := before.Version
 	save, err := f.decides.Replied(f.now(), ask.Poll.Number, reply)
-	if f.lost && f.decides.Heard() > f.now()-alone {
+	if f.lost && f.decides.LastReply() > f.now()-alone {
 		f.lost = false
 		f.log.Info("a coordinator answers again", "newest", reply.Newest)
 	}
@@ -174,10 +174,10 @@
 	}
 	if err := f.ingress.Configure(use); err != nil {
 		f.log.Error("a version that was checked can't be used", "version", use.Version, "error", err)
-		f.decides.Unusable(f.now(), err)
+		f.decides.ActivationFailed(f.now(), err)
 		return
 	}
-	f.decides.Using(f.now())
+	f.decides.Activated(f.now())
 	if use.Version != was {
 		f.told = ""
 		f.log.Info("in force", "version", use.Version, "before", was, "settled", use.Settled)
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -48,10 +48,10 @@
 		t.Fatal(kept, err)
 	}
 	a, b, c := plan(t, "a", 1), plan(t, "b", 2), plan(t, "c", 3)
-	old := []distribution.Old{{Key: a.Key, Data: b.Data}}
-	for _, what := range []*distribution.Save{
-		{Version: 1, Hash: sum(a, b), Set: []distribution.Resource{a, b}, Whole: true},
-		{Version: 2, Hash: sum(a, c), Set: []distribution.Resource{c}, Delete: []distribution.Key{b.Key}, Settled: 1, Before: old},
+	old := []distribution.PreviousResource{{Key: a.Key, Data: b.Data}}
+	for _, what := range []*distribution.StoreUpdate{
+		{Version: 1, Hash: sum(a, b), Set: []distribution.Resource{a, b}, Full: true},
+		{Version: 2, Hash: sum(a, c), Set: []distribution.Resource{c}, Delete: []distribution.Key{b.Key}, Settled: 1, PreviousPlans: old},
 	} {
 		if err = s.save(what); err != nil {
 			t.Fatal(err)
@@ -62,10 +62,10 @@
 	}
 	s.close()
 	s, kept, err = openStore(dir)
-	if err != nil || kept.Version != 2 || kept.Hash != sum(kept.Resources...) || kept.Hash != sum(a, c) || kept.Settled != 1 || len(kept.Before) != 1 || kept.Resources[0].Line != 3 {
+	if err != nil || kept.Version != 2 || kept.Hash != sum(kept.Resources...) || kept.Hash != sum(a, c) || kept.Settled != 1 || len(kept.PreviousPlans) != 1 || kept.Resources[0].Line != 3 {
 		t.Fatalf("%+v, %v", kept, err)
 	}
-	if err = s.save(&distribution.Save{Version: 3, Hash: sum(b), Set: []distribution.Resource{b}, Whole: true}); err != nil {
+	if err = s.save(&distribution.StoreUpdate{Version: 3, Hash: sum(b), Set: []distribution.Resource{b}, Full: true}); err != nil {
 		t.Fatal(err)
 	}
 	s.close()
@@ -92,7 +92,7 @@
 			if aside, err := os.ReadFile(s.path + ".damaged"); err != nil || !bytes.HasPrefix(aside, spoilt[:100]) {
 				t.Errorf("it is not put aside: %v", err)
 			}
-			if err := s.save(&distribution.Save{Version: 1, Hash: sum(a), Set: []distribution.Resource{a}, Whole: true}); err != nil {
+			if err := s.save(&distribution.StoreUpdate{Version: 1, Hash: sum(a), Set: []distribution.Resource{a}, Full: true}); err != nil {
 				t.Errorf("nothing can be kept behind it: %v", err)
 			}
 		})
@@ -114,7 +114,7 @@
 	if kept != nil || !as[*DiskFailed](err) {
 		t.Fatalf("%+v, %v", kept, err)
 	}
-	if err := s.save(&distribution.Save{Version: 1, Whole: true}); !as[*DiskFailed](err) {
+	if err := s.save(&distribution.StoreUpdate{Version: 1, Full: true}); !as[*DiskFailed](err) {
 		t.Errorf("%v", err)
 	}
 	s.close()
@@ -159,7 +159,7 @@
 type fake struct {
 	refuses string // a key
 	fails   bool
-	in      chan distribution.InUse
+	in      chan distribution.Active
 }
 
 func (f *fake) CheckConfig(changed []distribution.Resource) error {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (f *fake) Configure(u *distribution.InUse) error {
+func (f *fake) Configure(u *distribution.Active) error {
 	if f.fails {
 		return errors.New("it fails")
 	}
@@ -227,7 +227,7 @@
 	old := distribution.Reply{State: &distribution.State{Version: 3, Hash: sum(b), Resources: []distribution.Resource{b}}}
 	s := newScript(t, say(first), func(w http.ResponseWriter, _ distribution.Poll) { _, _ = fmt.Fprint(w, "{") }, say(old), say(wrong), say(second), hold)
 	dir := t.TempDir()
-	in := &fake{in: make(chan distribution.InUse, 100)}
+	in := &fake{in: make(chan distribution.Active, 100)}
 	stop := follow(t, dir, in, s.URL)
 	if u := take(t, "version 5", in.in); u.Version != 5 || u.Hash != sum(a) || u.Settled != 4 {
 		t.Errorf("%+v", u)
@@ -236,7 +236,7 @@
 		t.Errorf("%+v", u)
 	}
 	q := until(t, s, "a question with version 6", func(q distribution.Poll) bool { return q.Version == 6 })
-	if q.Hash != sum(a, b) || q.Follower != "n1" || q.Region != "west" || q.Disk != "" {
+	if q.Hash != sum(a, b) || q.Follower != "n1" || q.Region != "west" || q.StorageError != "" {
 		t.Errorf("%+v", q)
 	}
 	stop()
@@ -255,7 +255,7 @@
 func TestRefusalIsTold(t *testing.T) {
 	a, b := plan(t, "a", 1), plan(t, "b", 2)
 	for _, in := range []*fake{{refuses: "plan/b"}, {fails: true}} {
-		in.in = make(chan distribution.InUse, 100)
+		in.in = make(chan distribution.Active, 100)
 		s := newScript(t, say(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a, b), Resources: []distribution.Resource{a, b}}}), hold)
 		follow(t, t.TempDir(), in, s.URL)
 		q := until(t, s, "a refusal", func(q distribution.Poll) bool { return q.Refused != nil })
@@ -282,7 +282,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		_, _ = fmt.Fprintf(w, `{"error":{"kind":"NotLeader","text":"no","remedy":"ask the leader"},"leader":%q}`, strings.TrimPrefix(leader.URL, "http://"))
 	})
-	in := &fake{in: make(chan distribution.InUse, 100)}
+	in := &fake{in: make(chan distribution.Active, 100)}
 	follow(t, t.TempDir(), in, hangs.URL, gone.URL, sends.URL, leader.URL)
 	if u := take(t, "version 1", in.in); u.Version != 1 {
 		t.Errorf("%+v", u)
@@ -296,7 +296,7 @@
 		_, _ = fmt.Fprint(w, `{"error":{"kind":"BadPoll","text":"a later one has come under this name","remedy":"give each a name of its own"}}`)
 	})
 	var log bytes.Buffer
-	stop := followWith(t, t.TempDir(), &fake{in: make(chan distribution.InUse, 100)}, slog.NewTextHandler(&log, nil), strings.TrimPrefix(s.URL, "http://"))
+	stop := followWith(t, t.TempDir(), &fake{in: make(chan distribution.Active, 100)}, slog.NewTextHandler(&log, nil), strings.TrimPrefix(s.URL, "http://"))
 	for range 5 {
 		take(t, "a question", s.asked)
 	}
--- a/internal/follower/store.go
+++ b/internal/follower/store.go
@@ -40,15 +40,15 @@
 
 // head is what is kept beside the resources.
 type head struct {
-	Version uint64             `json:"version"`
-	Hash    distribution.Hash  `json:"hash"`
-	Settled uint64             `json:"settled"`
-	Before  []distribution.Old `json:"before,omitempty"`
+	Version uint64                          `json:"version"`
+	Hash    distribution.Hash               `json:"hash"`
+	Settled uint64                          `json:"settled"`
+	Before  []distribution.PreviousResource `json:"before,omitempty"`
 }
 
 // openStore opens a folder and reads what it keeps, nil for nothing. With a store that can't
 // be used comes the reason; it works all the same and keeps nothing.
-func openStore(dir string) (s *store, kept *distribution.Kept, err error) {
+func openStore(dir string) (s *store, kept *distribution.StoredConfig, err error) {
 	s = &store{path: filepath.Join(dir, fileName)}
 	if err = os.MkdirAll(dir, 0o700); err != nil {
 		return s, nil, s.unusable(&DiskFailed{dir, err})
@@ -79,7 +79,7 @@
 	return why
 }
 
-func (s *store) open() (kept *distribution.Kept, err error) {
+func (s *store) open() (kept *distribution.StoredConfig, err error) {
 	defer func() {
 		if p := recover(); p != nil { // as bbolt does on pages that make no sense
 			err = &DiskDamaged{s.path, fmt.Sprint(p)}
@@ -110,7 +110,7 @@
 }
 
 // read reads the version that is kept, nil for none.
-func (s *store) read(tx *bbolt.Tx) (*distribution.Kept, error) {
+func (s *store) read(tx *bbolt.Tx) (*distribution.StoredConfig, error) {
 	at := tx.Bucket(bucketHead)
 	if at == nil {
 		return nil, nil
@@ -119,7 +119,7 @@
 	if err := unseal(at.Get(keyHead), &h); err != nil {
 		return nil, &DiskDamaged{s.path, err.Error()}
 	}
-	kept := &distribution.Kept{State: distribution.State{Version: h.Version, Hash: h.Hash}, Settled: h.Settled, Before: h.Before}
+	kept := &distribution.StoredConfig{State: distribution.State{Version: h.Version, Hash: h.Hash}, Settled: h.Settled, PreviousPlans: h.Before}
 	resources := tx.Bucket(bucketResources)
 	if resources == nil {
 		return nil, &DiskDamaged{s.path, "no resources"}
@@ -136,7 +136,7 @@
 }
 
 // save keeps one version in the place of the one before.
-func (s *store) save(what *distribution.Save) (err error) {
+func (s *store) save(what *distribution.StoreUpdate) (err error) {
 	if s.db == nil {
 		return s.why
 	}
@@ -152,8 +152,8 @@
 }
 
 // write writes one version in the place of the one before.
-func write(tx *bbolt.Tx, what *distribution.Save) error {
-	if what.Whole && tx.Bucket(bucketResources) != nil {
+func write(tx *bbolt.Tx, what *distribution.StoreUpdate) error {
+	if what.Full && tx.Bucket(bucketResources) != nil {
 		if err := tx.DeleteBucket(bucketResources); err != nil {
 			return err
 		}
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	return putSealed(at, keyHead, head{what.Version, what.Hash, what.Settled, what.Before})
+	return putSealed(at, keyHead, head{what.Version, what.Hash, what.Settled, what.PreviousPlans})
 }
 
 // putSealed writes a value behind its checksum under a key.
--- a/internal/ingress/terms_test.go
+++ b/internal/ingress/terms_test.go
@@ -11,9 +11,9 @@
 )
 
 // newVersion makes a newVersion of configuration from values by their keys.
-func newVersion(t *testing.T, number uint64, values map[distribution.Key]any, before ...distribution.Old) *distribution.InUse {
+func newVersion(t *testing.T, number uint64, values map[distribution.Key]any, before ...distribution.PreviousResource) *distribution.Active {
 	t.Helper()
-	u := &distribution.InUse{Version: number, Settled: number - 1, Set: distribution.Set{}, Before: map[distribution.Key][]byte{}}
+	u := &distribution.Active{Version: number, Settled: number - 1, Set: distribution.Set{}, PreviousPlans: map[distribution.Key][]byte{}}
 	for k, v := range values {
 		data, err := distribution.Encode(v)
 		if err != nil {
@@ -22,7 +22,7 @@
 		u.Set[k] = distribution.Resource{Key: k, Data: data, Line: 7}
 	}
 	for _, o := range before {
-		u.Before[o.Key] = o.Data
+		u.PreviousPlans[o.Key] = o.Data
 	}
 	return u
 }
@@ -43,7 +43,7 @@
 		c.send("Q.ASK", "0000000000000001", standin.NewID(), fmt.Sprintf("c=lookup,t=%s,d=3000,units=1,spread=1,first=0", plan))
 		return c.line()
 	}
-	put := func(u *distribution.InUse) {
+	put := func(u *distribution.Active) {
 		t.Helper()
 		if err = in.Configure(u); err != nil {
 			t.Fatal(err)
@@ -85,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	put(newVersion(t, 4, map[distribution.Key]any{"plan/capped": high}, distribution.Old{Key: "plan/capped", Data: data}))
+	put(newVersion(t, 4, map[distribution.Key]any{"plan/capped": high}, distribution.PreviousResource{Key: "plan/capped", Data: data}))
 	if got := try("capped"); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("a raised ceiling that has not settled is answered %q", got)
 	}
--- a/rollout/replica/replica.go
+++ b/rollout/replica/replica.go
@@ -446,7 +446,7 @@
 			return &rollout.NotLeader{Leader: r.Leads()}
 		}
 		if e.Forget != "" {
-			if ago, ever := r.publisher.Heard(r.now, e.Forget); ever && ago < r.cfg.publish().Lease {
+			if ago, ever := r.publisher.SinceLastPoll(r.now, e.Forget); ever && ago < r.cfg.publish().Lease {
 				return &distribution.StillThere{Follower: e.Forget, Heard: ago}
 			}
 		}
@@ -587,7 +587,7 @@
 			if c := read.RequestCtx; len(c) == 16 && r.leader != nil && binary.BigEndian.Uint64(c) == r.term {
 				at := time.Duration(binary.BigEndian.Uint64(c[8:]))
 				r.leader.Confirmed(at)
-				r.publisher.Confirmed(at)
+				r.publisher.LeadershipConfirmed(at)
 			}
 		}
 		for _, e := range ready.CommittedEntries {
