--- a/cmd/bench/followers/main.go
+++ b/cmd/bench/followers/main.go
@@ -91,7 +91,7 @@
 func (*hollow) CheckConfig([]distribution.Resource) error { return nil }
 
 // Configure notes the time. A version comes once more when it has settled.
-func (h *hollow) Configure(u *distribution.Active) error {
+func (h *hollow) Configure(u *distribution.ActiveConfig) error {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	if u.Version == h.has {
@@ -150,7 +150,7 @@
 		}
 		if set.Sum() == c.Hash {
 			version = c.Version
-			_ = h.Configure(&distribution.Active{Version: version}) // a hollow follower takes any
+			_ = h.Configure(&distribution.ActiveConfig{Version: version}) // a hollow follower takes any
 		}
 	}
 }
--- a/distribution/cases_test.go
+++ b/distribution/cases_test.go
@@ -101,7 +101,7 @@
 	return &StoredConfig{State: State{c.Version, c.Hash, c.Resources}, Settled: c.Settled}
 }
 
-func goldRate(t *testing.T, u *Active) float64 {
+func goldRate(t *testing.T, u *ActiveConfig) float64 {
 	t.Helper()
 	p, err := u.Plan(KeyOf(KindPlan, "gold"))
 	if err != nil {
@@ -796,7 +796,7 @@
 func TestCeilingsInUse(t *testing.T) {
 	for _, c := range []struct{ old, own, want float64 }{{100, 200, 100}, {200, 100, 100}, {0, 100, 100}, {100, 0, 100}, {0, 0, 0}} {
 		k := KeyOf(KindPlan, "gold")
-		u := Active{Set: Set{k: planOf(t, "gold", c.own)}, PreviousPlans: map[Key][]byte{k: planOf(t, "gold", c.old).Data}}
+		u := ActiveConfig{Set: Set{k: planOf(t, "gold", c.own)}, PreviousPlans: map[Key][]byte{k: planOf(t, "gold", c.old).Data}}
 		if c.old == 0 || c.own == 0 { // burst 0 goes with rate 0
 			u.Set[k], u.PreviousPlans[k] = ceilingOf(t, c.own), ceilingOf(t, c.old).Data
 		}
--- a/distribution/follower.go
+++ b/distribution/follower.go
@@ -52,7 +52,7 @@
 }
 
 // InUse is what an ingress decides by.
-type Active struct {
+type ActiveConfig struct {
 	Version       uint64
 	Hash          Hash
 	Set           Set            // not to be changed
@@ -63,7 +63,7 @@
 // Plan is a plan as it holds now: its ceiling is the lower one of its own and of the one that
 // others may still decide by, so that all together keep within the higher of both from the
 // first moment on, and within the new one from when all have it.
-func (u *Active) Plan(k Key) (Plan, error) {
+func (u *ActiveConfig) Plan(k Key) (Plan, error) {
 	p, err := u.Set[k].Plan()
 	if err != nil {
 		return p, err
@@ -100,8 +100,8 @@
 	cfg   FollowerConfig
 	rng   *rand.Rand
 	now   time.Duration
-	use   Active // in force
-	next  *Active
+	use   ActiveConfig // in force
+	next  *ActiveConfig
 	whole bool // ours can't be built on
 	poll  Poll // the last one
 
@@ -120,7 +120,7 @@
 // can't be used: the follower works all the same, from version 0.
 func NewFollower(cfg FollowerConfig, kept *StoredConfig, seed uint64, now time.Duration) (*Follower, error) {
 	f := &Follower{cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.Incarnation)), now: now, heard: now, due: now}
-	f.use = Active{Set: Set{}, Hash: Set{}.Sum()}
+	f.use = ActiveConfig{Set: Set{}, Hash: Set{}.Sum()}
 	f.at = f.rng.IntN(max(1, cfg.Coordinators))
 	if kept == nil || kept.Version == 0 {
 		return f, nil
@@ -136,8 +136,8 @@
 	return f, nil
 }
 
-func inUse(version uint64, hash Hash, set Set, settled uint64, before []PreviousResource) Active {
-	u := Active{Version: version, Hash: hash, Set: set, Settled: settled, PreviousPlans: map[Key][]byte{}}
+func inUse(version uint64, hash Hash, set Set, settled uint64, before []PreviousResource) ActiveConfig {
+	u := ActiveConfig{Version: version, Hash: hash, Set: set, Settled: settled, PreviousPlans: map[Key][]byte{}}
 	for _, o := range before {
 		u.PreviousPlans[o.Key] = o.Data
 	}
@@ -145,7 +145,7 @@
 }
 
 // before is Before as it is kept, in the order of the keys.
-func (u *Active) before() (list []PreviousResource) {
+func (u *ActiveConfig) before() (list []PreviousResource) {
 	for _, k := range slices.Sorted(maps.Keys(u.PreviousPlans)) {
 		list = append(list, PreviousResource{Key: k, Data: u.PreviousPlans[k]})
 	}
@@ -165,7 +165,7 @@
 }
 
 // InUse is what is in force here.
-func (f *Follower) Active() *Active { return &f.use }
+func (f *Follower) Active() *ActiveConfig { return &f.use }
 
 // Heard tells when a coordinator answered last.
 func (f *Follower) LastReply() time.Duration { return f.heard }
@@ -250,8 +250,8 @@
 }
 
 // take works out what a reply makes of what is in force.
-func (f *Follower) take(r Reply) (*StoreUpdate, *Active, error) {
-	var next Active
+func (f *Follower) take(r Reply) (*StoreUpdate, *ActiveConfig, error) {
+	var next ActiveConfig
 	save := &StoreUpdate{}
 	switch {
 	case r.State != nil:
@@ -304,7 +304,7 @@
 }
 
 // halted makes of the fault of a version the refusal that the publisher is sent.
-func (f *Follower) halted(next *Active, fault error) *Halted {
+func (f *Follower) halted(next *ActiveConfig, fault error) *Halted {
 	refused, one := fault.(*Refused)
 	if !one {
 		refused = &Refused{Why: fault.Error()}
@@ -318,7 +318,7 @@
 // Saved tells that what Replied returned is kept, or why not: it is put in force all the same,
 // and operators are told. What it returns is to be decided by from now on, and then told by
 // Using.
-func (f *Follower) Saved(now time.Duration, err error) *Active {
+func (f *Follower) Saved(now time.Duration, err error) *ActiveConfig {
 	f.now = max(f.now, now)
 	if f.disk, f.tried = "", f.now; err != nil {
 		f.disk = err.Error()
@@ -350,7 +350,7 @@
 }
 
 // Describe tells in one line what is in force, for logs and status.
-func (u *Active) Describe() string {
+func (u *ActiveConfig) Describe() string {
 	kinds := map[string]int{}
 	for k := range u.Set {
 		kind, _ := k.Split()
@@ -366,7 +366,7 @@
 }
 
 // Keys are the keys of a kind, in order.
-func (u *Active) Keys(kind string) (keys []Key) {
+func (u *ActiveConfig) Keys(kind string) (keys []Key) {
 	for k := range u.Set {
 		if is, _ := k.Split(); is == kind {
 			keys = append(keys, k)
--- a/internal/distsim/follower.go
+++ b/internal/distsim/follower.go
@@ -213,7 +213,7 @@
 }
 
 // use puts a version in force, and checks it.
-func (f *follower) use(u *distribution.Active, whole bool) {
+func (f *follower) use(u *distribution.ActiveConfig, whole bool) {
 	w := f.w
 	switch {
 	case u.Version < f.used:
@@ -232,7 +232,7 @@
 }
 
 // holds checks what is in force by itself, and notes its ceilings.
-func (f *follower) holds(u *distribution.Active) {
+func (f *follower) holds(u *distribution.ActiveConfig) {
 	w := f.w
 	if u.Version > w.log.Version {
 		w.Fault("%s has version %d, and the log %d", f.name, u.Version, w.log.Version)
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -25,7 +25,7 @@
 	CheckConfig(changed []distribution.Resource) error
 	// Configure decides by it from when it returns. It has been checked. The error, if there
 	// is one all the same, is told; what was in force stays.
-	Configure(*distribution.Active) error
+	Configure(*distribution.ActiveConfig) error
 }
 
 // Follower is one.
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -159,7 +159,7 @@
 type fake struct {
 	refuses string // a key
 	fails   bool
-	in      chan distribution.Active
+	in      chan distribution.ActiveConfig
 }
 
 func (f *fake) CheckConfig(changed []distribution.Resource) error {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (f *fake) Configure(u *distribution.Active) error {
+func (f *fake) Configure(u *distribution.ActiveConfig) error {
 	if f.fails {
 		return errors.New("it fails")
 	}
@@ -227,7 +227,7 @@
 	old := distribution.Reply{State: &distribution.State{Version: 3, Hash: sum(b), Resources: []distribution.Resource{b}}}
 	s := newScript(t, say(first), func(w http.ResponseWriter, _ distribution.Poll) { _, _ = fmt.Fprint(w, "{") }, say(old), say(wrong), say(second), hold)
 	dir := t.TempDir()
-	in := &fake{in: make(chan distribution.Active, 100)}
+	in := &fake{in: make(chan distribution.ActiveConfig, 100)}
 	stop := follow(t, dir, in, s.URL)
 	if u := take(t, "version 5", in.in); u.Version != 5 || u.Hash != sum(a) || u.Settled != 4 {
 		t.Errorf("%+v", u)
@@ -255,7 +255,7 @@
 func TestRefusalIsTold(t *testing.T) {
 	a, b := plan(t, "a", 1), plan(t, "b", 2)
 	for _, in := range []*fake{{refuses: "plan/b"}, {fails: true}} {
-		in.in = make(chan distribution.Active, 100)
+		in.in = make(chan distribution.ActiveConfig, 100)
 		s := newScript(t, say(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a, b), Resources: []distribution.Resource{a, b}}}), hold)
 		follow(t, t.TempDir(), in, s.URL)
 		q := until(t, s, "a refusal", func(q distribution.Poll) bool { return q.Refused != nil })
@@ -282,7 +282,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		_, _ = fmt.Fprintf(w, `{"error":{"kind":"NotLeader","text":"no","remedy":"ask the leader"},"leader":%q}`, strings.TrimPrefix(leader.URL, "http://"))
 	})
-	in := &fake{in: make(chan distribution.Active, 100)}
+	in := &fake{in: make(chan distribution.ActiveConfig, 100)}
 	follow(t, t.TempDir(), in, hangs.URL, gone.URL, sends.URL, leader.URL)
 	if u := take(t, "version 1", in.in); u.Version != 1 {
 		t.Errorf("%+v", u)
@@ -296,7 +296,7 @@
 		_, _ = fmt.Fprint(w, `{"error":{"kind":"BadPoll","text":"a later one has come under this name","remedy":"give each a name of its own"}}`)
 	})
 	var log bytes.Buffer
-	stop := followWith(t, t.TempDir(), &fake{in: make(chan distribution.Active, 100)}, slog.NewTextHandler(&log, nil), strings.TrimPrefix(s.URL, "http://"))
+	stop := followWith(t, t.TempDir(), &fake{in: make(chan distribution.ActiveConfig, 100)}, slog.NewTextHandler(&log, nil), strings.TrimPrefix(s.URL, "http://"))
 	for range 5 {
 		take(t, "a question", s.asked)
 	}
--- a/internal/ingress/terms.go
+++ b/internal/ingress/terms.go
@@ -43,7 +43,7 @@
 // not known. One that names none leaves the platform's. Limits bind beside the platform's own.
 // Services and routes are checked and kept; nothing decides by them yet. It belongs to the
 // reactor's goroutine.
-func (i *Ingress) Configure(u *distribution.Active) error {
+func (i *Ingress) Configure(u *distribution.ActiveConfig) error {
 	l := i.loop
 	if l.terms == nil {
 		l.terms = &runtimeConfig{base: l.cfg.Choice, numbers: maps.Clone(l.cfg.plans), plans: l.cfg.Choice.Plans}
@@ -112,7 +112,7 @@
 type Configurable struct{ *Server }
 
 // Configure has the reactor's goroutine decide by a version, and waits until it does.
-func (c Configurable) Configure(u *distribution.Active) (err error) {
+func (c Configurable) Configure(u *distribution.ActiveConfig) (err error) {
 	c.loop.Do(func() { err = c.Ingress.Configure(u) })
 	return err
 }
--- a/internal/ingress/terms_test.go
+++ b/internal/ingress/terms_test.go
@@ -11,9 +11,9 @@
 )
 
 // newVersion makes a newVersion of configuration from values by their keys.
-func newVersion(t *testing.T, number uint64, values map[distribution.Key]any, before ...distribution.PreviousResource) *distribution.Active {
+func newVersion(t *testing.T, number uint64, values map[distribution.Key]any, before ...distribution.PreviousResource) *distribution.ActiveConfig {
 	t.Helper()
-	u := &distribution.Active{Version: number, Settled: number - 1, Set: distribution.Set{}, PreviousPlans: map[distribution.Key][]byte{}}
+	u := &distribution.ActiveConfig{Version: number, Settled: number - 1, Set: distribution.Set{}, PreviousPlans: map[distribution.Key][]byte{}}
 	for k, v := range values {
 		data, err := distribution.Encode(v)
 		if err != nil {
@@ -43,7 +43,7 @@
 		c.send("Q.ASK", "0000000000000001", standin.NewID(), fmt.Sprintf("c=lookup,t=%s,d=3000,units=1,spread=1,first=0", plan))
 		return c.line()
 	}
-	put := func(u *distribution.Active) {
+	put := func(u *distribution.ActiveConfig) {
 		t.Helper()
 		if err = in.Configure(u); err != nil {
 			t.Fatal(err)
