--- a/distribution/cases_test.go
+++ b/distribution/cases_test.go
@@ -11,17 +11,17 @@
 )
 
 // rig is a log with one catalog, for tests that go event by event.
-type rig struct {
-	t     *testing.T
-	c     *Catalog
-	index uint64
+type testLog struct {
+	t       *testing.T
+	catalog *Catalog
+	index   uint64
 }
 
-func newRig(t *testing.T) *rig { return &rig{t: t, c: NewCatalog()} }
+func newTestLog(t *testing.T) *testLog { return &testLog{t: t, catalog: NewCatalog()} }
 
-func (g *rig) apply(e Entry) error { g.index++; return g.c.Apply(g.index, e) }
+func (g *testLog) apply(e Entry) error { g.index++; return g.catalog.Apply(g.index, e) }
 
-func (g *rig) must(e Entry) {
+func (g *testLog) mustApply(e Entry) {
 	g.t.Helper()
 	if err := g.apply(e); err != nil {
 		g.t.Fatal(err)
@@ -29,24 +29,24 @@
 }
 
 // pushOf is the entry that sets resources on top of the newest version.
-func (g *rig) pushOf(set ...Resource) Entry {
-	return Entry{Push: &Push{Base: g.c.Version, Set: set, Hash: g.c.Set().with(set, nil).Sum()}}
+func (g *testLog) pushOf(set ...Resource) Entry {
+	return Entry{Push: &Push{Base: g.catalog.Version, Set: set, Hash: g.catalog.Set().with(set, nil).Sum()}}
 }
 
-func (g *rig) push(rate float64) { g.t.Helper(); g.must(g.pushOf(planOf(g.t, "gold", rate))) }
+func (g *testLog) push(rate float64) { g.t.Helper(); g.mustApply(g.pushOf(planOf(g.t, "gold", rate))) }
 
 // publisher begins a term; those who ask are in the log.
-func (g *rig) publisher(now time.Duration, names ...string) *Publisher {
+func (g *testLog) publisher(now time.Duration, names ...string) *Publisher {
 	g.t.Helper()
 	for _, n := range names {
-		g.must(Entry{Join: &Join{map[string]string{n: "r"}}})
+		g.mustApply(Entry{Join: &Join{map[string]string{n: "r"}}})
 	}
 	timing := DefaultTiming()
 	timing.MaxStaleness = 0 // its own test has it
-	return NewPublisher(timing, g.c, now)
+	return NewPublisher(timing, g.catalog, now)
 }
 
-func (g *rig) follower(name string, kept *StoredConfig) *Follower {
+func (g *testLog) follower(name string, kept *StoredConfig) *Follower {
 	g.t.Helper()
 	f, err := NewFollower(FollowerConfig{Name: name, Region: "r", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, kept, 1, 0)
 	if err != nil {
@@ -56,7 +56,7 @@
 }
 
 // ask is the next question of a follower.
-func ask(t *testing.T, f *Follower, now time.Duration) Poll {
+func nextPoll(t *testing.T, f *Follower, now time.Duration) Poll {
 	t.Helper()
 	a := f.Tick(now)
 	if a == nil {
@@ -66,9 +66,9 @@
 }
 
 // exchange asks and takes the reply, keeps and uses it.
-func exchange(t *testing.T, f *Follower, p *Publisher, now time.Duration) (Reply, error) {
+func exchangePoll(t *testing.T, f *Follower, p *Publisher, now time.Duration) (Reply, error) {
 	t.Helper()
-	q := ask(t, f, now)
+	q := nextPoll(t, f, now)
 	r, held, err := p.Poll(now, q)
 	if err != nil {
 		t.Fatal(err)
@@ -77,18 +77,18 @@
 		_, _ = f.Replied(now, q.Number, Reply{})
 		return r, nil
 	}
-	return r, give(f, now, q.Number, r)
+	return r, deliver(f, now, q.Number, r)
 }
 
 // mustExchange is exchange where the follower has to take the reply.
-func mustExchange(t *testing.T, f *Follower, p *Publisher, now time.Duration) {
+func mustExchangePoll(t *testing.T, f *Follower, p *Publisher, now time.Duration) {
 	t.Helper()
-	if _, err := exchange(t, f, p, now); err != nil {
+	if _, err := exchangePoll(t, f, p, now); err != nil {
 		t.Fatalf("at %v: %v", now, err)
 	}
 }
 
-func give(f *Follower, now time.Duration, number uint64, r Reply) error {
+func deliver(f *Follower, now time.Duration, number uint64, r Reply) error {
 	save, err := f.Replied(now, number, r)
 	if save != nil {
 		f.Saved(now, nil)
@@ -97,7 +97,7 @@
 	return err
 }
 
-func keptOf(c *Catalog) *StoredConfig {
+func storedConfigOf(c *Catalog) *StoredConfig {
 	return &StoredConfig{State: State{c.Version, c.Hash, c.Resources}, Settled: c.Settled}
 }
 
@@ -111,111 +111,111 @@
 }
 
 // as tells whether an error is of a kind.
-func as[E error](err error) bool { var e E; return errors.As(err, &e) }
+func isError[E error](err error) bool { var e E; return errors.As(err, &e) }
 
 func TestDifferenceIsTakenOnceOnItsOwnBaseAlone(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0, "a")
 	g.push(1)
 	f := g.follower("a", nil)
-	mustExchange(t, f, p, 0)
+	mustExchangePoll(t, f, p, 0)
 	g.push(2)
-	q := ask(t, f, time.Second)
+	q := nextPoll(t, f, time.Second)
 	r2, _, _ := p.Poll(time.Second, q)
 	if r2.Difference == nil || r2.Difference.Base != 1 {
 		t.Fatalf("%+v, want the difference from 1", r2)
 	}
 	// Lost: the next question gets it again, and the late one counts no more.
 	f.Failed(2*time.Second, q.Number, -1)
-	q3 := ask(t, f, 4*time.Second)
-	if err := give(f, 4*time.Second, q.Number, r2); err != nil || f.Active().Version != 1 {
+	q3 := nextPoll(t, f, 4*time.Second)
+	if err := deliver(f, 4*time.Second, q.Number, r2); err != nil || f.Active().Version != 1 {
 		t.Fatalf("a reply that was given up is taken: %v, version %d", err, f.Active().Version)
 	}
 	r3, _, _ := p.Poll(4*time.Second, q3)
-	if err := give(f, 4*time.Second, q3.Number, r3); err != nil || f.Active().Version != 2 {
+	if err := deliver(f, 4*time.Second, q3.Number, r3); err != nil || f.Active().Version != 2 {
 		t.Fatal(err, f.Active().Version)
 	}
 	// Repeated to another question: it is for another base.
 	g.push(3)
-	q4 := ask(t, f, 5*time.Second)
-	if err := give(f, 5*time.Second, q4.Number, r2); !as[*WrongBase](err) || f.Active().Version != 2 {
+	q4 := nextPoll(t, f, 5*time.Second)
+	if err := deliver(f, 5*time.Second, q4.Number, r2); !isError[*WrongBase](err) || f.Active().Version != 2 {
 		t.Fatalf("%v, version %d", err, f.Active().Version)
 	}
 	// Of the same version with another hash.
-	q5 := ask(t, f, 6*time.Second)
+	q5 := nextPoll(t, f, 6*time.Second)
 	r5, _, _ := p.Poll(6*time.Second, q5)
 	other := *r5.Difference
 	other.BaseHash[0] ^= 1
-	if err := give(f, 6*time.Second, q5.Number, Reply{Difference: &other}); !as[*WrongBase](err) {
+	if err := deliver(f, 6*time.Second, q5.Number, Reply{Difference: &other}); !isError[*WrongBase](err) {
 		t.Fatal(err)
 	}
 	// With content that is not what its hash says: the whole is asked for.
-	q6 := ask(t, f, 7*time.Second)
+	q6 := nextPoll(t, f, 7*time.Second)
 	other = *r5.Difference
 	other.Set = []Resource{planOf(t, "gold", 9)}
-	if err := give(f, 7*time.Second, q6.Number, Reply{Difference: &other}); !as[*WrongHash](err) || f.Active().Version != 2 || goldRate(t, f.Active()) > 2 {
+	if err := deliver(f, 7*time.Second, q6.Number, Reply{Difference: &other}); !isError[*WrongHash](err) || f.Active().Version != 2 || goldRate(t, f.Active()) > 2 {
 		t.Fatal(err)
 	}
-	if r, err := exchange(t, f, p, 8*time.Second); err != nil || r.State == nil || f.Active().Version != 3 {
+	if r, err := exchangePoll(t, f, p, 8*time.Second); err != nil || r.State == nil || f.Active().Version != 3 {
 		t.Fatalf("%v; %+v; version %d", err, r, f.Active().Version)
 	}
 }
 
 func TestWholeStateIsTakenByItsHashAndNeverBack(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	g.push(1)
-	old := keptOf(g.c).State
+	old := storedConfigOf(g.catalog).State
 	g.push(2)
-	f := g.follower("a", keptOf(g.c))
-	if err := give(f, 0, ask(t, f, 0).Number, Reply{State: &old, Settled: 1}); err != nil || f.Active().Version != 2 {
+	f := g.follower("a", storedConfigOf(g.catalog))
+	if err := deliver(f, 0, nextPoll(t, f, 0).Number, Reply{State: &old, Settled: 1}); err != nil || f.Active().Version != 2 {
 		t.Fatalf("it goes back to version %d (%v)", f.Active().Version, err)
 	}
 	f = g.follower("b", nil)
 	bad := old
 	bad.Resources = []Resource{planOf(t, "gold", 7)}
-	if err := give(f, 0, ask(t, f, 0).Number, Reply{State: &bad}); !as[*WrongHash](err) || f.Active().Version != 0 {
+	if err := deliver(f, 0, nextPoll(t, f, 0).Number, Reply{State: &bad}); !isError[*WrongHash](err) || f.Active().Version != 0 {
 		t.Fatal(err, f.Active().Version)
 	}
 }
 
 // A leader of before gives out versions and settlings that are behind what a follower has.
 func TestDeposedPublisherTakesNobodyBack(t *testing.T) {
-	g, stale := newRig(t), newRig(t)
+	g, stale := newTestLog(t), newTestLog(t)
 	for _, rate := range []float64{200, 50, 200} {
 		g.push(rate)
 		stale.push(rate)
 	}
 	p := g.publisher(0, "a")
-	g.must(Entry{Settle: 2})
-	stale.must(Entry{Settle: 1})
+	g.mustApply(Entry{Settle: 2})
+	stale.mustApply(Entry{Settle: 1})
 	before := stale.publisher(0, "a")
-	set, _ := g.c.At(2)
-	hash, _ := g.c.hashAt(2)
+	set, _ := g.catalog.At(2)
+	hash, _ := g.catalog.hashAt(2)
 	f := g.follower("a", &StoredConfig{State: State{2, hash, set.List()}, Settled: 2})
 	// To version 3 by the one that knows no settling of 2: the ceiling of 2 holds on all the same.
-	if _, err := exchange(t, f, before, time.Second); err != nil || f.Active().Version != 3 || f.Active().Settled != 2 || goldRate(t, f.Active()) != 50 {
+	if _, err := exchangePoll(t, f, before, time.Second); err != nil || f.Active().Version != 3 || f.Active().Settled != 2 || goldRate(t, f.Active()) != 50 {
 		t.Fatalf("%v; version %d, settled %d, %v", err, f.Active().Version, f.Active().Settled, goldRate(t, f.Active()))
 	}
 	g.push(300)
-	mustExchange(t, f, p, 2*time.Second)
-	if _, err := exchange(t, f, before, 3*time.Second); err != nil || f.Active().Version != 4 {
+	mustExchangePoll(t, f, p, 2*time.Second)
+	if _, err := exchangePoll(t, f, before, 3*time.Second); err != nil || f.Active().Version != 4 {
 		t.Fatalf("%v, version %d", err, f.Active().Version)
 	}
 }
 
 // A publisher that nobody confirms any more gives out nothing, and holds its followers' questions.
 func TestPublisherThatIsNotConfirmedGivesOutNothing(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	g.publisher(0, "a")
 	g.push(1)
-	p := NewPublisher(DefaultTiming(), g.c, 0)
+	p := NewPublisher(DefaultTiming(), g.catalog, 0)
 	f := g.follower("a", nil)
 	p.LeadershipConfirmed(0)
 	for now := time.Duration(0); now <= 6*time.Second; now += time.Second {
 		p.Tick(now)
 	}
 	p.LeadershipConfirmed(3 * time.Second) // asked long ago
-	q := ask(t, f, 6*time.Second)
+	q := nextPoll(t, f, 6*time.Second)
 	if r, held, _ := p.Poll(6*time.Second, q); !held {
 		t.Fatalf("%+v is given out", r)
 	}
@@ -226,14 +226,14 @@
 }
 
 func TestLateAndRepeatedQuestionsCountNothing(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0, "a")
 	g.push(1)
 	g.push(2)
-	h1, _ := g.c.hashAt(1)
+	h1, _ := g.catalog.hashAt(1)
 	at := func(life, number, version uint64) Poll {
 		q := Poll{Follower: "a", Region: "r", Incarnation: life, Number: number, Version: version, Settled: 0}
-		q.Hash, _ = g.c.hashAt(version)
+		q.Hash, _ = g.catalog.hashAt(version)
 		return q
 	}
 	poll := func(now time.Duration, q Poll) error { _, _, err := p.Poll(now, q); return err }
@@ -241,15 +241,15 @@
 		t.Fatal(err)
 	}
 	for _, q := range []Poll{at(2, 5, 2), at(2, 4, 2), at(1, 99, 2)} {
-		if err := poll(time.Millisecond, q); !as[*BadPoll](err) {
+		if err := poll(time.Millisecond, q); !isError[*BadPoll](err) {
 			t.Errorf("life %d, question %d: %v", q.Incarnation, q.Number, err)
 		}
 	}
-	if to := p.settles(); to != 1 {
+	if to := p.oldestActive(); to != 1 {
 		t.Errorf("%d settles by what a late question tells, want 1", to)
 	}
 	// Of the same life a repeated one never counts; an older life does when nobody is heard.
-	if err := poll(time.Minute, at(2, 5, 2)); !as[*BadPoll](err) {
+	if err := poll(time.Minute, at(2, 5, 2)); !isError[*BadPoll](err) {
 		t.Error(err)
 	}
 	if err := poll(time.Minute, at(1, 1, 2)); err != nil {
@@ -259,11 +259,11 @@
 	// ahead of the log it is told.
 	q := at(3, 1, 2)
 	q.Hash = h1
-	if r, _, err := p.Poll(time.Minute+time.Second, q); err != nil || r.State == nil || p.settles() != 0 {
-		t.Errorf("%+v, %v, settles %d", r, err, p.settles())
+	if r, _, err := p.Poll(time.Minute+time.Second, q); err != nil || r.State == nil || p.oldestActive() != 0 {
+		t.Errorf("%+v, %v, settles %d", r, err, p.oldestActive())
 	}
-	if r, _, err := p.Poll(time.Minute+2*time.Second, at(3, 2, 9)); err != nil || !r.empty() || p.settles() != 0 {
-		t.Errorf("%+v, %v, settles %d", r, err, p.settles())
+	if r, _, err := p.Poll(time.Minute+2*time.Second, at(3, 2, 9)); err != nil || !r.empty() || p.oldestActive() != 0 {
+		t.Errorf("%+v, %v, settles %d", r, err, p.oldestActive())
 	}
 	if s := p.Status(time.Minute + 2*time.Second).Followers[0]; s.Sync != SyncAhead {
 		t.Errorf("%+v", s)
@@ -282,18 +282,18 @@
 }
 
 func TestFollowersStartByWhatTheyKept(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0, "a")
-	for i := range mostPast { // so that nobody comes from nothing by a difference
+	for i := range maxHistory { // so that nobody comes from nothing by a difference
 		g.push(float64(1000 + i))
-		g.must(Entry{Settle: g.c.Version})
+		g.mustApply(Entry{Settle: g.catalog.Version})
 	}
 	g.push(1)
-	g.must(Entry{Settle: g.c.Version})
-	stale := keptOf(g.c)
+	g.mustApply(Entry{Settle: g.catalog.Version})
+	stale := storedConfigOf(g.catalog)
 	g.push(2)
-	good := keptOf(g.c)
-	turned := keptOf(g.c)
+	good := storedConfigOf(g.catalog)
+	turned := storedConfigOf(g.catalog)
 	data := append([]byte(nil), turned.Resources[0].Data...)
 	data[len(data)-3] ^= 1
 	turned.Resources = []Resource{{Key: turned.Resources[0].Key, Data: data}}
@@ -303,27 +303,27 @@
 		version uint64
 		damaged bool
 		want    string
-	}{{"empty", nil, 0, false, "state"}, {"stale", stale, mostPast + 1, false, "difference"}, {"newest", good, mostPast + 2, false, "nothing"}, {"one bit turned", turned, 0, true, "state"}} {
+	}{{"empty", nil, 0, false, "state"}, {"stale", stale, maxHistory + 1, false, "difference"}, {"newest", good, maxHistory + 2, false, "nothing"}, {"one bit turned", turned, 0, true, "state"}} {
 		f, err := NewFollower(FollowerConfig{Name: "a", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, c.kept, 1, 0)
-		if as[*StateDamaged](err) != c.damaged || f.Active().Version != c.version {
+		if isError[*StateDamaged](err) != c.damaged || f.Active().Version != c.version {
 			t.Errorf("%s: %v, version %d", c.name, err, f.Active().Version)
 		}
 		p.followers = map[string]*followerState{}
-		r, err := exchange(t, f, p, 0)
+		r, err := exchangePoll(t, f, p, 0)
 		got := "nothing"
 		if r.State != nil {
 			got = "state"
 		} else if r.Difference != nil {
 			got = "difference"
 		}
-		if err != nil || got != c.want || f.Active().Version != mostPast+2 {
+		if err != nil || got != c.want || f.Active().Version != maxHistory+2 {
 			t.Errorf("%s: %s, version %d, %v", c.name, got, f.Active().Version, err)
 		}
 	}
 }
 
 // routes makes so many routes with data of about so many bytes each, and their service.
-func routes(t *testing.T, n, bytes, percent int) []Resource {
+func makeRoutes(t *testing.T, n, bytes, percent int) []Resource {
 	t.Helper()
 	data, err := Encode(Service{Owner: "o"})
 	if err != nil {
@@ -341,13 +341,13 @@
 }
 
 func TestSizes(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0, "a")
-	big := g.pushOf(routes(t, 2200, 900, 0)...) // 2 MB
+	big := g.pushOf(makeRoutes(t, 2200, 900, 0)...) // 2 MB
 	if err := big.Check(); err != nil {
 		t.Fatal(err)
 	}
-	g.must(big)
+	g.mustApply(big)
 	f := g.follower("a", nil)
 	for now := time.Duration(0); f.Active().Version != 1; now += 100 * time.Millisecond {
 		if now > 3*time.Second {
@@ -361,17 +361,17 @@
 			if err != nil || held {
 				t.Fatal(err, held)
 			}
-			if err := give(f, now, f.poll.Number, r); err != nil {
+			if err := deliver(f, now, f.poll.Number, r); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	// All of them change at once.
-	g.must(g.pushOf(routes(t, 2200, 900, 50)...))
-	if d, err := exchange(t, f, p, 10*time.Second); err != nil || d.Difference == nil || len(d.Difference.Set) != 2200 || f.Active().Version != 2 {
+	g.mustApply(g.pushOf(makeRoutes(t, 2200, 900, 50)...))
+	if d, err := exchangePoll(t, f, p, 10*time.Second); err != nil || d.Difference == nil || len(d.Difference.Set) != 2200 || f.Active().Version != 2 {
 		t.Fatal(err, f.Active().Version)
 	}
-	if f.Active().Set.Sum() != g.c.Hash {
+	if f.Active().Set.Sum() != g.catalog.Hash {
 		t.Error("what is in force has another hash")
 	}
 	// 100 MB are not taken, neither before the log nor in it.
@@ -379,25 +379,25 @@
 	for i := range 6400 {
 		huge.Push.Set = append(huge.Push.Set, Resource{Key: KeyOf(KindLimit, fmt.Sprint(i)), Data: make([]byte, 16<<10)})
 	}
-	if err := huge.Check(); !as[*TooLarge](err) {
+	if err := huge.Check(); !isError[*TooLarge](err) {
 		t.Error(err)
 	}
-	if err := g.apply(huge); !as[*TooLarge](err) || g.c.Version != 2 {
-		t.Error(err, g.c.Version)
+	if err := g.apply(huge); !isError[*TooLarge](err) || g.catalog.Version != 2 {
+		t.Error(err, g.catalog.Version)
 	}
 	// Nor is what comes to more than that by and by.
-	more := routes(t, 1400, 900, 0)[1:]
+	more := makeRoutes(t, 1400, 900, 0)[1:]
 	for i := range more {
 		more[i].Key = KeyOf(KindRoute, fmt.Sprint("more", i))
 	}
-	if err := g.apply(g.pushOf(more...)); !as[*TooLarge](err) || g.c.Version != 2 {
-		t.Error(err, g.c.Version)
+	if err := g.apply(g.pushOf(more...)); !isError[*TooLarge](err) || g.catalog.Version != 2 {
+		t.Error(err, g.catalog.Version)
 	}
 }
 
 // Large replies to many are paced, and who waits keeps its lease.
 func TestCrowdIsPaced(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	const n = 96
 	var names []string
 	for i := range n {
@@ -405,7 +405,7 @@
 	}
 	p := g.publisher(0, names...)
 	p.timing.Rate, p.timing.Burst = 1<<20, 1<<20
-	g.must(g.pushOf(routes(t, 200, 200, 0)...))
+	g.mustApply(g.pushOf(makeRoutes(t, 200, 200, 0)...))
 	size := float64(p.state().size())
 	var all []*Follower
 	for _, name := range names {
@@ -429,7 +429,7 @@
 			if r.State != nil || r.Difference != nil { // from nothing: the same
 				sent++
 			}
-			if err := give(f, now, a.Poll.Number, r); err != nil {
+			if err := deliver(f, now, a.Poll.Number, r); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -448,16 +448,16 @@
 }
 
 func TestTwoOperatorsAndRequestsSentTwice(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	first, second := g.pushOf(planOf(t, "gold", 1)), g.pushOf(planOf(t, "gold", 2))
 	first.Request, first.By, second.Request, second.By = "q1", "ann", "q2", "bob"
-	g.must(first)
+	g.mustApply(first)
 	var conflict *Conflict
 	if err := g.apply(second); !errors.As(err, &conflict) || conflict.By != "ann" || conflict.Version != 1 {
 		t.Fatal(err)
 	}
 	// Sent again, also by what was kept of the catalog: the same answers, and nothing twice.
-	data, err := json.Marshal(g.c)
+	data, err := json.Marshal(g.catalog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -468,7 +468,7 @@
 	if err := again.Verify(); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []*Catalog{g.c, again} {
+	for _, c := range []*Catalog{g.catalog, again} {
 		if err := c.Apply(g.index+1, first); err != nil || c.Version != 1 {
 			t.Error(err, c.Version)
 		}
@@ -482,13 +482,13 @@
 	g.index += 2
 	wrong := g.pushOf(planOf(t, "gold", 3))
 	wrong.Push.Hash[0] ^= 1
-	if err := g.apply(wrong); !as[*WrongHash](err) {
+	if err := g.apply(wrong); !isError[*WrongHash](err) {
 		t.Error(err)
 	}
-	if err := g.apply(g.pushOf(planOf(t, "gold", 1))); !as[*NothingChanged](err) {
+	if err := g.apply(g.pushOf(planOf(t, "gold", 1))); !isError[*NothingChanged](err) {
 		t.Error(err)
 	}
-	if err := g.apply(Entry{Rollback: &Rollback{Base: 1, To: 7}}); !as[*NoSuchVersion](err) {
+	if err := g.apply(Entry{Rollback: &Rollback{Base: 1, To: 7}}); !isError[*NoSuchVersion](err) {
 		t.Error(err)
 	}
 }
@@ -496,7 +496,7 @@
 // 440 changes within a minute: one difference out to a follower, newer ones merged; the log
 // keeps a bounded past, and where nobody settles it says so.
 func TestManyChangesAreMerged(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0, "a")
 	f := g.follower("a", nil)
 	replies, out, due := 0, false, time.Duration(0)
@@ -515,8 +515,8 @@
 			continue
 		}
 		if now >= due {
-			r := p.next(p.followers["a"])
-			if err := give(f, now, q.Number, r); err != nil {
+			r := p.nextReply(p.followers["a"])
+			if err := deliver(f, now, q.Number, r); err != nil {
 				t.Fatal(err)
 			}
 			replies, out = replies+1, false
@@ -528,30 +528,30 @@
 	if f.Active().Version < 420 {
 		t.Errorf("version %d", f.Active().Version)
 	}
-	if n := len(g.c.History); n != 440 || g.c.Oldest() != 0 {
+	if n := len(g.catalog.History); n != 440 || g.catalog.Oldest() != 0 {
 		t.Errorf("%d versions are kept while none has settled", n)
 	}
 	var err error
 	for i := 0; err == nil; i++ {
 		err = g.apply(g.pushOf(planOf(t, "gold", 1000+float64(i))))
 	}
-	if !as[*Unsettled](err) || g.c.Version != mostPast {
-		t.Errorf("%v at version %d", err, g.c.Version)
+	if !isError[*Unsettled](err) || g.catalog.Version != maxHistory {
+		t.Errorf("%v at version %d", err, g.catalog.Version)
 	}
-	g.must(Entry{Settle: g.c.Version})
+	g.mustApply(Entry{Settle: g.catalog.Version})
 	g.push(1)
-	g.must(Entry{Settle: g.c.Version})
-	if n := len(g.c.History); n != mostPast {
-		t.Errorf("%d versions are kept, want %d", n, mostPast)
+	g.mustApply(Entry{Settle: g.catalog.Version})
+	if n := len(g.catalog.History); n != maxHistory {
+		t.Errorf("%d versions are kept, want %d", n, maxHistory)
 	}
 	// Beyond the past a follower gets the whole.
-	if r, _, err := p.Poll(2*time.Minute, Poll{Follower: "a", Incarnation: 2, Number: 1, Version: g.c.Oldest() - 1}); err != nil || r.State == nil {
+	if r, _, err := p.Poll(2*time.Minute, Poll{Follower: "a", Incarnation: 2, Number: 1, Version: g.catalog.Oldest() - 1}); err != nil || r.State == nil {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
 
 func TestRefusedVersionIsHaltedForAllThatHaveNotBegun(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0, "begun", "refuses", "other", "empty")
 	g.push(100)
 	begun, refuses, other := g.follower("begun", nil), g.follower("refuses", nil), g.follower("other", nil)
@@ -564,48 +564,48 @@
 		return nil
 	}
 	for _, f := range []*Follower{begun, refuses, other} {
-		mustExchange(t, f, p, 0)
+		mustExchangePoll(t, f, p, 0)
 	}
 	bad := planOf(t, "gold", 666)
 	bad.Line = 17
-	g.must(g.pushOf(bad))
-	mustExchange(t, begun, p, time.Second)
+	g.mustApply(g.pushOf(bad))
+	mustExchangePoll(t, begun, p, time.Second)
 	var halted *Halted
-	if _, err := exchange(t, refuses, p, time.Second); !errors.As(err, &halted) || halted.Refused.Line != 17 || refuses.Active().Version != 1 {
+	if _, err := exchangePoll(t, refuses, p, time.Second); !errors.As(err, &halted) || halted.Refused.Line != 17 || refuses.Active().Version != 1 {
 		t.Fatal(err)
 	}
 	now := 1200 * time.Millisecond
-	mustExchange(t, refuses, p, now) // it tells so
+	mustExchangePoll(t, refuses, p, now) // it tells so
 	for _, e := range p.Tick(now) {
 		if e.Settle > 0 {
 			t.Errorf("%d settles", e.Settle)
 		}
-		g.must(e)
+		g.mustApply(e)
 	}
-	if g.c.Halt == nil || g.c.Halt.Refused.Line != 17 || g.c.Halt.Follower != "refuses" || !strings.Contains(g.c.Halt.Error(), "line 17") {
-		t.Fatalf("%+v", g.c.Halt)
+	if g.catalog.Halt == nil || g.catalog.Halt.Refused.Line != 17 || g.catalog.Halt.Follower != "refuses" || !strings.Contains(g.catalog.Halt.Error(), "line 17") {
+		t.Fatalf("%+v", g.catalog.Halt)
 	}
-	mustExchange(t, other, p, now)
+	mustExchangePoll(t, other, p, now)
 	empty := g.follower("empty", nil) // restarted with nothing
-	mustExchange(t, empty, p, now)
+	mustExchangePoll(t, empty, p, now)
 	if begun.Active().Version != 2 || other.Active().Version != 1 || empty.Active().Version != 1 {
 		t.Errorf("begun %d, other %d, empty %d", begun.Active().Version, other.Active().Version, empty.Active().Version)
 	}
 	for _, f := range []*Follower{begun, refuses, other, empty} {
-		mustExchange(t, f, p, 1500*time.Millisecond)
+		mustExchangePoll(t, f, p, 1500*time.Millisecond)
 	}
 	// While it is halted nothing of it settles, however it is asked for.
-	g.must(Entry{Settle: 2})
-	if g.c.Settled != 0 || p.settles() != 1 {
-		t.Errorf("settled %d, to settle %d", g.c.Settled, p.settles())
+	g.mustApply(Entry{Settle: 2})
+	if g.catalog.Settled != 0 || p.oldestActive() != 1 {
+		t.Errorf("settled %d, to settle %d", g.catalog.Settled, p.oldestActive())
 	}
 	// Back is a version forward, and all are at it.
-	g.must(Entry{By: "ann", Rollback: &Rollback{Base: 2, To: 1}})
-	if g.c.Version != 3 || g.c.Halt != nil {
-		t.Fatalf("version %d, halt %v", g.c.Version, g.c.Halt)
+	g.mustApply(Entry{By: "ann", Rollback: &Rollback{Base: 2, To: 1}})
+	if g.catalog.Version != 3 || g.catalog.Halt != nil {
+		t.Fatalf("version %d, halt %v", g.catalog.Version, g.catalog.Halt)
 	}
 	for _, f := range []*Follower{begun, refuses, other, empty} {
-		if _, err := exchange(t, f, p, 2*time.Second); err != nil || f.Active().Version != 3 || goldRate(t, f.Active()) != 100 {
+		if _, err := exchangePoll(t, f, p, 2*time.Second); err != nil || f.Active().Version != 3 || goldRate(t, f.Active()) != 100 {
 			t.Errorf("%s: %v, version %d", f.cfg.Name, err, f.Active().Version)
 		}
 	}
@@ -617,19 +617,19 @@
 // A version that had settled is halted: whoever comes now gets the one before, and so that one
 // counts again.
 func TestHaltOfASettledVersion(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0, "a", "b")
 	g.push(200)
 	g.push(100)
-	g.must(Entry{Settle: 2})
-	g.must(Entry{Halt: &Halted{Version: 2, Follower: "b"}})
+	g.mustApply(Entry{Settle: 2})
+	g.mustApply(Entry{Halt: &Halted{Version: 2, Follower: "b"}})
 	for now := time.Duration(0); now <= p.timing.Lease; now += time.Second {
 		p.Tick(now)
 	}
-	if g.c.Settled != 1 || p.settles() != 1 {
-		t.Errorf("settled %d, to settle %d, want 1: a newcomer gets version 1", g.c.Settled, p.settles())
+	if g.catalog.Settled != 1 || p.oldestActive() != 1 {
+		t.Errorf("settled %d, to settle %d, want 1: a newcomer gets version 1", g.catalog.Settled, p.oldestActive())
 	}
-	if err := g.c.Verify(); err != nil {
+	if err := g.catalog.Verify(); err != nil {
 		t.Error(err)
 	}
 }
@@ -637,114 +637,114 @@
 // A change on top of a halted version that does not mend it is halted as well; then the last one
 // that was in force is given out, and not the first halted one (found by internal/distsim).
 func TestHaltOnTopOfAHalt(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0, "a")
 	g.push(1)
-	g.must(Entry{Settle: 1})
+	g.mustApply(Entry{Settle: 1})
 	for v := uint64(2); v <= 4; v++ {
 		g.push(float64(v))
-		g.must(Entry{Settle: v}) // those that have begun are the only ones that live
-		g.must(Entry{Halt: &Halted{Version: v, Follower: "b"}})
-		if p.target() != 1 || g.c.Settled != 1 {
-			t.Fatalf("version %d is given out, %d has settled", p.target(), g.c.Settled)
+		g.mustApply(Entry{Settle: v}) // those that have begun are the only ones that live
+		g.mustApply(Entry{Halt: &Halted{Version: v, Follower: "b"}})
+		if p.target() != 1 || g.catalog.Settled != 1 {
+			t.Fatalf("version %d is given out, %d has settled", p.target(), g.catalog.Settled)
 		}
 	}
 	f := g.follower("a", nil)
-	if mustExchange(t, f, p, 0); f.Active().Version != 1 || g.c.Verify() != nil {
-		t.Fatalf("version %d, %v", f.Active().Version, g.c.Verify())
+	if mustExchangePoll(t, f, p, 0); f.Active().Version != 1 || g.catalog.Verify() != nil {
+		t.Fatalf("version %d, %v", f.Active().Version, g.catalog.Verify())
 	}
 	// However much comes before and after it, the way back stays.
 	g.push(5)
-	for range mostPast + 5 {
-		g.must(Entry{Settle: g.c.Version})
-		g.push(g.c.Set().rate() + 1)
+	for range maxHistory + 5 {
+		g.mustApply(Entry{Settle: g.catalog.Version})
+		g.push(g.catalog.Set().goldCeiling() + 1)
 	}
-	g.must(Entry{Settle: g.c.Version})
-	g.must(Entry{Halt: &Halted{Version: g.c.Version}})
-	if p.target() != g.c.Version-1 || g.c.Verify() != nil || p.state().Version != g.c.Version-1 {
-		t.Errorf("%d of %d is given out", p.target(), g.c.Version)
+	g.mustApply(Entry{Settle: g.catalog.Version})
+	g.mustApply(Entry{Halt: &Halted{Version: g.catalog.Version}})
+	if p.target() != g.catalog.Version-1 || g.catalog.Verify() != nil || p.state().Version != g.catalog.Version-1 {
+		t.Errorf("%d of %d is given out", p.target(), g.catalog.Version)
 	}
 }
 
-func (s Set) rate() float64 {
+func (s Set) goldCeiling() float64 {
 	p, _ := s[KeyOf(KindPlan, "gold")].Plan()
 	return p.CeilingRate
 }
 
 func TestSettleWaitsForAllThatLive(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0, "a", "b")
 	a, b := g.follower("a", nil), g.follower("b", nil)
 	g.push(100)
-	if mustExchange(t, a, p, 0); p.settles() != 0 {
+	if mustExchangePoll(t, a, p, 0); p.oldestActive() != 0 {
 		t.Error("it settles before all that the log knows were heard")
 	}
-	mustExchange(t, b, p, 0)
-	mustExchange(t, a, p, time.Second)
-	if p.settles() != 0 {
+	mustExchangePoll(t, b, p, 0)
+	mustExchangePoll(t, a, p, time.Second)
+	if p.oldestActive() != 0 {
 		t.Error("it settles by a version that was sent, and not told to be in force")
 	}
-	mustExchange(t, b, p, time.Second)
-	if p.settles() != 1 {
-		t.Errorf("%d settles", p.settles())
+	mustExchangePoll(t, b, p, time.Second)
+	if p.oldestActive() != 1 {
+		t.Errorf("%d settles", p.oldestActive())
 	}
 	// One is silent: it holds settling up until its lease has run out.
-	g.must(Entry{Settle: 1})
+	g.mustApply(Entry{Settle: 1})
 	g.push(200)
-	mustExchange(t, a, p, 2*time.Second)
-	mustExchange(t, a, p, 3*time.Second)
+	mustExchangePoll(t, a, p, 2*time.Second)
+	mustExchangePoll(t, a, p, 3*time.Second)
 	if goldRate(t, a.Active()) != 100 {
 		t.Error("the raise holds before it has settled")
 	}
 	for now := 4 * time.Second; now < 8*time.Second; now += 500 * time.Millisecond {
-		mustExchange(t, a, p, now)
-		if want := uint64(1); now < 5*time.Second && p.settles() != want {
-			t.Fatalf("%d settles at %v", p.settles(), now)
+		mustExchangePoll(t, a, p, now)
+		if want := uint64(1); now < 5*time.Second && p.oldestActive() != want {
+			t.Fatalf("%d settles at %v", p.oldestActive(), now)
 		}
 	}
-	if p.settles() != 2 {
-		t.Fatalf("%d settles, want 2: the silent one's lease is over", p.settles())
+	if p.oldestActive() != 2 {
+		t.Fatalf("%d settles, want 2: the silent one's lease is over", p.oldestActive())
 	}
-	g.must(Entry{Settle: 2})
-	if mustExchange(t, a, p, 8*time.Second); goldRate(t, a.Active()) != 200 {
+	g.mustApply(Entry{Settle: 2})
+	if mustExchangePoll(t, a, p, 8*time.Second); goldRate(t, a.Active()) != 200 {
 		t.Error("the raise does not hold")
 	}
 	// A new leader knows none of that, and waits for a lease.
 	g.push(300)
-	next := NewPublisher(p.timing, g.c, 10*time.Second)
-	mustExchange(t, a, next, 10*time.Second)
-	mustExchange(t, a, next, 11*time.Second)
-	if next.settles() != 0 {
-		t.Errorf("%d settles, and b was not heard", next.settles())
+	next := NewPublisher(p.timing, g.catalog, 10*time.Second)
+	mustExchangePoll(t, a, next, 10*time.Second)
+	mustExchangePoll(t, a, next, 11*time.Second)
+	if next.oldestActive() != 0 {
+		t.Errorf("%d settles, and b was not heard", next.oldestActive())
 	}
 	next.Tick(12 * time.Second)
-	mustExchange(t, a, next, 13900*time.Millisecond)
-	if next.settles() != 0 {
-		t.Errorf("%d settles, and b was not heard", next.settles())
+	mustExchangePoll(t, a, next, 13900*time.Millisecond)
+	if next.oldestActive() != 0 {
+		t.Errorf("%d settles, and b was not heard", next.oldestActive())
 	}
-	mustExchange(t, a, next, 14*time.Second)
-	if next.settles() != 3 {
-		t.Errorf("%d settles, want 3", next.settles())
+	mustExchangePoll(t, a, next, 14*time.Second)
+	if next.oldestActive() != 3 {
+		t.Errorf("%d settles, want 3", next.oldestActive())
 	}
 	// One that was paused for long has heard nobody, and that says nothing of them.
 	g.push(400)
 	next.Tick(30 * time.Second)
-	if next.settles() != 0 {
-		t.Errorf("%d settles after a pause", next.settles())
+	if next.oldestActive() != 0 {
+		t.Errorf("%d settles after a pause", next.oldestActive())
 	}
 }
 
 // What nobody knows of in the log gets nothing yet: a new leader would not wait for it.
 func TestFollowerGetsNothingBeforeItIsInTheLog(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0)
 	g.push(1)
 	f := g.follower("a", nil)
-	if _, held, _ := p.Poll(0, ask(t, f, 0)); !held {
+	if _, held, _ := p.Poll(0, nextPoll(t, f, 0)); !held {
 		t.Fatal("it is answered")
 	}
 	for _, e := range p.Tick(0) {
-		g.must(e)
+		g.mustApply(e)
 	}
 	if a := p.Due(0); len(a) != 1 || a[0].Reply.Difference == nil {
 		t.Errorf("%+v", a)
@@ -753,12 +753,12 @@
 
 // What can't be kept is in force all the same, is told, and is tried again.
 func TestDiskThatCannotKeep(t *testing.T) {
-	g := newRig(t)
+	g := newTestLog(t)
 	p := g.publisher(0, "a")
 	g.push(1)
 	f := g.follower("a", nil)
 	full := errors.New("no space")
-	q := ask(t, f, 0)
+	q := nextPoll(t, f, 0)
 	r, _, _ := p.Poll(0, q)
 	if save, err := f.Replied(0, q.Number, r); save == nil || err != nil {
 		t.Fatal(err)
@@ -768,7 +768,7 @@
 	}
 	f.Activated(0)
 	for now := time.Second; now < 3*time.Second; now += time.Second {
-		q := ask(t, f, now)
+		q := nextPoll(t, f, now)
 		if q.StorageError != "no space" {
 			t.Errorf("%q is told", q.StorageError)
 		}
@@ -777,7 +777,7 @@
 			t.Errorf("%+v", s)
 		}
 		save, err := f.Replied(now, q.Number, Reply{})
-		if err != nil || (save != nil) != (now >= keepAgain) {
+		if err != nil || (save != nil) != (now >= storeRetryInterval) {
 			t.Fatalf("%v: %+v, %v", now, save, err)
 		}
 		if save != nil {
@@ -788,7 +788,7 @@
 			f.Activated(now)
 		}
 	}
-	if q := ask(t, f, 4*time.Second); q.StorageError != "" {
+	if q := nextPoll(t, f, 4*time.Second); q.StorageError != "" {
 		t.Errorf("%q is told", q.StorageError)
 	}
 }
@@ -818,11 +818,11 @@
 // What was kept of a catalog, with one thing changed, is found out.
 func TestCatalogThatWasDamaged(t *testing.T) {
 	make := func() *Catalog {
-		g := newRig(t)
+		g := newTestLog(t)
 		g.push(1)
 		g.push(2)
 		g.push(3)
-		return g.c
+		return g.catalog
 	}
 	for name, damage := range map[string]func(*Catalog){
 		"resource": func(c *Catalog) { c.Resources[0].Data = planOf(t, "gold", 8).Data },
@@ -857,13 +857,13 @@
 	}
 	var first string
 	for range 20 {
-		g := newRig(t)
+		g := newTestLog(t)
 		e := g.pushOf(Resource{Key: KeyOf(KindPlan, "gold"), Data: data})
 		e.Request = "q"
-		if err := g.apply(e); !as[*Refused](err) {
+		if err := g.apply(e); !isError[*Refused](err) {
 			t.Fatal(err)
 		}
-		b, err := json.Marshal(g.c)
+		b, err := json.Marshal(g.catalog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -884,7 +884,7 @@
 	// An outcome gives each back as it was.
 	for _, f := range Faults() {
 		var o Outcome
-		o.note(f)
+		o.setError(f)
 		if got := o.error(); !reflect.DeepEqual(got, error(f)) {
 			t.Errorf("%#v comes back as %#v", f, got)
 		}
--- a/distribution/catalog.go
+++ b/distribution/catalog.go
@@ -10,12 +10,12 @@
 
 // Bounds on what the log keeps.
 const (
-	MaxFollowers   = 10_000
-	mostPast       = 512     // versions that can be gone back to, and that differences can begin from
-	mostPastBytes  = 1 << 20 // of what they replaced, beyond the newest one
-	mostPastWaits  = 4 << 20 // and while they have not settled
-	mostRequests   = 256     // operators' requests remembered, so that one sent again counts once
-	mostFollowName = 64
+	MaxFollowers      = 10_000
+	maxHistory        = 512     // versions that can be gone back to, and that differences can begin from
+	maxHistoryBytes   = 1 << 20 // of what they replaced, beyond the newest one
+	maxUnsettledBytes = 4 << 20 // and while they have not settled
+	maxOutcomes       = 256     // operators' requests remembered, so that one sent again counts once
+	maxFollowerName   = 64
 )
 
 // Old is what a resource was before a change.
@@ -26,7 +26,7 @@
 }
 
 // Past is one version and what it replaced.
-type History struct {
+type VersionRecord struct {
 	Version  uint64             `json:"version"`
 	Hash     Hash               `json:"hash"`
 	Prior    Hash               `json:"prior"` // of the version before
@@ -35,7 +35,7 @@
 	Replaced []PreviousResource `json:"before"` // in the order of their keys
 }
 
-func (p History) size() (n int) {
+func (p VersionRecord) size() (n int) {
 	for _, o := range p.Replaced {
 		n += len(o.Key) + len(o.Data) + 64
 	}
@@ -77,8 +77,8 @@
 // any version may, as a *TooLarge, or names that are none, as a *BadRequest. What a log takes
 // stays in it for long, and is sent to all coordinators.
 func (e Entry) Check() error {
-	if len(e.Request) > mostName || len(e.By) > mostName || len(e.Forget) > mostFollowName {
-		return &BadRequest{fmt.Sprintf("a request's number and its operator have %d characters at most", mostName)}
+	if len(e.Request) > maxNameLength || len(e.By) > maxNameLength || len(e.Forget) > maxFollowerName {
+		return &BadRequest{fmt.Sprintf("a request's number and its operator have %d characters at most", maxNameLength)}
 	}
 	if e.Push != nil {
 		return e.Push.check()
@@ -131,7 +131,7 @@
 	Hash      Hash              `json:"hash"`
 	By        string            `json:"by,omitempty"` // who made the newest version
 	Resources []Resource        `json:"resources"`    // in the order of their keys
-	History   []History         `json:"past"`         // oldest first, up to the newest version
+	History   []VersionRecord   `json:"past"`         // oldest first, up to the newest version
 	Settled   uint64            `json:"settled"`      // nobody that is heard decides by an older version
 	Halt      *Halted           `json:"halt,omitempty"`
 	Followers map[string]string `json:"followers"` // regions by name
@@ -189,7 +189,7 @@
 
 // since is what the resources that have changed after a version were in it, in the
 // order of their keys, as far as versions up to another one changed them.
-func (c *Catalog) since(v, upTo uint64) (olds []PreviousResource) {
+func (c *Catalog) replacedSince(v, upTo uint64) (olds []PreviousResource) {
 	seen := map[Key]bool{}
 	for _, p := range c.History {
 		if p.Version <= v || p.Version > upTo {
@@ -220,7 +220,7 @@
 		return c.Set(), nil
 	}
 	s := maps.Clone(c.Set())
-	for _, o := range c.since(v, c.Version) {
+	for _, o := range c.replacedSince(v, c.Version) {
 		if o.Data == nil {
 			delete(s, o.Key)
 		} else {
@@ -236,7 +236,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, o := range c.since(from, to) {
+	for _, o := range c.replacedSince(from, to) {
 		if r, there := target[o.Key]; !there {
 			without = append(without, o.Key)
 		} else {
@@ -263,16 +263,16 @@
 	}
 	err := c.apply(e)
 	done := Outcome{ID: e.Request, Version: c.Version}
-	done.note(err)
+	done.setError(err)
 	c.Requests = append(c.Requests, done)
-	if len(c.Requests) > mostRequests {
-		c.Requests = slices.Delete(c.Requests, 0, len(c.Requests)-mostRequests)
+	if len(c.Requests) > maxOutcomes {
+		c.Requests = slices.Delete(c.Requests, 0, len(c.Requests)-maxOutcomes)
 	}
 	return err
 }
 
 // note keeps an error, so that it can be given once more.
-func (o *Outcome) note(err error) {
+func (o *Outcome) setError(err error) {
 	if err == nil {
 		return
 	}
@@ -313,7 +313,7 @@
 	case e.Push != nil:
 		return c.push(e.By, *e.Push)
 	case e.Rollback != nil:
-		return c.back(e.By, *e.Rollback)
+		return c.rollback(e.By, *e.Rollback)
 	case e.Halt != nil:
 		if e.Halt.Version == c.Version && c.Version > 0 && c.Halt == nil {
 			c.Halt = e.Halt
@@ -341,7 +341,7 @@
 	return nil
 }
 
-func (c *Catalog) back(by string, b Rollback) error {
+func (c *Catalog) rollback(by string, b Rollback) error {
 	if b.Base != c.Version {
 		return &Conflict{b.Base, c.Version, c.By}
 	}
@@ -350,7 +350,7 @@
 		return err
 	}
 	p := Push{Base: b.Base, Hash: target.Sum()}
-	for _, o := range c.since(b.To, c.Version) {
+	for _, o := range c.replacedSince(b.To, c.Version) {
 		if r, there := target[o.Key]; there {
 			p.Set = append(p.Set, r)
 		} else {
@@ -367,10 +367,10 @@
 	if p.Base != c.Version {
 		return &Conflict{p.Base, c.Version, c.By}
 	}
-	if waits := int(c.Version - c.Settled); waits >= mostPast || waits > 0 && c.pastBytes() > mostPastWaits {
+	if waits := int(c.Version - c.Settled); waits >= maxHistory || waits > 0 && c.historyBytes() > maxUnsettledBytes {
 		return &Unsettled{waits}
 	}
-	before, old := c.Set(), History{Version: c.Version + 1, Prior: c.Hash, By: by}
+	before, old := c.Set(), VersionRecord{Version: c.Version + 1, Prior: c.Hash, By: by}
 	next := before.with(p.Set, p.Delete)
 	if err := next.Check(); err != nil {
 		return err
@@ -404,7 +404,7 @@
 	return nil
 }
 
-func (c *Catalog) pastBytes() (n int) {
+func (c *Catalog) historyBytes() (n int) {
 	for _, p := range c.History {
 		n += p.size()
 	}
@@ -415,9 +415,9 @@
 // before those must be known while somebody may decide by it. The way back from a halt of
 // the newest one stays in any case, and the oldest one is none that was halted.
 func (c *Catalog) trim() {
-	bytes, drop, until := c.pastBytes(), 0, min(c.Settled, c.Fallback())
+	bytes, drop, until := c.historyBytes(), 0, min(c.Settled, c.Fallback())
 	for i, p := range c.History {
-		if p.Version > until || len(c.History)-i <= mostPast && bytes <= mostPastBytes {
+		if p.Version > until || len(c.History)-i <= maxHistory && bytes <= maxHistoryBytes {
 			break
 		}
 		if bytes -= p.size(); !p.Halted {
--- a/distribution/errors.go
+++ b/distribution/errors.go
@@ -34,7 +34,7 @@
 
 // bounded is it with no more words than are kept of a stranger's.
 func (e Refused) bounded() Refused {
-	e.Key, e.Why = e.Key[:min(len(e.Key), mostWhy)], e.Why[:min(len(e.Why), mostWhy)]
+	e.Key, e.Why = e.Key[:min(len(e.Key), maxReasonBytes)], e.Why[:min(len(e.Why), maxReasonBytes)]
 	return e
 }
 
--- a/distribution/follower.go
+++ b/distribution/follower.go
@@ -23,11 +23,11 @@
 
 // The waits of a follower.
 const (
-	pollGap    = 50 * time.Millisecond  // between the beginnings of two questions at least
-	retryLeast = 100 * time.Millisecond // after a failure
-	retryMost  = 800 * time.Millisecond
-	waitMost   = time.Second     // for a whole state, before it is asked for again: the lease has to stay on
-	keepAgain  = 2 * time.Second // between two tries to keep what could not be kept
+	minPollInterval    = 50 * time.Millisecond  // between the beginnings of two questions at least
+	minRetryDelay      = 100 * time.Millisecond // after a failure
+	maxRetryDelay      = 800 * time.Millisecond
+	maxRetryAfter      = time.Second     // for a whole state, before it is asked for again: the lease has to stay on
+	storeRetryInterval = 2 * time.Second // between two tries to keep what could not be kept
 )
 
 // DefaultPatience goes with the Hold of [DefaultTiming].
@@ -97,31 +97,31 @@
 // one thing after the other. What is kept comes before what is in force, so that a process
 // that is killed at any moment begins again with no older version than it decided by.
 type Follower struct {
-	cfg   FollowerConfig
-	rng   *rand.Rand
-	now   time.Duration
-	use   ActiveConfig // in force
-	next  *ActiveConfig
-	whole bool // ours can't be built on
-	poll  Poll // the last one
+	cfg           FollowerConfig
+	rng           *rand.Rand
+	now           time.Duration
+	active        ActiveConfig // in force
+	pending       *ActiveConfig
+	needFullState bool // ours can't be built on
+	poll          Poll // the last one
 
-	out      bool // poll is out
-	deadline time.Duration
-	at       int           // coordinator that is asked
-	fails    int           // in a row
-	due      time.Duration // of the next question
-	heard    time.Duration // the last reply
-	disk     string        // why the last version could not be kept
-	tried    time.Duration // when that was tried last
-	refused  *Halted
+	inFlight     bool // poll is out
+	deadline     time.Duration
+	coordinator  int           // coordinator that is asked
+	failures     int           // in a row
+	nextPoll     time.Duration // of the next question
+	lastReply    time.Duration // the last reply
+	storageError string        // why the last version could not be kept
+	storeTriedAt time.Duration // when that was tried last
+	refused      *Halted
 }
 
 // NewFollower starts a follower by what it kept; nil for nothing. The error tells that it
 // can't be used: the follower works all the same, from version 0.
 func NewFollower(cfg FollowerConfig, kept *StoredConfig, seed uint64, now time.Duration) (*Follower, error) {
-	f := &Follower{cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.Incarnation)), now: now, heard: now, due: now}
-	f.use = ActiveConfig{Set: Set{}, Hash: Set{}.Sum()}
-	f.at = f.rng.IntN(max(1, cfg.Coordinators))
+	f := &Follower{cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.Incarnation)), now: now, lastReply: now, nextPoll: now}
+	f.active = ActiveConfig{Set: Set{}, Hash: Set{}.Sum()}
+	f.coordinator = f.rng.IntN(max(1, cfg.Coordinators))
 	if kept == nil || kept.Version == 0 {
 		return f, nil
 	}
@@ -132,11 +132,11 @@
 	if err := f.check(kept.Resources); err != nil {
 		return f, &StateDamaged{err.Error()}
 	}
-	f.use = inUse(kept.Version, kept.Hash, set, kept.Settled, kept.PreviousPlans)
+	f.active = newActiveConfig(kept.Version, kept.Hash, set, kept.Settled, kept.PreviousPlans)
 	return f, nil
 }
 
-func inUse(version uint64, hash Hash, set Set, settled uint64, before []PreviousResource) ActiveConfig {
+func newActiveConfig(version uint64, hash Hash, set Set, settled uint64, before []PreviousResource) ActiveConfig {
 	u := ActiveConfig{Version: version, Hash: hash, Set: set, Settled: settled, PreviousPlans: map[Key][]byte{}}
 	for _, o := range before {
 		u.PreviousPlans[o.Key] = o.Data
@@ -145,7 +145,7 @@
 }
 
 // before is Before as it is kept, in the order of the keys.
-func (u *ActiveConfig) before() (list []PreviousResource) {
+func (u *ActiveConfig) previousPlans() (list []PreviousResource) {
 	for _, k := range slices.Sorted(maps.Keys(u.PreviousPlans)) {
 		list = append(list, PreviousResource{Key: k, Data: u.PreviousPlans[k]})
 	}
@@ -165,10 +165,10 @@
 }
 
 // InUse is what is in force here.
-func (f *Follower) Active() *ActiveConfig { return &f.use }
+func (f *Follower) Active() *ActiveConfig { return &f.active }
 
 // Heard tells when a coordinator answered last.
-func (f *Follower) LastReply() time.Duration { return f.heard }
+func (f *Follower) LastReply() time.Duration { return f.lastReply }
 
 // Refused tells the last version that could not be used, if none was in force since; or nil.
 func (f *Follower) Refused() *Halted { return f.refused }
@@ -176,124 +176,124 @@
 // Next tells when Tick has something to do; false while a reply is being kept or put in force.
 func (f *Follower) Next() (at time.Duration, any bool) {
 	switch {
-	case f.out:
+	case f.inFlight:
 		return f.deadline, true
-	case f.next != nil:
+	case f.pending != nil:
 		return 0, false
 	}
-	return f.due, true
+	return f.nextPoll, true
 }
 
 // Tick takes the time. It returns the question to ask, if one is due. One that is out longer
 // than the patience with it is given up: what comes of it later counts no more.
 func (f *Follower) Tick(now time.Duration) *PollRequest {
 	f.now = max(f.now, now)
-	if f.out && f.now >= f.deadline {
+	if f.inFlight && f.now >= f.deadline {
 		f.Failed(now, f.poll.Number, -1)
 	}
-	if f.out || f.next != nil || f.now < f.due {
+	if f.inFlight || f.pending != nil || f.now < f.nextPoll {
 		return nil
 	}
-	f.poll = Poll{Follower: f.cfg.Name, Region: f.cfg.Region, Incarnation: f.cfg.Incarnation, Number: f.poll.Number + 1, Version: f.use.Version, Hash: f.use.Hash,
-		Settled: f.use.Settled, NeedFullState: f.whole, Refused: f.refused, StorageError: f.disk}
-	f.out, f.deadline = true, f.now+f.cfg.PollTimeout
-	f.due = f.now + pollGap
-	return &PollRequest{f.at, f.poll}
+	f.poll = Poll{Follower: f.cfg.Name, Region: f.cfg.Region, Incarnation: f.cfg.Incarnation, Number: f.poll.Number + 1, Version: f.active.Version, Hash: f.active.Hash,
+		Settled: f.active.Settled, NeedFullState: f.needFullState, Refused: f.refused, StorageError: f.storageError}
+	f.inFlight, f.deadline = true, f.now+f.cfg.PollTimeout
+	f.nextPoll = f.now + minPollInterval
+	return &PollRequest{f.coordinator, f.poll}
 }
 
 // Failed tells that a question has no answer. leader is the place of the coordinator to ask
 // instead, where the one that was asked knows it, and else below 0.
 func (f *Follower) Failed(now time.Duration, number uint64, leader int) {
 	f.now = max(f.now, now)
-	if !f.out || number != f.poll.Number {
+	if !f.inFlight || number != f.poll.Number {
 		return
 	}
-	f.out = false
-	wait := min(retryMost, retryLeast<<min(f.fails, 10))
-	if leader >= 0 && leader < f.cfg.Coordinators && leader != f.at {
-		f.at, wait = leader, retryLeast
+	f.inFlight = false
+	wait := min(maxRetryDelay, minRetryDelay<<min(f.failures, 10))
+	if leader >= 0 && leader < f.cfg.Coordinators && leader != f.coordinator {
+		f.coordinator, wait = leader, minRetryDelay
 	} else {
-		f.at = (f.at + 1) % max(1, f.cfg.Coordinators)
+		f.coordinator = (f.coordinator + 1) % max(1, f.cfg.Coordinators)
 	}
-	f.fails++
-	f.due = max(f.due, f.now+wait/2+time.Duration(f.rng.Int64N(int64(wait/2)+1)))
+	f.failures++
+	f.nextPoll = max(f.nextPoll, f.now+wait/2+time.Duration(f.rng.Int64N(int64(wait/2)+1)))
 }
 
 // Replied takes a reply. What it returns is to be kept, and then told by Saved; nil where there
 // is nothing to keep. The error tells why the reply was not taken.
 func (f *Follower) Replied(now time.Duration, number uint64, r Reply) (*StoreUpdate, error) {
 	f.now = max(f.now, now)
-	if !f.out || number != f.poll.Number {
+	if !f.inFlight || number != f.poll.Number {
 		return nil, nil // given up, or told twice
 	}
-	f.out, f.fails, f.heard = false, 0, f.now
+	f.inFlight, f.failures, f.lastReply = false, 0, f.now
 	if r.RetryAfter > 0 {
-		f.due = max(f.due, f.now+min(r.RetryAfter, waitMost))
+		f.nextPoll = max(f.nextPoll, f.now+min(r.RetryAfter, maxRetryAfter))
 		return nil, nil
 	}
-	save, next, err := f.take(r)
-	if err == nil && next == nil && f.disk != "" && f.now-f.tried >= keepAgain {
-		same := f.use
-		save, next = &StoreUpdate{Version: same.Version, Hash: same.Hash, Settled: same.Settled, PreviousPlans: same.before()}, &same
+	save, next, err := f.apply(r)
+	if err == nil && next == nil && f.storageError != "" && f.now-f.storeTriedAt >= storeRetryInterval {
+		same := f.active
+		save, next = &StoreUpdate{Version: same.Version, Hash: same.Hash, Settled: same.Settled, PreviousPlans: same.previousPlans()}, &same
 	}
 	if err != nil || next == nil {
 		if _, refused := err.(*Halted); err != nil && !refused {
-			f.due = f.now + 2*retryLeast
+			f.nextPoll = f.now + 2*minRetryDelay
 		}
 		return nil, err
 	}
-	if f.disk != "" { // what is on the disk is older than what differences begin from
+	if f.storageError != "" { // what is on the disk is older than what differences begin from
 		save.Full, save.Set, save.Delete = true, next.Set.List(), nil
 	}
-	f.next = next
+	f.pending = next
 	return save, nil
 }
 
 // take works out what a reply makes of what is in force.
-func (f *Follower) take(r Reply) (*StoreUpdate, *ActiveConfig, error) {
+func (f *Follower) apply(r Reply) (*StoreUpdate, *ActiveConfig, error) {
 	var next ActiveConfig
 	save := &StoreUpdate{}
 	switch {
 	case r.State != nil:
 		s := r.State
-		if s.Version < f.use.Version || s.Version == f.use.Version && s.Hash == f.use.Hash && !f.whole {
+		if s.Version < f.active.Version || s.Version == f.active.Version && s.Hash == f.active.Hash && !f.needFullState {
 			return nil, nil, nil // never back
 		}
 		set := Set{}.with(s.Resources, nil)
 		if sum := set.Sum(); sum != s.Hash {
 			return nil, nil, &WrongHash{s.Version, sum, s.Hash}
 		}
-		next = inUse(s.Version, s.Hash, set, r.Settled, r.PreviousPlans)
+		next = newActiveConfig(s.Version, s.Hash, set, r.Settled, r.PreviousPlans)
 		save.Full, save.Set = true, s.Resources
 	case r.Difference != nil:
 		d := r.Difference
-		if d.Base != f.use.Version || d.BaseHash != f.use.Hash || d.Version <= d.Base {
-			return nil, nil, &WrongBase{d.Base, f.use.Version}
+		if d.Base != f.active.Version || d.BaseHash != f.active.Hash || d.Version <= d.Base {
+			return nil, nil, &WrongBase{d.Base, f.active.Version}
 		}
-		set := f.use.Set.with(d.Set, d.Delete)
+		set := f.active.Set.with(d.Set, d.Delete)
 		if sum := set.Sum(); sum != d.Hash {
-			f.whole = true // what is here may be what is wrong
+			f.needFullState = true // what is here may be what is wrong
 			return nil, nil, &WrongHash{d.Version, sum, d.Hash}
 		}
-		next = inUse(d.Version, d.Hash, set, r.Settled, r.PreviousPlans)
+		next = newActiveConfig(d.Version, d.Hash, set, r.Settled, r.PreviousPlans)
 		save.Set, save.Delete = d.Set, d.Delete
-	case r.Settled > f.use.Settled:
-		next = inUse(f.use.Version, f.use.Hash, f.use.Set, r.Settled, r.PreviousPlans)
+	case r.Settled > f.active.Settled:
+		next = newActiveConfig(f.active.Version, f.active.Hash, f.active.Set, r.Settled, r.PreviousPlans)
 	default:
 		return nil, nil, nil
 	}
-	if next.Settled < f.use.Settled {
+	if next.Settled < f.active.Settled {
 		// From one that led before, or of a version that has been halted. What has settled here
 		// stays so: ceilings go on from it.
-		next.Settled = f.use.Settled
-		next.PreviousPlans = maps.Clone(f.use.PreviousPlans)
-		for k, r := range f.use.Set {
+		next.Settled = f.active.Settled
+		next.PreviousPlans = maps.Clone(f.active.PreviousPlans)
+		for k, r := range f.active.Set {
 			if kind, _ := k.Split(); kind == KindPlan && string(next.Set[k].Data) != string(r.Data) && next.PreviousPlans[k] == nil {
 				next.PreviousPlans[k] = r.Data
 			}
 		}
 	}
-	save.Version, save.Hash, save.Settled, save.PreviousPlans = next.Version, next.Hash, next.Settled, next.before()
+	save.Version, save.Hash, save.Settled, save.PreviousPlans = next.Version, next.Hash, next.Settled, next.previousPlans()
 	if r.State != nil || r.Difference != nil {
 		if err := f.check(save.Set); err != nil {
 			f.refused = f.halted(&next, err)
@@ -320,33 +320,33 @@
 // Using.
 func (f *Follower) Saved(now time.Duration, err error) *ActiveConfig {
 	f.now = max(f.now, now)
-	if f.disk, f.tried = "", f.now; err != nil {
-		f.disk = err.Error()
+	if f.storageError, f.storeTriedAt = "", f.now; err != nil {
+		f.storageError = err.Error()
 	}
-	return f.next
+	return f.pending
 }
 
 // Using tells that the ingress decides by what Saved returned.
 func (f *Follower) Activated(now time.Duration) {
 	f.now = max(f.now, now)
-	if f.next == nil {
+	if f.pending == nil {
 		return
 	}
-	if f.next.Version > f.use.Version {
+	if f.pending.Version > f.active.Version {
 		f.refused = nil
 	}
-	f.use, f.next, f.whole = *f.next, nil, false
+	f.active, f.pending, f.needFullState = *f.pending, nil, false
 }
 
 // Unusable tells, in place of Using, that the ingress could not decide by what Saved returned,
 // though it had been checked: it is refused as if the check had found it.
 func (f *Follower) ActivationFailed(now time.Duration, why error) {
 	f.now = max(f.now, now)
-	if f.next == nil {
+	if f.pending == nil {
 		return
 	}
-	f.refused = &Halted{Version: f.next.Version, Follower: f.cfg.Name, Refused: Refused{Why: why.Error()}}
-	f.next, f.disk = nil, "it holds a version that can't be used"
+	f.refused = &Halted{Version: f.pending.Version, Follower: f.cfg.Name, Refused: Refused{Why: why.Error()}}
+	f.pending, f.storageError = nil, "it holds a version that can't be used"
 }
 
 // Describe tells in one line what is in force, for logs and status.
--- a/distribution/publisher.go
+++ b/distribution/publisher.go
@@ -17,11 +17,11 @@
 }
 
 const (
-	large   = 32 << 10    // bytes from which on a reply is paced
-	again   = time.Second // between two large replies to one follower at least, and two tries at an entry of the log
-	mostWhy = 1024        // bytes of a follower's words that are kept
+	largeReplyBytes = 32 << 10    // bytes from which on a reply is paced
+	minInterval     = time.Second // between two large replies to one follower at least, and two tries at an entry of the log
+	maxReasonBytes  = 1024        // bytes of a follower's words that are kept
 
-	mostBefores = 64 // lists of what plans were before that are kept made
+	maxPreviousLists = 64 // lists of what plans were before that are kept made
 )
 
 // DefaultTiming keeps a change within 4 s of the end of a fault: a question that was lost is
@@ -86,74 +86,74 @@
 
 // followerState is what a publisher knows of one follower, since it publishes.
 type followerState struct {
-	poll     Poll
-	heard    time.Duration
-	held     bool
-	until    time.Duration // when a held question is answered in any case
-	reserved time.Duration // when its large reply is due
-	waits    bool          // it has such a place in the row
-	large    time.Duration // when it was sent one last
+	poll      Poll
+	lastPoll  time.Duration
+	held      bool
+	holdUntil time.Duration // when a held question is answered in any case
+	sendAt    time.Duration // when its large reply is due
+	queued    bool          // it has such a place in the row
+	lastLarge time.Duration // when it was sent one last
 }
 
 // Publisher is what the coordinator that leads does. It lives for one term; who leads next
 // begins with a new one.
 type Publisher struct {
-	timing    Timing
-	catalog   *Catalog
-	began     time.Duration // to hear followers; again after a pause
-	now       time.Duration
-	sure      time.Duration // a majority confirmed then that this one leads
-	looked    news          // what there was when Due looked last
-	followers map[string]*followerState
-	free      time.Duration // the row of large replies is worked off then
-	whole     *State        // of the version that is given out
-	steps     map[uint64]*Difference
-	stepsTo   uint64 // the version that these lead to
-	befores   map[[2]uint64][]PreviousResource
-	asked     uint64        // the version whose settling is on its way into the log
-	askedAt   time.Duration // when that was asked
-	halting   uint64        // the version whose halt is
-	haltAt    time.Duration
-	joinAt    time.Duration // when followers were last taken into the log
+	timing           Timing
+	catalog          *Catalog
+	listeningSince   time.Duration // to hear followers; again after a pause
+	now              time.Duration
+	confirmedAt      time.Duration // a majority confirmed then that this one leads
+	lastInputs       replyInputs   // what there was when Due looked last
+	followers        map[string]*followerState
+	paceFree         time.Duration // the row of large replies is worked off then
+	fullState        *State        // of the version that is given out
+	differences      map[uint64]*Difference
+	differencesTo    uint64 // the version that these lead to
+	previousLists    map[[2]uint64][]PreviousResource
+	settleProposed   uint64        // the version whose settling is on its way into the log
+	settleProposedAt time.Duration // when that was asked
+	haltProposed     uint64        // the version whose halt is
+	haltProposedAt   time.Duration
+	joinProposedAt   time.Duration // when followers were last taken into the log
 }
 
 // NewPublisher begins to publish what a catalog holds, which the caller goes on applying
 // entries to.
 func NewPublisher(timing Timing, catalog *Catalog, now time.Duration) *Publisher {
-	return &Publisher{timing: timing, catalog: catalog, began: now, now: now, sure: now, followers: map[string]*followerState{}, joinAt: now - again,
-		befores: map[[2]uint64][]PreviousResource{}}
+	return &Publisher{timing: timing, catalog: catalog, listeningSince: now, now: now, confirmedAt: now, followers: map[string]*followerState{}, joinProposedAt: now - minInterval,
+		previousLists: map[[2]uint64][]PreviousResource{}}
 }
 
 // Confirmed tells that a majority held this coordinator for the leader at a time: that at which
 // it was asked, not that of its answer. The caller asks at least twice in Timing.Fresh. So a
 // leader that was paused or cut off, and deposed meanwhile, gives out nothing by its old log:
 // no version that the others have halted since.
-func (p *Publisher) LeadershipConfirmed(at time.Duration) { p.sure = max(p.sure, at) }
+func (p *Publisher) LeadershipConfirmed(at time.Duration) { p.confirmedAt = max(p.confirmedAt, at) }
 
 // confirmed tells whether this publisher may give out anything.
 func (p *Publisher) confirmed() bool {
-	return p.timing.MaxStaleness == 0 || p.now-p.sure < p.timing.MaxStaleness
+	return p.timing.MaxStaleness == 0 || p.now-p.confirmedAt < p.timing.MaxStaleness
 }
 
 // setTime sets the current time. A publisher that was paused for long has heard nobody meanwhile; that
 // says nothing about them, so it waits for all once more.
 func (p *Publisher) setTime(now time.Duration) {
 	if now-p.now >= p.timing.Lease/2 {
-		p.began = now
+		p.listeningSince = now
 	}
 	p.now = max(p.now, now)
 }
 
 // news is all that the replies to held questions depend on.
-type news struct {
-	version, settled uint64
-	halted, sure     bool
-	followers        int
+type replyInputs struct {
+	version, settled  uint64
+	halted, confirmed bool
+	followers         int
 }
 
-func (p *Publisher) news() news {
+func (p *Publisher) replyInputs() replyInputs {
 	c := p.catalog
-	return news{c.Version, c.Settled, c.Halt != nil, p.confirmed(), len(c.Followers)}
+	return replyInputs{c.Version, c.Settled, c.Halt != nil, p.confirmed(), len(c.Followers)}
 }
 
 // target is the version that is given out: the newest, or while that is halted the newest one
@@ -168,7 +168,7 @@
 // Poll takes a question. It is answered at once, or held: then [Publisher.Due] answers it.
 func (p *Publisher) Poll(now time.Duration, q Poll) (reply Reply, held bool, err error) {
 	p.setTime(now)
-	if q.Follower == "" || len(q.Follower) > mostFollowName || len(q.Region) > mostFollowName || q.Number == 0 {
+	if q.Follower == "" || len(q.Follower) > maxFollowerName || len(q.Region) > maxFollowerName || q.Number == 0 {
 		return reply, false, &BadPoll{"a follower has a name and a region of 1 to 64 characters, and counts its questions from 1"}
 	}
 	s := p.followers[q.Follower]
@@ -181,18 +181,18 @@
 	}
 	// Repeated, or come late: it tells of what was before. A clock that was set back makes a
 	// later life's number the lower one; it is taken once nobody else is heard under the name.
-	if q.Incarnation == s.poll.Incarnation && q.Number <= s.poll.Number || q.Incarnation < s.poll.Incarnation && p.live(s) {
+	if q.Incarnation == s.poll.Incarnation && q.Number <= s.poll.Number || q.Incarnation < s.poll.Incarnation && p.leaseValid(s) {
 		return reply, false, &BadPoll{"a later one has come under this name"}
 	}
 	if q.Incarnation != s.poll.Incarnation {
-		s.waits = false
+		s.queued = false
 	}
-	q.StorageError = q.StorageError[:min(len(q.StorageError), mostWhy)]
+	q.StorageError = q.StorageError[:min(len(q.StorageError), maxReasonBytes)]
 	if q.Refused != nil {
 		q.Refused = &Halted{q.Refused.Version, q.Follower, q.Refused.Refused.bounded()}
 	}
-	s.poll, s.heard, s.until, s.held = q, p.now, p.now+p.timing.Hold, false
-	if reply = p.next(s); !reply.empty() {
+	s.poll, s.lastPoll, s.holdUntil, s.held = q, p.now, p.now+p.timing.Hold, false
+	if reply = p.nextReply(s); !reply.empty() {
 		return reply, false, nil
 	}
 	s.held = true
@@ -200,7 +200,7 @@
 }
 
 // next is what a follower lacks.
-func (p *Publisher) next(s *followerState) Reply {
+func (p *Publisher) nextReply(s *followerState) Reply {
 	c, q, target := p.catalog, &s.poll, p.target()
 	reply := Reply{Newest: c.Version}
 	have, known := c.hashAt(q.Version)
@@ -214,40 +214,40 @@
 	case q.Refused != nil && q.Refused.Version == target && q.Version < target:
 		return reply // until there is another
 	case q.NeedFullState && q.Version <= target, q.Version < target && (!known || have != q.Hash), q.Version == target && have != q.Hash:
-		if reply.RetryAfter = p.pace(s, p.state().size()); reply.RetryAfter > 0 {
+		if reply.RetryAfter = p.paceDelay(s, p.state().size()); reply.RetryAfter > 0 {
 			return reply
 		}
 		reply.State, at = p.state(), target
 	case q.Version < target:
-		d := p.step(q.Version)
-		if reply.RetryAfter = p.pace(s, d.size()); reply.RetryAfter > 0 {
+		d := p.differenceFrom(q.Version)
+		if reply.RetryAfter = p.paceDelay(s, d.size()); reply.RetryAfter > 0 {
 			return reply
 		}
 		reply.Difference, at = d, target
 	}
 	if at != q.Version || reply.State != nil || c.Settled > q.Settled && c.Settled <= at {
 		reply.Settled = min(c.Settled, at)
-		reply.PreviousPlans = p.before(reply.Settled, at)
+		reply.PreviousPlans = p.previousPlans(reply.Settled, at)
 	}
 	return reply
 }
 
 // before is what plans changed after a version, up to another, were in it. Most followers get
 // the same, so it is made once.
-func (p *Publisher) before(settled, at uint64) []PreviousResource {
+func (p *Publisher) previousPlans(settled, at uint64) []PreviousResource {
 	span := [2]uint64{settled, at}
-	list, made := p.befores[span]
+	list, made := p.previousLists[span]
 	if !made {
-		for _, o := range p.catalog.since(settled, at) {
+		for _, o := range p.catalog.replacedSince(settled, at) {
 			// Of plans alone: their ceilings hold together with those of before.
 			if kind, _ := o.Key.Split(); kind == KindPlan && o.Data != nil {
 				list = append(list, o)
 			}
 		}
-		if len(p.befores) >= mostBefores {
-			clear(p.befores)
+		if len(p.previousLists) >= maxPreviousLists {
+			clear(p.previousLists)
 		}
-		p.befores[span] = list
+		p.previousLists[span] = list
 	}
 	return list
 }
@@ -266,25 +266,25 @@
 // state is the whole of the version that is given out.
 func (p *Publisher) state() *State {
 	target := p.target()
-	if p.whole == nil || p.whole.Version != target {
+	if p.fullState == nil || p.fullState.Version != target {
 		set, err := p.catalog.At(target)
 		if err != nil {
 			panic(err) // it is the newest or the way back from it, which are kept always
 		}
 		hash, _ := p.catalog.hashAt(target)
-		p.whole = &State{target, hash, set.List()}
+		p.fullState = &State{target, hash, set.List()}
 	}
-	return p.whole
+	return p.fullState
 }
 
 // step is the difference from a version that is kept to the one that is given out. Most
 // followers have the same, so it is made once.
-func (p *Publisher) step(from uint64) *Difference {
+func (p *Publisher) differenceFrom(from uint64) *Difference {
 	target := p.target()
-	if p.steps == nil || p.stepsTo != target {
-		p.steps, p.stepsTo = map[uint64]*Difference{}, target
+	if p.differences == nil || p.differencesTo != target {
+		p.differences, p.differencesTo = map[uint64]*Difference{}, target
 	}
-	d := p.steps[from]
+	d := p.differences[from]
 	if d == nil {
 		d = &Difference{Base: from, Version: target}
 		d.BaseHash, _ = p.catalog.hashAt(from)
@@ -293,30 +293,30 @@
 		if d.Set, d.Delete, err = p.catalog.difference(from, target); err != nil {
 			panic(err) // both are kept
 		}
-		p.steps[from] = d
+		p.differences[from] = d
 	}
 	return d
 }
 
 // pace gives a large reply its place in the row, and tells how long its follower has to
 // wait for it; 0 for now. The row is worked off at Timing.Rate, after a burst.
-func (p *Publisher) pace(s *followerState, size int) time.Duration {
-	if size < large {
+func (p *Publisher) paceDelay(s *followerState, size int) time.Duration {
+	if size < largeReplyBytes {
 		return 0
 	}
-	if !s.waits || p.now > s.reserved+p.timing.Lease { // no place, or it let that one go by
+	if !s.queued || p.now > s.sendAt+p.timing.Lease { // no place, or it let that one go by
 		span := time.Duration(float64(size) / p.timing.Rate * float64(time.Second))
 		burst := time.Duration(p.timing.Burst / p.timing.Rate * float64(time.Second))
-		p.free = max(p.free, p.now-burst) + span
-		s.waits, s.reserved = true, max(p.free, p.now)
-		if s.large > 0 {
-			s.reserved = max(s.reserved, s.large+again)
+		p.paceFree = max(p.paceFree, p.now-burst) + span
+		s.queued, s.sendAt = true, max(p.paceFree, p.now)
+		if s.lastLarge > 0 {
+			s.sendAt = max(s.sendAt, s.lastLarge+minInterval)
 		}
 	}
-	if s.reserved > p.now {
-		return s.reserved - p.now
+	if s.sendAt > p.now {
+		return s.sendAt - p.now
 	}
-	s.waits, s.large = false, p.now
+	s.queued, s.lastLarge = false, p.now
 	return 0
 }
 
@@ -324,18 +324,18 @@
 // or because their time is over.
 func (p *Publisher) Due(now time.Duration) (answers []HeldReply) {
 	p.setTime(now)
-	looked := p.news()
+	looked := p.replyInputs()
 	var names []string
 	for name, s := range p.followers {
-		if s.held && (looked != p.looked || p.now >= s.until) {
+		if s.held && (looked != p.lastInputs || p.now >= s.holdUntil) {
 			names = append(names, name)
 		}
 	}
-	p.looked = looked
+	p.lastInputs = looked
 	slices.Sort(names)
 	for _, name := range names {
 		s := p.followers[name]
-		if reply := p.next(s); !reply.empty() || p.now >= s.until {
+		if reply := p.nextReply(s); !reply.empty() || p.now >= s.holdUntil {
 			s.held = false
 			answers = append(answers, HeldReply{name, s.poll.Number, reply})
 		}
@@ -346,16 +346,16 @@
 // Next tells when Due has an answer though nothing happens; false for never.
 func (p *Publisher) Next() (at time.Duration, any bool) {
 	for _, s := range p.followers {
-		if s.held && (!any || s.until < at) {
-			at, any = s.until, true
+		if s.held && (!any || s.holdUntil < at) {
+			at, any = s.holdUntil, true
 		}
 	}
 	return at, any
 }
 
 // live tells whether a follower's lease is on.
-func (p *Publisher) live(s *followerState) bool {
-	return s != nil && p.now-s.heard < p.timing.Lease
+func (p *Publisher) leaseValid(s *followerState) bool {
+	return s != nil && p.now-s.lastPoll < p.timing.Lease
 }
 
 // Tick makes the entries that the log should have: who follows, which version has settled,
@@ -363,33 +363,33 @@
 func (p *Publisher) Tick(now time.Duration) (entries []Entry) {
 	p.setTime(now)
 	c := p.catalog
-	if p.now-p.joinAt >= again {
+	if p.now-p.joinProposedAt >= minInterval {
 		joined := map[string]string{}
 		for name, s := range p.followers {
-			if region, known := c.Followers[name]; p.live(s) && (!known || region != s.poll.Region) && len(c.Followers)+len(joined) < MaxFollowers {
+			if region, known := c.Followers[name]; p.leaseValid(s) && (!known || region != s.poll.Region) && len(c.Followers)+len(joined) < MaxFollowers {
 				joined[name] = s.poll.Region
 			}
 		}
 		if len(joined) > 0 {
-			p.joinAt = p.now
+			p.joinProposedAt = p.now
 			entries = append(entries, Entry{Join: &Join{joined}})
 		}
 		maps.DeleteFunc(p.followers, func(name string, s *followerState) bool {
 			_, known := c.Followers[name]
-			return !known && !p.live(s) // forgotten
+			return !known && !p.leaseValid(s) // forgotten
 		})
 	}
-	if c.Halt == nil && c.Version > 0 && (p.halting != c.Version || p.now-p.haltAt >= again) {
+	if c.Halt == nil && c.Version > 0 && (p.haltProposed != c.Version || p.now-p.haltProposedAt >= minInterval) {
 		for _, name := range slices.Sorted(maps.Keys(p.followers)) {
-			if r := p.followers[name].poll.Refused; p.live(p.followers[name]) && r != nil && r.Version == c.Version {
-				p.halting, p.haltAt = c.Version, p.now
+			if r := p.followers[name].poll.Refused; p.leaseValid(p.followers[name]) && r != nil && r.Version == c.Version {
+				p.haltProposed, p.haltProposedAt = c.Version, p.now
 				entries = append(entries, Entry{Halt: &Halted{c.Version, name, r.Refused}})
 				break
 			}
 		}
 	}
-	if to := p.settles(); to > c.Settled && (to > p.asked || p.now-p.askedAt >= again) {
-		p.asked, p.askedAt = to, p.now
+	if to := p.oldestActive(); to > c.Settled && (to > p.settleProposed || p.now-p.settleProposedAt >= minInterval) {
+		p.settleProposed, p.settleProposedAt = to, p.now
 		entries = append(entries, Entry{Settle: to})
 	}
 	return entries
@@ -398,17 +398,17 @@
 // settles is the oldest version by which a follower may decide whose lease is on. Those that
 // the log knows and that were not heard yet may decide by any until a lease after the start.
 // A version that is halted does not settle: those that have not begun with it don't.
-func (p *Publisher) settles() uint64 {
+func (p *Publisher) oldestActive() uint64 {
 	c, least := p.catalog, p.target()
-	if p.now-p.began < p.timing.Lease {
+	if p.now-p.listeningSince < p.timing.Lease {
 		for name := range c.Followers {
-			if s := p.followers[name]; s == nil || s.heard < p.began {
+			if s := p.followers[name]; s == nil || s.lastPoll < p.listeningSince {
 				return 0
 			}
 		}
 	}
 	for _, s := range p.followers {
-		if !p.live(s) {
+		if !p.leaseValid(s) {
 			continue
 		}
 		if h, known := c.hashAt(s.poll.Version); !known || h != s.poll.Hash {
@@ -420,23 +420,23 @@
 }
 
 // Standing is how one follower stands.
-type Sync string
+type SyncStatus string
 
 // The standings.
 const (
-	SyncInForce   Sync = "in force" // it decides by the version that is given out
-	SyncBehind    Sync = "behind"
-	SyncRefused   Sync = "refused"
-	SyncSilent    Sync = "silent"      // its lease has run out
-	SyncNeverSeen Sync = "never heard" // by this publisher
-	SyncAhead     Sync = "ahead"
+	SyncInForce   SyncStatus = "in force" // it decides by the version that is given out
+	SyncBehind    SyncStatus = "behind"
+	SyncRefused   SyncStatus = "refused"
+	SyncSilent    SyncStatus = "silent"      // its lease has run out
+	SyncNeverSeen SyncStatus = "never heard" // by this publisher
+	SyncAhead     SyncStatus = "ahead"
 )
 
 // FollowerStatus is how one follower stands.
 type FollowerStatus struct {
 	Name          string        `json:"name"`
 	Region        string        `json:"region,omitempty"`
-	Sync          Sync          `json:"standing"`
+	Sync          SyncStatus    `json:"standing"`
 	Version       uint64        `json:"version"`
 	SinceLastPoll time.Duration `json:"heard"` // ago
 	Why           string        `json:"why,omitempty"`
@@ -468,9 +468,9 @@
 		s := p.followers[name]
 		f := FollowerStatus{Name: name, Region: region, Sync: SyncNeverSeen}
 		if s != nil {
-			f.Version, f.SinceLastPoll, f.Why = s.poll.Version, p.now-s.heard, s.poll.StorageError
+			f.Version, f.SinceLastPoll, f.Why = s.poll.Version, p.now-s.lastPoll, s.poll.StorageError
 			switch r := s.poll.Refused; {
-			case !p.live(s):
+			case !p.leaseValid(s):
 				f.Sync = SyncSilent
 			case s.poll.Version > c.Version:
 				f.Sync, f.Why = SyncAhead, (&Ahead{name, s.poll.Version, c.Version}).Error()
@@ -496,5 +496,5 @@
 	if s == nil {
 		return 0, false
 	}
-	return max(p.now, now) - s.heard, true
+	return max(p.now, now) - s.lastPoll, true
 }
--- a/distribution/resource.go
+++ b/distribution/resource.go
@@ -32,7 +32,7 @@
 	MaxStateBytes    = 5 << 19 // bytes of all resources of one version
 	MaxResourceBytes = 16 << 10
 	MaxResources     = 20_000
-	mostName         = 128
+	maxNameLength    = 128
 )
 
 // Key names a resource: its kind and its name, as "plan/gold".
@@ -208,8 +208,8 @@
 // check tells what is wrong with a resource by itself; "" for nothing.
 func (r Resource) check() string {
 	kind, name := r.Key.Split()
-	if name == "" || len(name) > mostName || strings.ContainsFunc(name, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
-		return fmt.Sprintf("a name has 1 to %d characters and no blanks", mostName)
+	if name == "" || len(name) > maxNameLength || strings.ContainsFunc(name, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
+		return fmt.Sprintf("a name has 1 to %d characters and no blanks", maxNameLength)
 	}
 	if r.size() > MaxResourceBytes {
 		return fmt.Sprintf("%d bytes, %d at most", r.size(), MaxResourceBytes)
--- a/internal/configfile/configfile.go
+++ b/internal/configfile/configfile.go
@@ -15,10 +15,10 @@
 )
 
 // mostFile bounds a file, in bytes: more than the text of the largest version.
-const mostFile = 4 * distribution.MaxStateBytes
+const maxFileBytes = 4 * distribution.MaxStateBytes
 
 // file is the text of a file.
-type file struct {
+type document struct {
 	Plan    map[string]distribution.Plan    `toml:"plan"`
 	Limit   map[string]float64              `toml:"limit"`
 	Service map[string]distribution.Service `toml:"service"`
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if info.Size() > mostFile {
+	if info.Size() > maxFileBytes {
 		return nil, &distribution.TooLarge{Bytes: int(info.Size())}
 	}
 	data, err := os.ReadFile(path)
@@ -53,7 +53,7 @@
 // Parse reads the text of a file; each fault begins with its line, or is a
 // *distribution.Refused that tells it.
 func Parse(text string) (distribution.Set, []error) {
-	var f file
+	var f document
 	read, faults := tomlfile.Decode(text, &f)
 	if read == nil {
 		return nil, faults
@@ -95,7 +95,7 @@
 
 // Text writes a set as a file.
 func Format(set distribution.Set) ([]byte, error) {
-	f := file{map[string]distribution.Plan{}, map[string]float64{}, map[string]distribution.Service{}, map[string]distribution.Route{}}
+	f := document{map[string]distribution.Plan{}, map[string]float64{}, map[string]distribution.Service{}, map[string]distribution.Route{}}
 	for _, r := range set {
 		kind, name := r.Key.Split()
 		var err error
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -16,7 +16,7 @@
 )
 
 // alone is how long no coordinator has answered before the log tells.
-const alone = 3 * time.Second
+const maxSilence = 3 * time.Second
 
 // Ingress is what decides by configuration.
 type Ingress interface {
@@ -30,16 +30,16 @@
 
 // Follower is one.
 type Follower struct {
-	cfg     Config
-	log     *slog.Logger
-	ingress Ingress
-	decides *distribution.Follower
-	store   *store
-	http    *http.Client
-	began   time.Time
-	mail    chan func()
-	lost    bool   // no coordinator answers, as last told
-	told    string // what was wrong, as last told: the same is told once until a version is in force
+	cfg          Config
+	log          *slog.Logger
+	ingress      Ingress
+	core         *distribution.Follower
+	store        *store
+	http         *http.Client
+	startedAt    time.Time
+	events       chan func()
+	disconnected bool   // no coordinator answers, as last told
+	lastWarning  string // what was wrong, as last told: the same is told once until a version is in force
 }
 
 // New reads what is kept, has the ingress, which does not run yet, decide by it, and returns
@@ -50,22 +50,22 @@
 
 // NewWith is New with a client of the caller's own.
 func NewWithClient(cfg Config, ingress Ingress, log *slog.Logger, client *http.Client) *Follower {
-	f := &Follower{cfg: cfg, log: log.With("follower", cfg.Name), ingress: ingress, http: client, began: time.Now(), mail: make(chan func(), 1)}
+	f := &Follower{cfg: cfg, log: log.With("follower", cfg.Name), ingress: ingress, http: client, startedAt: time.Now(), events: make(chan func(), 1)}
 	store, kept, err := openStore(cfg.Dir)
 	if err != nil {
-		f.tell("nothing is read of what was kept", err)
+		f.warn("nothing is read of what was kept", err)
 	}
 	f.store = store
-	life := uint64(f.began.UnixNano())
+	life := uint64(f.startedAt.UnixNano())
 	decides := distribution.FollowerConfig{Name: cfg.Name, Region: cfg.Region, Incarnation: life, Coordinators: len(cfg.Coordinators),
 		PollTimeout: cfg.PollTimeout(), Check: ingress.CheckConfig}
-	if f.decides, err = distribution.NewFollower(decides, kept, life, 0); err != nil {
-		f.tell("what was kept is not used", err)
+	if f.core, err = distribution.NewFollower(decides, kept, life, 0); err != nil {
+		f.warn("what was kept is not used", err)
 	}
-	if u := f.decides.Active(); u.Version > 0 {
+	if u := f.core.Active(); u.Version > 0 {
 		if err := ingress.Configure(u); err != nil {
-			f.tell("what was kept is not used", err)
-			f.decides, _ = distribution.NewFollower(decides, nil, life, 0) // with nothing kept there is nothing to refuse
+			f.warn("what was kept is not used", err)
+			f.core, _ = distribution.NewFollower(decides, nil, life, 0) // with nothing kept there is nothing to refuse
 		} else {
 			f.log.Info("configured by what was kept", "in_force", u.Describe())
 		}
@@ -74,12 +74,12 @@
 }
 
 // tell tells in the log what is wrong, when it is not what was told last.
-func (f *Follower) tell(what string, err error) {
+func (f *Follower) warn(what string, err error) {
 	text := what + ": " + err.Error()
-	if text == f.told {
+	if text == f.lastWarning {
 		return
 	}
-	f.told = text
+	f.lastWarning = text
 	args := []any{"error", err}
 	var fault distribution.Fault
 	if errors.As(err, &fault) {
@@ -88,7 +88,7 @@
 	f.log.Warn(what, args...)
 }
 
-func (f *Follower) now() time.Duration { return time.Since(f.began) }
+func (f *Follower) now() time.Duration { return time.Since(f.startedAt) }
 
 // Run follows until ctx ends, for the ingress as it runs.
 func (f *Follower) Run(ctx context.Context, ingress Ingress) {
@@ -98,17 +98,17 @@
 	for {
 		var due <-chan time.Time
 		var timer *time.Timer
-		if at, any := f.decides.Next(); any {
+		if at, any := f.core.Next(); any {
 			timer = time.NewTimer(at - f.now())
 			due = timer.C
 		}
 		select {
 		case <-ctx.Done():
-		case take := <-f.mail:
+		case take := <-f.events:
 			take()
 		case <-due:
-			if ask := f.decides.Tick(f.now()); ask != nil {
-				go f.ask(ctx, *ask)
+			if ask := f.core.Tick(f.now()); ask != nil {
+				go f.poll(ctx, *ask)
 			}
 		}
 		if timer != nil {
@@ -117,48 +117,48 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if silent := f.now() - f.decides.LastReply(); silent > alone && !f.lost {
-			f.lost = true
-			u := f.decides.Active()
-			f.log.Warn("no coordinator answers, and what is in force stays", "in_force", u.Describe(), "since", f.began.Add(f.decides.LastReply()))
+		if silent := f.now() - f.core.LastReply(); silent > maxSilence && !f.disconnected {
+			f.disconnected = true
+			u := f.core.Active()
+			f.log.Warn("no coordinator answers, and what is in force stays", "in_force", u.Describe(), "since", f.startedAt.Add(f.core.LastReply()))
 		}
 	}
 }
 
 // ask carries one question, and hands what comes of it to the follower's goroutine.
-func (f *Follower) ask(ctx context.Context, ask distribution.PollRequest) {
+func (f *Follower) poll(ctx context.Context, poll distribution.PollRequest) {
 	call, cancel := context.WithTimeout(ctx, f.cfg.PollTimeout())
 	defer cancel()
 	var reply distribution.Reply
-	leader, err := rolloutlink.Call(call, f.http, http.MethodPost, f.cfg.Coordinators[ask.Coordinator], rolloutlink.PathConfigPoll, ask.Poll, &reply, rolloutlink.MostConfig)
-	take := func() { f.replied(ask, reply) }
+	leader, err := rolloutlink.Call(call, f.http, http.MethodPost, f.cfg.Coordinators[poll.Coordinator], rolloutlink.PathConfigPoll, poll.Poll, &reply, rolloutlink.MostConfig)
+	take := func() { f.handleReply(poll, reply) }
 	if err != nil {
-		take = func() { f.failed(ask, leader, err) }
+		take = func() { f.handleFailure(poll, leader, err) }
 	}
 	select {
-	case f.mail <- take:
+	case f.events <- take:
 	case <-ctx.Done():
 	}
 }
 
-func (f *Follower) failed(ask distribution.PollRequest, leader string, err error) {
+func (f *Follower) handleFailure(ask distribution.PollRequest, leader string, err error) {
 	var remote *rollout.RemoteError
 	if errors.As(err, &remote) && remote.Kind != "NotLeader" {
-		f.tell("a coordinator does not answer the question", remote)
+		f.warn("a coordinator does not answer the question", remote)
 	}
-	f.decides.Failed(f.now(), ask.Poll.Number, slices.Index(f.cfg.Coordinators, leader))
+	f.core.Failed(f.now(), ask.Poll.Number, slices.Index(f.cfg.Coordinators, leader))
 }
 
-func (f *Follower) replied(ask distribution.PollRequest, reply distribution.Reply) {
-	before := f.decides.Active()
+func (f *Follower) handleReply(ask distribution.PollRequest, reply distribution.Reply) {
+	before := f.core.Active()
 	was := before.Version
-	save, err := f.decides.Replied(f.now(), ask.Poll.Number, reply)
-	if f.lost && f.decides.LastReply() > f.now()-alone {
-		f.lost = false
+	save, err := f.core.Replied(f.now(), ask.Poll.Number, reply)
+	if f.disconnected && f.core.LastReply() > f.now()-maxSilence {
+		f.disconnected = false
 		f.log.Info("a coordinator answers again", "newest", reply.Newest)
 	}
 	if err != nil {
-		f.tell("a version is not taken", err)
+		f.warn("a version is not taken", err)
 		return
 	}
 	if save == nil {
@@ -166,20 +166,20 @@
 	}
 	kept := f.store.save(save)
 	if kept != nil {
-		f.tell("what is in force is not kept", kept)
+		f.warn("what is in force is not kept", kept)
 	}
-	use := f.decides.Saved(f.now(), kept)
+	use := f.core.Saved(f.now(), kept)
 	if use == nil {
 		return
 	}
 	if err := f.ingress.Configure(use); err != nil {
 		f.log.Error("a version that was checked can't be used", "version", use.Version, "error", err)
-		f.decides.ActivationFailed(f.now(), err)
+		f.core.ActivationFailed(f.now(), err)
 		return
 	}
-	f.decides.Activated(f.now())
+	f.core.Activated(f.now())
 	if use.Version != was {
-		f.told = ""
+		f.lastWarning = ""
 		f.log.Info("in force", "version", use.Version, "before", was, "settled", use.Settled)
 	}
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -21,7 +21,7 @@
 )
 
 // patience bounds every wait of the tests; none of them passes by waiting.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func plan(t *testing.T, name string, rate float64) distribution.Resource {
 	t.Helper()
@@ -57,7 +57,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, _, err = openStore(dir); !as[*FollowsAlready](err) {
+	if _, _, err = openStore(dir); !isError[*FollowsAlready](err) {
 		t.Errorf("a folder that is held is opened: %v", err)
 	}
 	s.close()
@@ -86,7 +86,7 @@
 			}
 			s, kept, err := openStore(dir)
 			defer s.close()
-			if kept != nil || !as[*DiskDamaged](err) {
+			if kept != nil || !isError[*DiskDamaged](err) {
 				t.Fatalf("%+v, %v", kept, err)
 			}
 			if aside, err := os.ReadFile(s.path + ".damaged"); err != nil || !bytes.HasPrefix(aside, spoilt[:100]) {
@@ -99,7 +99,7 @@
 	}
 }
 
-func as[E error](err error) bool {
+func isError[E error](err error) bool {
 	var e E
 	return errors.As(err, &e)
 }
@@ -111,83 +111,83 @@
 		t.Fatal(err)
 	}
 	s, kept, err := openStore(path)
-	if kept != nil || !as[*DiskFailed](err) {
+	if kept != nil || !isError[*DiskFailed](err) {
 		t.Fatalf("%+v, %v", kept, err)
 	}
-	if err := s.save(&distribution.StoreUpdate{Version: 1, Full: true}); !as[*DiskFailed](err) {
+	if err := s.save(&distribution.StoreUpdate{Version: 1, Full: true}); !isError[*DiskFailed](err) {
 		t.Errorf("%v", err)
 	}
 	s.close()
 }
 
 // script is a coordinator whose answers stand in a list; each question is told.
-type script struct {
+type scriptedCoordinator struct {
 	*httptest.Server
-	asked chan distribution.Poll
-	mu    sync.Mutex
-	next  []func(w http.ResponseWriter, q distribution.Poll)
+	polls   chan distribution.Poll
+	mu      sync.Mutex
+	replies []func(w http.ResponseWriter, q distribution.Poll)
 }
 
-func newScript(t *testing.T, next ...func(w http.ResponseWriter, q distribution.Poll)) *script {
-	s := &script{asked: make(chan distribution.Poll, 1000), next: next}
+func newScriptedCoordinator(t *testing.T, next ...func(w http.ResponseWriter, q distribution.Poll)) *scriptedCoordinator {
+	s := &scriptedCoordinator{polls: make(chan distribution.Poll, 1000), replies: next}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var q distribution.Poll
 		if err := json.NewDecoder(r.Body).Decode(&q); err != nil || r.URL.Path != rolloutlink.PathConfigPoll {
 			t.Errorf("asked %s, %v", r.URL.Path, err)
 		}
 		s.mu.Lock()
-		do := s.next[0]
-		if len(s.next) > 1 {
-			s.next = s.next[1:]
+		do := s.replies[0]
+		if len(s.replies) > 1 {
+			s.replies = s.replies[1:]
 		}
 		s.mu.Unlock()
-		s.asked <- q
+		s.polls <- q
 		do(w, q)
 	}))
 	t.Cleanup(s.Close)
 	return s
 }
 
-func say(r distribution.Reply) func(http.ResponseWriter, distribution.Poll) {
+func replyWith(r distribution.Reply) func(http.ResponseWriter, distribution.Poll) {
 	return func(w http.ResponseWriter, _ distribution.Poll) { _ = json.NewEncoder(w).Encode(r) }
 }
 
 // hold answers nothing until the question is given up.
-func hold(w http.ResponseWriter, _ distribution.Poll) { time.Sleep(20 * time.Millisecond) }
+func emptyReply(w http.ResponseWriter, _ distribution.Poll) { time.Sleep(20 * time.Millisecond) }
 
 // fake is an ingress.
-type fake struct {
-	refuses string // a key
-	fails   bool
-	in      chan distribution.ActiveConfig
+type fakeIngress struct {
+	refusedKey     string // a key
+	configureFails bool
+	configured     chan distribution.ActiveConfig
 }
 
-func (f *fake) CheckConfig(changed []distribution.Resource) error {
+func (f *fakeIngress) CheckConfig(changed []distribution.Resource) error {
 	for _, r := range changed {
-		if string(r.Key) == f.refuses {
+		if string(r.Key) == f.refusedKey {
 			return &distribution.Refused{Key: r.Key, Why: "no"}
 		}
 	}
 	return nil
 }
 
-func (f *fake) Configure(u *distribution.ActiveConfig) error {
-	if f.fails {
+func (f *fakeIngress) Configure(u *distribution.ActiveConfig) error {
+	if f.configureFails {
 		return errors.New("it fails")
 	}
-	f.in <- *u
+	f.configured <- *u
 	return nil
 }
 
-func follow(t *testing.T, dir string, in *fake, at ...string) (stop func()) {
+func startFollower(t *testing.T, dir string, in *fakeIngress, at ...string) (stop func()) {
 	t.Helper()
 	for i, a := range at {
 		at[i] = strings.TrimPrefix(a, "http://")
 	}
-	return followWith(t, dir, in, slog.DiscardHandler, at...)
+	return startFollowerWithLog(t, dir, in, slog.DiscardHandler, at...)
 }
 
-func followWith(t *testing.T, dir string, in *fake, log slog.Handler, at ...string) (stop func()) {
+func startFollowerWithLog(t *testing.T, dir string, in *fakeIngress, log slog.Handler, at ...string) (stop func()) {
 	t.Helper()
 	f := New(Config{Name: "n1", Region: "west", Coordinators: at, Dir: dir}, in, slog.New(log))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -198,20 +198,20 @@
 	return stop
 }
 
-func take[T any](t *testing.T, what string, from chan T) (v T) {
+func receive[T any](t *testing.T, what string, from chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("waited in vain for %s", what)
 	}
 	return v
 }
 
-func until(t *testing.T, s *script, what string, is func(distribution.Poll) bool) distribution.Poll {
+func waitForPoll(t *testing.T, s *scriptedCoordinator, what string, is func(distribution.Poll) bool) distribution.Poll {
 	t.Helper()
 	for {
-		if q := take(t, what, s.asked); is(q) {
+		if q := receive(t, what, s.polls); is(q) {
 			return q
 		}
 	}
@@ -225,28 +225,28 @@
 	second := distribution.Reply{Difference: &distribution.Difference{Base: 5, BaseHash: sum(a), Version: 6, Hash: sum(a, b), Set: []distribution.Resource{b}}, Settled: 5}
 	wrong := distribution.Reply{Difference: &distribution.Difference{Base: 5, BaseHash: sum(a), Version: 6, Hash: sum(b), Set: []distribution.Resource{b}}}
 	old := distribution.Reply{State: &distribution.State{Version: 3, Hash: sum(b), Resources: []distribution.Resource{b}}}
-	s := newScript(t, say(first), func(w http.ResponseWriter, _ distribution.Poll) { _, _ = fmt.Fprint(w, "{") }, say(old), say(wrong), say(second), hold)
+	s := newScriptedCoordinator(t, replyWith(first), func(w http.ResponseWriter, _ distribution.Poll) { _, _ = fmt.Fprint(w, "{") }, replyWith(old), replyWith(wrong), replyWith(second), emptyReply)
 	dir := t.TempDir()
-	in := &fake{in: make(chan distribution.ActiveConfig, 100)}
-	stop := follow(t, dir, in, s.URL)
-	if u := take(t, "version 5", in.in); u.Version != 5 || u.Hash != sum(a) || u.Settled != 4 {
+	in := &fakeIngress{configured: make(chan distribution.ActiveConfig, 100)}
+	stop := startFollower(t, dir, in, s.URL)
+	if u := receive(t, "version 5", in.configured); u.Version != 5 || u.Hash != sum(a) || u.Settled != 4 {
 		t.Errorf("%+v", u)
 	}
-	if u := take(t, "version 6", in.in); u.Version != 6 || len(u.Set) != 2 {
+	if u := receive(t, "version 6", in.configured); u.Version != 6 || len(u.Set) != 2 {
 		t.Errorf("%+v", u)
 	}
-	q := until(t, s, "a question with version 6", func(q distribution.Poll) bool { return q.Version == 6 })
+	q := waitForPoll(t, s, "a question with version 6", func(q distribution.Poll) bool { return q.Version == 6 })
 	if q.Hash != sum(a, b) || q.Follower != "n1" || q.Region != "west" || q.StorageError != "" {
 		t.Errorf("%+v", q)
 	}
 	stop()
 
-	s = newScript(t, hold)
-	follow(t, dir, in, s.URL)
-	if u := take(t, "what was kept", in.in); u.Version != 6 || u.Hash != sum(a, b) {
+	s = newScriptedCoordinator(t, emptyReply)
+	startFollower(t, dir, in, s.URL)
+	if u := receive(t, "what was kept", in.configured); u.Version != 6 || u.Hash != sum(a, b) {
 		t.Errorf("%+v", u)
 	}
-	if q := take(t, "a question", s.asked); q.Version != 6 || q.Number != 1 {
+	if q := receive(t, "a question", s.polls); q.Version != 6 || q.Number != 1 {
 		t.Errorf("%+v", q)
 	}
 }
@@ -254,15 +254,15 @@
 // One that the ingress can't use is told with resource and line, and what is in force stays.
 func TestRefusalIsTold(t *testing.T) {
 	a, b := plan(t, "a", 1), plan(t, "b", 2)
-	for _, in := range []*fake{{refuses: "plan/b"}, {fails: true}} {
-		in.in = make(chan distribution.ActiveConfig, 100)
-		s := newScript(t, say(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a, b), Resources: []distribution.Resource{a, b}}}), hold)
-		follow(t, t.TempDir(), in, s.URL)
-		q := until(t, s, "a refusal", func(q distribution.Poll) bool { return q.Refused != nil })
-		if q.Version != 0 || q.Refused.Version != 1 || !in.fails && (q.Refused.Refused.Key != b.Key || q.Refused.Refused.Line != 3) {
+	for _, in := range []*fakeIngress{{refusedKey: "plan/b"}, {configureFails: true}} {
+		in.configured = make(chan distribution.ActiveConfig, 100)
+		s := newScriptedCoordinator(t, replyWith(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a, b), Resources: []distribution.Resource{a, b}}}), emptyReply)
+		startFollower(t, t.TempDir(), in, s.URL)
+		q := waitForPoll(t, s, "a refusal", func(q distribution.Poll) bool { return q.Refused != nil })
+		if q.Version != 0 || q.Refused.Version != 1 || !in.configureFails && (q.Refused.Refused.Key != b.Key || q.Refused.Refused.Line != 3) {
 			t.Errorf("%+v", q)
 		}
-		if len(in.in) > 0 {
+		if len(in.configured) > 0 {
 			t.Error("it is in force")
 		}
 	}
@@ -272,33 +272,33 @@
 // finds its way, and each is made once.
 func TestQuestionFindsTheLeader(t *testing.T) {
 	a := plan(t, "a", 1)
-	leader := newScript(t, say(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a), Resources: []distribution.Resource{a}}}), hold)
+	leader := newScriptedCoordinator(t, replyWith(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a), Resources: []distribution.Resource{a}}}), emptyReply)
 	release := make(chan struct{})
-	hangs := newScript(t, func(http.ResponseWriter, distribution.Poll) { <-release })
+	hangs := newScriptedCoordinator(t, func(http.ResponseWriter, distribution.Poll) { <-release })
 	t.Cleanup(func() { close(release) }) // before hangs is closed, which waits for it
 	gone := httptest.NewServer(nil)
 	gone.Close()
-	sends := newScript(t, func(w http.ResponseWriter, _ distribution.Poll) {
+	sends := newScriptedCoordinator(t, func(w http.ResponseWriter, _ distribution.Poll) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		_, _ = fmt.Fprintf(w, `{"error":{"kind":"NotLeader","text":"no","remedy":"ask the leader"},"leader":%q}`, strings.TrimPrefix(leader.URL, "http://"))
 	})
-	in := &fake{in: make(chan distribution.ActiveConfig, 100)}
-	follow(t, t.TempDir(), in, hangs.URL, gone.URL, sends.URL, leader.URL)
-	if u := take(t, "version 1", in.in); u.Version != 1 {
+	in := &fakeIngress{configured: make(chan distribution.ActiveConfig, 100)}
+	startFollower(t, t.TempDir(), in, hangs.URL, gone.URL, sends.URL, leader.URL)
+	if u := receive(t, "version 1", in.configured); u.Version != 1 {
 		t.Errorf("%+v", u)
 	}
 }
 
 // What is wrong again and again stands in the log once, however often it is asked.
 func TestSameFaultIsToldOnce(t *testing.T) {
-	s := newScript(t, func(w http.ResponseWriter, _ distribution.Poll) {
+	s := newScriptedCoordinator(t, func(w http.ResponseWriter, _ distribution.Poll) {
 		w.WriteHeader(http.StatusConflict)
 		_, _ = fmt.Fprint(w, `{"error":{"kind":"BadPoll","text":"a later one has come under this name","remedy":"give each a name of its own"}}`)
 	})
 	var log bytes.Buffer
-	stop := followWith(t, t.TempDir(), &fake{in: make(chan distribution.ActiveConfig, 100)}, slog.NewTextHandler(&log, nil), strings.TrimPrefix(s.URL, "http://"))
+	stop := startFollowerWithLog(t, t.TempDir(), &fakeIngress{configured: make(chan distribution.ActiveConfig, 100)}, slog.NewTextHandler(&log, nil), strings.TrimPrefix(s.URL, "http://"))
 	for range 5 {
-		take(t, "a question", s.asked)
+		receive(t, "a question", s.polls)
 	}
 	stop()
 	if n := strings.Count(log.String(), "a later one has come"); n != 1 {
--- a/internal/follower/store.go
+++ b/internal/follower/store.go
@@ -21,29 +21,29 @@
 // head page where the newer one is damaged: then an older version is read, whole, and what
 // is newer is asked for.
 type store struct {
-	path string
-	db   *bbolt.DB // nil where the folder can't be used
-	why  error     // then
+	path        string
+	db          *bbolt.DB // nil where the folder can't be used
+	unusableErr error     // then
 }
 
 var (
-	bucketHead      = []byte("head")
+	bucketHeader    = []byte("head")
 	bucketResources = []byte("resources")
-	keyHead         = []byte("head")
+	keyHeader       = []byte("head")
 )
 
 const (
-	fileName = "config.db"
-	lockWait = 200 * time.Millisecond // for another process that holds the file
-	mostFile = 64 << 20               // bytes: a file that is larger is none of ours
+	fileName     = "config.db"
+	lockTimeout  = 200 * time.Millisecond // for another process that holds the file
+	maxFileBytes = 64 << 20               // bytes: a file that is larger is none of ours
 )
 
 // head is what is kept beside the resources.
-type head struct {
-	Version uint64                          `json:"version"`
-	Hash    distribution.Hash               `json:"hash"`
-	Settled uint64                          `json:"settled"`
-	Before  []distribution.PreviousResource `json:"before,omitempty"`
+type header struct {
+	Version       uint64                          `json:"version"`
+	Hash          distribution.Hash               `json:"hash"`
+	Settled       uint64                          `json:"settled"`
+	PreviousPlans []distribution.PreviousResource `json:"before,omitempty"`
 }
 
 // openStore opens a folder and reads what it keeps, nil for nothing. With a store that can't
@@ -51,27 +51,27 @@
 func openStore(dir string) (s *store, kept *distribution.StoredConfig, err error) {
 	s = &store{path: filepath.Join(dir, fileName)}
 	if err = os.MkdirAll(dir, 0o700); err != nil {
-		return s, nil, s.unusable(&DiskFailed{dir, err})
+		return s, nil, s.disable(&DiskFailed{dir, err})
 	}
 	kept, err = s.open()
 	var damaged *DiskDamaged
 	if errors.As(err, &damaged) { // put aside, in place of one that was before
 		if moved := os.Rename(s.path, s.path+".damaged"); moved != nil {
-			return s, nil, s.unusable(&DiskFailed{s.path, moved})
+			return s, nil, s.disable(&DiskFailed{s.path, moved})
 		}
 		if _, again := s.open(); again != nil {
-			err = s.unusable(again)
+			err = s.disable(again)
 		}
 		return s, nil, err
 	}
 	if err != nil {
-		return s, nil, s.unusable(err)
+		return s, nil, s.disable(err)
 	}
 	return s, kept, nil
 }
 
-func (s *store) unusable(why error) error {
-	s.why = why
+func (s *store) disable(why error) error {
+	s.unusableErr = why
 	if s.db != nil {
 		_ = s.db.Close()
 		s.db = nil
@@ -90,10 +90,10 @@
 		}
 	}()
 	// bbolt makes a file with four pages.
-	if info, missing := os.Stat(s.path); missing == nil && (info.Size() > mostFile || info.Size() > 0 && info.Size() < int64(4*os.Getpagesize())) {
+	if info, missing := os.Stat(s.path); missing == nil && (info.Size() > maxFileBytes || info.Size() > 0 && info.Size() < int64(4*os.Getpagesize())) {
 		return nil, &DiskDamaged{s.path, fmt.Sprintf("%d bytes", info.Size())}
 	}
-	s.db, err = bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: lockWait})
+	s.db, err = bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	switch {
 	case errors.Is(err, bbolterrors.ErrTimeout):
 		return nil, &FollowsAlready{s.path}
@@ -111,15 +111,15 @@
 
 // read reads the version that is kept, nil for none.
 func (s *store) read(tx *bbolt.Tx) (*distribution.StoredConfig, error) {
-	at := tx.Bucket(bucketHead)
+	at := tx.Bucket(bucketHeader)
 	if at == nil {
 		return nil, nil
 	}
-	var h head
-	if err := unseal(at.Get(keyHead), &h); err != nil {
+	var h header
+	if err := unseal(at.Get(keyHeader), &h); err != nil {
 		return nil, &DiskDamaged{s.path, err.Error()}
 	}
-	kept := &distribution.StoredConfig{State: distribution.State{Version: h.Version, Hash: h.Hash}, Settled: h.Settled, PreviousPlans: h.Before}
+	kept := &distribution.StoredConfig{State: distribution.State{Version: h.Version, Hash: h.Hash}, Settled: h.Settled, PreviousPlans: h.PreviousPlans}
 	resources := tx.Bucket(bucketResources)
 	if resources == nil {
 		return nil, &DiskDamaged{s.path, "no resources"}
@@ -138,11 +138,11 @@
 // save keeps one version in the place of the one before.
 func (s *store) save(what *distribution.StoreUpdate) (err error) {
 	if s.db == nil {
-		return s.why
+		return s.unusableErr
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			err = s.unusable(&DiskDamaged{s.path, fmt.Sprint(p)})
+			err = s.disable(&DiskDamaged{s.path, fmt.Sprint(p)})
 		}
 	}()
 	if err = s.db.Update(func(tx *bbolt.Tx) error { return write(tx, what) }); err != nil {
@@ -172,11 +172,11 @@
 			return err
 		}
 	}
-	at, err := tx.CreateBucketIfNotExists(bucketHead)
+	at, err := tx.CreateBucketIfNotExists(bucketHeader)
 	if err != nil {
 		return err
 	}
-	return putSealed(at, keyHead, head{what.Version, what.Hash, what.Settled, what.PreviousPlans})
+	return putSealed(at, keyHeader, header{what.Version, what.Hash, what.Settled, what.PreviousPlans})
 }
 
 // putSealed writes a value behind its checksum under a key.
