--- a/distribution/catalog.go
+++ b/distribution/catalog.go
@@ -8,31 +8,31 @@
 	"slices"
 )
 
-// Bounds on what the log keeps.
+// Limits on what the log keeps.
 const (
 	MaxFollowers      = 10_000
-	maxHistory        = 512     // versions that can be gone back to, and that differences can begin from
-	maxHistoryBytes   = 1 << 20 // of what they replaced, beyond the newest one
-	maxUnsettledBytes = 4 << 20 // and while they have not settled
-	maxOutcomes       = 256     // operators' requests remembered, so that one sent again counts once
+	maxHistory        = 512     // versions kept for rollbacks and as bases of differences
+	maxHistoryBytes   = 1 << 20 // of the resources that they replaced, beyond the newest version
+	maxUnsettledBytes = 4 << 20 // the same while versions have not settled
+	maxOutcomes       = 256     // operators' requests remembered, so that a repeated one is applied once
 	maxFollowerName   = 64
 )
 
-// Old is what a resource was before a change.
+// PreviousResource is a resource as it was before a change.
 type PreviousResource struct {
 	Key  Key             `json:"key"`
-	Data json.RawMessage `json:"data,omitempty"` // nil: it was not there
+	Data json.RawMessage `json:"data,omitempty"` // nil: it did not exist
 	Line int             `json:"line,omitempty"`
 }
 
-// Past is one version and what it replaced.
+// VersionRecord is one version and the resources that it replaced.
 type VersionRecord struct {
 	Version  uint64             `json:"version"`
 	Hash     Hash               `json:"hash"`
-	Prior    Hash               `json:"prior"` // of the version before
+	Prior    Hash               `json:"prior"` // hash of the version before
 	By       string             `json:"by,omitempty"`
 	Halted   bool               `json:"halted,omitempty"`
-	Replaced []PreviousResource `json:"before"` // in the order of their keys
+	Replaced []PreviousResource `json:"before"` // sorted by key
 }
 
 func (p VersionRecord) size() (n int) {
@@ -42,28 +42,28 @@
 	return n
 }
 
-// Push is a change that an operator wants.
+// Push is a change that an operator requests.
 type Push struct {
-	Base   uint64     `json:"base"` // the version that it begins from (compare and set)
+	Base   uint64     `json:"base"` // the version that it applies to (compare and set)
 	Set    []Resource `json:"set,omitempty"`
 	Delete []Key      `json:"delete,omitempty"`
-	Hash   Hash       `json:"hash"` // of what comes out
+	Hash   Hash       `json:"hash"` // of the resulting set
 }
 
-// Back wants an earlier version's resources in force again, as a new version.
+// Rollback restores the resources of an earlier version, as a new version.
 type Rollback struct {
 	Base uint64 `json:"base"`
 	To   uint64 `json:"to"`
 }
 
-// Join takes followers into the log, so that whoever leads next knows them.
+// Join records followers in the log, so that the next leader knows them.
 type Join struct {
 	Followers map[string]string `json:"followers"` // regions by name
 }
 
-// Entry is one entry of the log. One of its fields but Request and By is set.
+// Entry is one entry of the log. Besides Request and By exactly one field is set.
 type Entry struct {
-	Request  string    `json:"request,omitempty"` // an operator's, so that it counts once
+	Request  string    `json:"request,omitempty"` // ID of an operator's request, so that a repeated one is applied once
 	By       string    `json:"by,omitempty"`
 	Push     *Push     `json:"push,omitempty"`
 	Rollback *Rollback `json:"back,omitempty"`
@@ -73,12 +73,12 @@
 	Forget   string    `json:"forget,omitempty"`
 }
 
-// Check tells why an operator's entry is not to go into the log at all: it holds more than
-// any version may, as a *TooLarge, or names that are none, as a *BadRequest. What a log takes
-// stays in it for long, and is sent to all coordinators.
+// Check reports why an operator's entry must not be proposed at all: it holds more than any version
+// may, as a *TooLarge, or has names that are too long, as a *BadRequest. An entry stays in the log
+// for long, and is sent to all coordinators.
 func (e Entry) Check() error {
 	if len(e.Request) > maxNameLength || len(e.By) > maxNameLength || len(e.Forget) > maxFollowerName {
-		return &BadRequest{fmt.Sprintf("a request's number and its operator have %d characters at most", maxNameLength)}
+		return &BadRequest{fmt.Sprintf("the request's id and the operator's name may have at most %d characters", maxNameLength)}
 	}
 	if e.Push != nil {
 		return e.Push.check()
@@ -101,51 +101,52 @@
 	return nil
 }
 
-// CheckOrder tells why an entry is no order of an operator's, as Check does or as a *BadRequest.
+// CheckOperatorRequest reports why an entry is not a valid operator's request, as Check does or as a
+// *BadRequest.
 func (e Entry) CheckOperatorRequest() error {
-	orders := 0
-	for _, is := range []bool{e.Push != nil, e.Rollback != nil, e.Forget != ""} {
-		if is {
-			orders++
+	requests := 0
+	for _, set := range []bool{e.Push != nil, e.Rollback != nil, e.Forget != ""} {
+		if set {
+			requests++
 		}
 	}
-	if orders != 1 || e.Halt != nil || e.Settle > 0 || e.Join != nil || e.Request == "" {
-		return &BadRequest{"a push, a way back or a follower to forget is wanted, and a name for the request"}
+	if requests != 1 || e.Halt != nil || e.Settle > 0 || e.Join != nil || e.Request == "" {
+		return &BadRequest{"exactly one of push, back and forget is required, and a request id"}
 	}
 	return e.Check()
 }
 
-// Outcome is what came of an operator's request.
+// Outcome is the result of an operator's request.
 type Outcome struct {
 	ID      string          `json:"id"`
-	Version uint64          `json:"version"` // that it made
+	Version uint64          `json:"version"` // that was the newest after it
 	Kind    string          `json:"kind,omitempty"`
 	Err     json.RawMessage `json:"err,omitempty"`
 }
 
-// Catalog is what the log says of configuration. The same entries make the same
-// catalog everywhere.
+// Catalog is the state of configuration that the log's entries produce. The same entries produce
+// the same catalog on each coordinator.
 type Catalog struct {
-	Index     uint64            `json:"index"` // of the last entry applied
+	Index     uint64            `json:"index"` // index of the last entry applied
 	Version   uint64            `json:"version"`
 	Hash      Hash              `json:"hash"`
 	By        string            `json:"by,omitempty"` // who made the newest version
-	Resources []Resource        `json:"resources"`    // in the order of their keys
+	Resources []Resource        `json:"resources"`    // sorted by key
 	History   []VersionRecord   `json:"past"`         // oldest first, up to the newest version
-	Settled   uint64            `json:"settled"`      // nobody that is heard decides by an older version
+	Settled   uint64            `json:"settled"`      // no follower with a valid lease uses an older version
 	Halt      *Halted           `json:"halt,omitempty"`
 	Followers map[string]string `json:"followers"` // regions by name
-	Requests  []Outcome         `json:"requests"`  // the last ones, oldest first
+	Requests  []Outcome         `json:"requests"`  // the most recent ones, oldest first
 
 	set Set // of Resources
 }
 
-// NewCatalog is the catalog of an empty log: version 0, with nothing in it.
+// NewCatalog returns the catalog of an empty log: version 0 without resources.
 func NewCatalog() *Catalog {
 	return &Catalog{Hash: Set{}.Sum(), Followers: map[string]string{}}
 }
 
-// Set is all that the newest version configures. It must not be changed.
+// Set returns the resources of the newest version. It is read-only.
 func (c *Catalog) Set() Set {
 	if c.set == nil {
 		c.set = make(Set, len(c.Resources))
@@ -156,7 +157,7 @@
 	return c.set
 }
 
-// Oldest is the oldest version that is kept.
+// Oldest returns the oldest version that is kept.
 func (c *Catalog) Oldest() uint64 {
 	if len(c.History) == 0 {
 		return c.Version
@@ -164,8 +165,8 @@
 	return c.History[0].Version - 1
 }
 
-// Fallback is the newest version before the newest one that was not halted: what is given out
-// while the newest one is.
+// Fallback returns the newest version before the newest one that was not halted. It is distributed
+// while the newest one is halted.
 func (c *Catalog) Fallback() uint64 {
 	oldest, v := c.Oldest(), c.Version
 	for v > oldest {
@@ -176,7 +177,7 @@
 	return v
 }
 
-// hashAt is the hash of a version; false if that is not kept.
+// hashAt returns the hash of a version; false if that is not kept.
 func (c *Catalog) hashAt(v uint64) (Hash, bool) {
 	switch {
 	case v == c.Version:
@@ -187,31 +188,31 @@
 	return c.History[v-c.Oldest()].Prior, true
 }
 
-// since is what the resources that have changed after a version were in it, in the
-// order of their keys, as far as versions up to another one changed them.
-func (c *Catalog) replacedSince(v, upTo uint64) (olds []PreviousResource) {
+// replacedSince returns the resources that changed after version v, up to version upTo, as they
+// were in v, sorted by key.
+func (c *Catalog) replacedSince(v, upTo uint64) (previous []PreviousResource) {
 	seen := map[Key]bool{}
 	for _, p := range c.History {
 		if p.Version <= v || p.Version > upTo {
 			continue
 		}
 		for _, o := range p.Replaced {
-			if !seen[o.Key] { // the first change after v is the one that replaced v's
+			if !seen[o.Key] { // the first change after v replaced what was in v
 				seen[o.Key] = true
-				olds = append(olds, o)
+				previous = append(previous, o)
 			}
 		}
 	}
-	slices.SortFunc(olds, func(a, b PreviousResource) int {
+	slices.SortFunc(previous, func(a, b PreviousResource) int {
 		if a.Key < b.Key {
 			return -1
 		}
 		return 1
 	})
-	return olds
+	return previous
 }
 
-// At is the set of a version that is kept.
+// At returns the set of a version that is kept.
 func (c *Catalog) At(v uint64) (Set, error) {
 	if v > c.Version || v < c.Oldest() {
 		return nil, &NoSuchVersion{v, c.Oldest(), c.Version}
@@ -230,24 +231,23 @@
 	return s, nil
 }
 
-// difference is what leads from one kept version to a later one.
-func (c *Catalog) difference(from, to uint64) (set []Resource, without []Key, err error) {
+// difference returns the change from one kept version to a later one.
+func (c *Catalog) difference(from, to uint64) (set []Resource, removed []Key, err error) {
 	target, err := c.At(to)
 	if err != nil {
 		return nil, nil, err
 	}
 	for _, o := range c.replacedSince(from, to) {
-		if r, there := target[o.Key]; !there {
-			without = append(without, o.Key)
+		if r, ok := target[o.Key]; !ok {
+			removed = append(removed, o.Key)
 		} else {
 			set = append(set, r)
 		}
 	}
-	return set, without, nil
+	return set, removed, nil
 }
 
-// Apply applies one entry with its place in the log. The error is why it changed
-// nothing.
+// Apply applies one entry with its index in the log. The error reports why it changed nothing.
 func (c *Catalog) Apply(index uint64, e Entry) error {
 	if index <= c.Index {
 		return nil
@@ -257,7 +257,7 @@
 		return c.apply(e)
 	}
 	for _, done := range c.Requests {
-		if done.ID == e.Request { // sent again: it counts once, and gets the same answer
+		if done.ID == e.Request { // a repeated request is applied once and gets the same answer
 			return done.error()
 		}
 	}
@@ -271,7 +271,7 @@
 	return err
 }
 
-// note keeps an error, so that it can be given once more.
+// setError stores an error, so that it can be returned again.
 func (o *Outcome) setError(err error) {
 	if err == nil {
 		return
@@ -297,8 +297,8 @@
 	return nil
 }
 
-// Made is the version that an operator's request made, or met where it made none; false if
-// the request is not remembered.
+// RequestVersion returns the newest version after an operator's request was applied, which it need
+// not have created; false if the request is not remembered.
 func (c *Catalog) RequestVersion(request string) (version uint64, known bool) {
 	for _, done := range c.Requests {
 		if done.ID == request {
@@ -318,7 +318,7 @@
 		if e.Halt.Version == c.Version && c.Version > 0 && c.Halt == nil {
 			c.Halt = e.Halt
 			c.History[len(c.History)-1].Halted = true
-			// Whoever comes from now on decides by an earlier one, and ceilings are held so.
+			// Followers that come from now on get an earlier version, and ceilings are kept for it.
 			c.Settled = min(c.Settled, c.Fallback())
 		}
 	case e.Settle > 0:
@@ -351,7 +351,7 @@
 	}
 	p := Push{Base: b.Base, Hash: target.Sum()}
 	for _, o := range c.replacedSince(b.To, c.Version) {
-		if r, there := target[o.Key]; there {
+		if r, ok := target[o.Key]; ok {
 			p.Set = append(p.Set, r)
 		} else {
 			p.Delete = append(p.Delete, o.Key)
@@ -367,18 +367,18 @@
 	if p.Base != c.Version {
 		return &Conflict{p.Base, c.Version, c.By}
 	}
-	if waits := int(c.Version - c.Settled); waits >= maxHistory || waits > 0 && c.historyBytes() > maxUnsettledBytes {
-		return &Unsettled{waits}
+	if unsettled := int(c.Version - c.Settled); unsettled >= maxHistory || unsettled > 0 && c.historyBytes() > maxUnsettledBytes {
+		return &Unsettled{unsettled}
 	}
-	before, old := c.Set(), VersionRecord{Version: c.Version + 1, Prior: c.Hash, By: by}
-	next := before.with(p.Set, p.Delete)
+	previous, record := c.Set(), VersionRecord{Version: c.Version + 1, Prior: c.Hash, By: by}
+	next := previous.with(p.Set, p.Delete)
 	if err := next.Check(); err != nil {
 		return err
 	}
-	if old.Hash = next.Sum(); old.Hash != p.Hash {
-		return &WrongHash{old.Version, old.Hash, p.Hash}
+	if record.Hash = next.Sum(); record.Hash != p.Hash {
+		return &WrongHash{record.Version, record.Hash, p.Hash}
 	}
-	if old.Hash == c.Hash {
+	if record.Hash == c.Hash {
 		return &NothingChanged{c.Version}
 	}
 	touched := map[Key]bool{}
@@ -390,16 +390,16 @@
 	}
 	for _, k := range slices.Sorted(maps.Keys(touched)) {
 		o := PreviousResource{Key: k}
-		if r, there := before[k]; there {
+		if r, ok := previous[k]; ok {
 			o.Data, o.Line = r.Data, r.Line
 		}
 		if string(o.Data) != string(next[k].Data) {
-			old.Replaced = append(old.Replaced, o)
+			record.Replaced = append(record.Replaced, o)
 		}
 	}
-	c.Version, c.Hash, c.By, c.Halt = old.Version, old.Hash, by, nil
+	c.Version, c.Hash, c.By, c.Halt = record.Version, record.Hash, by, nil
 	c.set, c.Resources = next, next.List()
-	c.History = append(c.History, old)
+	c.History = append(c.History, record)
 	c.trim()
 	return nil
 }
@@ -411,13 +411,13 @@
 	return n
 }
 
-// trim drops the oldest versions beyond the bounds, but none after the settled one: what was
-// before those must be known while somebody may decide by it. The way back from a halt of
-// the newest one stays in any case, and the oldest one is none that was halted.
+// trim drops the oldest versions beyond the limits, but none after the settled one: what those
+// replaced must be known while a follower may use it. The fallback from a halt of the newest
+// version always stays, and the oldest version kept is never a halted one.
 func (c *Catalog) trim() {
-	bytes, drop, until := c.historyBytes(), 0, min(c.Settled, c.Fallback())
+	bytes, drop, oldestNeeded := c.historyBytes(), 0, min(c.Settled, c.Fallback())
 	for i, p := range c.History {
-		if p.Version > until || len(c.History)-i <= maxHistory && bytes <= maxHistoryBytes {
+		if p.Version > oldestNeeded || len(c.History)-i <= maxHistory && bytes <= maxHistoryBytes {
 			break
 		}
 		if bytes -= p.size(); !p.Halted {
@@ -427,9 +427,9 @@
 	c.History = slices.Delete(c.History, 0, drop)
 }
 
-// Verify tells whether a catalog that was kept is whole.
+// Verify checks a catalog that was read from storage for consistency.
 func (c *Catalog) Verify() error {
-	c.set = nil // it may be from before Resources were read
+	c.set = nil // may have been cached before Resources were read
 	if c.Followers == nil {
 		c.Followers = map[string]string{}
 	}
@@ -438,11 +438,11 @@
 	}
 	n := uint64(len(c.History))
 	if n > c.Version || n == 0 && c.Version > 0 || c.Settled > c.Version {
-		return errors.New("distribution: the versions before are not those of the newest")
+		return errors.New("distribution: the version history does not lead to the newest version")
 	}
 	for i, p := range c.History {
 		if p.Version != c.Version-n+1+uint64(i) || i > 0 && p.Prior != c.History[i-1].Hash || p.Version == c.Version && p.Hash != c.Hash {
-			return errors.New("distribution: the versions before are not those of the newest")
+			return errors.New("distribution: the version history does not lead to the newest version")
 		}
 	}
 	if n > 0 {
--- a/distribution/errors.go
+++ b/distribution/errors.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Fault is an error that says what an operator can do.
+// Fault is an error that tells operators how to resolve it.
 type Fault interface {
 	error
 	Remedy() string
 }
 
-// Faults lists one of each error of this package, for the page that tells them and
-// the test that walks them.
+// Faults returns one of each error type of this package, for the operators' page, the tests, and to
+// restore a stored [Outcome].
 func Faults() []Fault {
 	return []Fault{&Refused{}, &Conflict{}, &Halted{}, &TooLarge{}, &NoSuchVersion{}, &NothingChanged{}, &Unsettled{}, &WrongHash{}, &WrongBase{},
 		&StateDamaged{}, &Ahead{}, &BadPoll{}, &BadRequest{}, &TooMany{}, &StillThere{}, &UnknownFollower{}}
 }
 
-// Refused tells that a resource can't be used.
+// Refused reports that a resource can't be used.
 type Refused struct {
 	Key  Key
-	Line int // of the operators' file; 0: not known
+	Line int // in the operators' file; 0: unknown
 	Why  string
 }
 
@@ -32,33 +32,33 @@
 	return fmt.Sprintf("%s: %s", e.Key, e.Why)
 }
 
-// bounded is it with no more words than are kept of a stranger's.
+// bounded returns the error with its texts cut to the length that is kept.
 func (e Refused) bounded() Refused {
 	e.Key, e.Why = e.Key[:min(len(e.Key), maxReasonBytes)], e.Why[:min(len(e.Why), maxReasonBytes)]
 	return e
 }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *Refused) Remedy() string {
-	return "mend the resource in the file and push it again; nothing of this version is in force where it was refused"
+	return "correct the resource in the file and push it again; this version is not active where it was refused"
 }
 
-// Conflict tells that another version was pushed since the one that a change began from.
+// Conflict reports that the version that a change applies to is no longer the newest.
 type Conflict struct {
 	Base, Version uint64
 	By            string
 }
 
 func (e *Conflict) Error() string {
-	return fmt.Sprintf("the change begins from version %d, and the newest is %d, of %s", e.Base, e.Version, e.By)
+	return fmt.Sprintf("the change applies to version %d, but the newest is %d, by %s", e.Base, e.Version, e.By)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *Conflict) Remedy() string {
-	return "look at what the other has changed (config status), put your change on top of it and push again"
+	return "see what was changed meanwhile (config status), apply your change on top of it and push again"
 }
 
-// Halted tells why a version goes to nobody else.
+// Halted reports why a version is sent to no further follower.
 type Halted struct {
 	Version  uint64
 	Follower string
@@ -69,148 +69,150 @@
 	return fmt.Sprintf("version %d is halted: %s refuses %v", e.Version, e.Follower, &e.Refused)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *Halted) Remedy() string {
-	return "push a version that mends it, or go back to the one before (config back); who had begun with it decides by it until then"
+	return "push a version that corrects it, or roll back (config back); ingresses that have activated the halted version use it until then"
 }
 
-// TooLarge tells that a version holds more than is taken.
+// TooLarge reports that a version exceeds the limits on its size.
 type TooLarge struct{ Resources, Bytes int }
 
 func (e *TooLarge) Error() string {
-	return fmt.Sprintf("%d resources in %d bytes; %d in %d at most", e.Resources, e.Bytes, MaxResources, MaxStateBytes)
+	return fmt.Sprintf("%d resources in %d bytes; at most %d in %d are allowed", e.Resources, e.Bytes, MaxResources, MaxStateBytes)
 }
 
-// Remedy says what an operator can do.
-func (e *TooLarge) Remedy() string { return "take resources out of the file that nothing uses" }
+// Remedy tells operators how to resolve the error.
+func (e *TooLarge) Remedy() string { return "remove unused resources from the file" }
 
-// NoSuchVersion tells that a version is not kept.
+// NoSuchVersion reports that a version is not kept.
 type NoSuchVersion struct{ Version, Oldest, Newest uint64 }
 
 func (e *NoSuchVersion) Error() string {
-	return fmt.Sprintf("version %d is not kept: there are %d to %d", e.Version, e.Oldest, e.Newest)
+	return fmt.Sprintf("version %d is not available, only %d to %d", e.Version, e.Oldest, e.Newest)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *NoSuchVersion) Remedy() string { return "push the file of that version instead" }
 
-// NothingChanged tells that a change would give the version that there is.
+// NothingChanged reports that a change would result in the newest version again.
 type NothingChanged struct{ Version uint64 }
 
 func (e *NothingChanged) Error() string {
-	return fmt.Sprintf("version %d is just that already", e.Version)
+	return fmt.Sprintf("version %d has the same content already", e.Version)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *NothingChanged) Remedy() string {
-	return "nothing needs to be done; config status tells where it is in force"
+	return "nothing needs to be done; config status shows where it is active"
 }
 
-// Unsettled tells that too many versions are not in force everywhere yet.
+// Unsettled reports that too many versions have not settled yet.
 type Unsettled struct{ Versions int }
 
 func (e *Unsettled) Error() string {
-	return fmt.Sprintf("%d versions wait to be in force at all that are heard", e.Versions)
+	return fmt.Sprintf("%d versions are not yet active on every connected follower", e.Versions)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *Unsettled) Remedy() string {
-	return "push again in some seconds; where it stays so, config status names who is behind: restart or forget that one"
+	return "push again in some seconds; if the error persists, config status shows which follower is behind: restart or forget it"
 }
 
-// WrongHash tells that what was made is not what was announced.
+// WrongHash reports that the content of a version does not match its hash.
 type WrongHash struct {
 	Version    uint64
 	Have, Want Hash
 }
 
 func (e *WrongHash) Error() string {
-	return fmt.Sprintf("version %d comes out as %.12s, and should be %.12s", e.Version, e.Have, e.Want)
+	return fmt.Sprintf("version %d has hash %.12s, expected %.12s", e.Version, e.Have, e.Want)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *WrongHash) Remedy() string {
-	return "a follower asks for the whole state by itself; for a push, push again with a command of the same build as the coordinators'"
+	return "a follower requests the full state by itself; for a push, push again with a command of the same build as the coordinators'"
 }
 
-// WrongBase tells that a difference is for another state than the follower's.
+// WrongBase reports that a difference does not apply to the follower's state.
 type WrongBase struct{ Base, Version uint64 }
 
 func (e *WrongBase) Error() string {
-	return fmt.Sprintf("a difference from version %d, and version %d is here", e.Base, e.Version)
+	return fmt.Sprintf("the difference applies to version %d, but the active version is %d", e.Base, e.Version)
 }
 
-// Remedy says what an operator can do.
-func (e *WrongBase) Remedy() string { return "nothing: the follower asks again, and says what it has" }
+// Remedy tells operators how to resolve the error.
+func (e *WrongBase) Remedy() string {
+	return "nothing: the follower polls again and reports its version"
+}
 
-// StateDamaged tells that what a follower kept can't be used.
+// StateDamaged reports that a follower's stored configuration can't be used.
 type StateDamaged struct{ Why string }
 
-func (e *StateDamaged) Error() string { return "the configuration that was kept is damaged: " + e.Why }
+func (e *StateDamaged) Error() string { return "the stored configuration is damaged: " + e.Why }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *StateDamaged) Remedy() string {
-	return "nothing while a coordinator answers: the whole is asked for anew; check the disk if it comes again"
+	return "nothing while a coordinator answers: the full state is requested again; check the disk if the error recurs"
 }
 
-// Ahead tells that a follower has a version that the log does not.
+// Ahead reports that a follower has a version that is not in the log.
 type Ahead struct {
 	Follower      string
 	Version, Last uint64
 }
 
 func (e *Ahead) Error() string {
-	return fmt.Sprintf("%s tells version %d, and the newest is %d", e.Follower, e.Version, e.Last)
+	return fmt.Sprintf("%s reports version %d, but the newest is %d", e.Follower, e.Version, e.Last)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *Ahead) Remedy() string {
-	return "if the coordinators were given older disks, push the file again until the version is above that one; else empty the follower's folder and restart it"
+	return "if the coordinators were restored from older disks, push the file again until the version is higher; otherwise empty the follower's folder and restart it"
 }
 
-// BadPoll tells that a follower's question is none.
+// BadPoll reports that a follower's poll is invalid.
 type BadPoll struct{ Why string }
 
 func (e *BadPoll) Error() string { return "a follower asks what can't be answered: " + e.Why }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *BadPoll) Remedy() string {
 	return "run ingress and coordinators of builds that know each other"
 }
 
-// BadRequest tells that an operator's request is none.
+// BadRequest reports that an operator's request is invalid.
 type BadRequest struct{ Why string }
 
-func (e *BadRequest) Error() string { return "the request can't be taken: " + e.Why }
+func (e *BadRequest) Error() string { return "invalid request: " + e.Why }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *BadRequest) Remedy() string {
-	return "mend what it names; the command of the coordinators' own build makes none such"
+	return "correct what the error names; the command of the coordinators' build sends valid requests"
 }
 
-// TooMany tells that no further follower is taken.
+// TooMany reports that no further follower is accepted.
 type TooMany struct{ Most int }
 
 func (e *TooMany) Error() string { return fmt.Sprintf("%d followers are known already", e.Most) }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *TooMany) Remedy() string { return "forget those that will not come back (config forget NAME)" }
 
-// StillThere tells that a follower is not to be forgotten, as it asks still.
+// StillThere reports that a follower can't be forgotten because it still polls.
 type StillThere struct {
 	Follower string
-	Heard    time.Duration // ago
+	Heard    time.Duration // time since its last poll
 }
 
-func (e *StillThere) Error() string { return fmt.Sprintf("%s was heard %v ago", e.Follower, e.Heard) }
+func (e *StillThere) Error() string { return fmt.Sprintf("%s last polled %v ago", e.Follower, e.Heard) }
 
-// Remedy says what an operator can do.
-func (e *StillThere) Remedy() string { return "stop it first" }
+// Remedy tells operators how to resolve the error.
+func (e *StillThere) Remedy() string { return "stop the follower first" }
 
-// UnknownFollower tells that nobody follows under a name.
+// UnknownFollower reports that there is no follower of that name.
 type UnknownFollower struct{ Follower string }
 
 func (e *UnknownFollower) Error() string { return fmt.Sprintf("no follower is called %q", e.Follower) }
 
-// Remedy says what an operator can do.
-func (e *UnknownFollower) Remedy() string { return "config status --all names all of them" }
+// Remedy tells operators how to resolve the error.
+func (e *UnknownFollower) Remedy() string { return "config status --all lists all followers" }
--- a/distribution/follower.go
+++ b/distribution/follower.go
@@ -8,67 +8,67 @@
 	"time"
 )
 
-// FollowerConfig is what a follower goes by.
+// FollowerConfig configures a follower.
 type FollowerConfig struct {
 	Name         string
 	Region       string
-	Incarnation  uint64        // greater at each start, such as the system's time in nanoseconds
-	Coordinators int           // how many there are to ask
-	PollTimeout  time.Duration // with one question: more than the publisher holds it
-	// Check tells why resources that are new or have changed can't be used here, as a *Refused
-	// where it is for one of them. It has no effects. Each is sound by itself by then, and the
-	// whole is what the log has, which was checked there.
+	Incarnation  uint64        // increases with each start, for example the system time in nanoseconds
+	Coordinators int           // number of coordinators
+	PollTimeout  time.Duration // of one poll: longer than the publisher holds it
+	// Check reports why new or changed resources can't be used here, as a *Refused if one of them
+	// is the cause. It has no side effects. Each resource is valid by itself by then, and the whole
+	// set was checked by the log.
 	Check func(changed []Resource) error
 }
 
-// The waits of a follower.
+// Delays of a follower.
 const (
-	minPollInterval    = 50 * time.Millisecond  // between the beginnings of two questions at least
+	minPollInterval    = 50 * time.Millisecond  // between the starts of two polls
 	minRetryDelay      = 100 * time.Millisecond // after a failure
 	maxRetryDelay      = 800 * time.Millisecond
-	maxRetryAfter      = time.Second     // for a whole state, before it is asked for again: the lease has to stay on
-	storeRetryInterval = 2 * time.Second // between two tries to keep what could not be kept
+	maxRetryAfter      = time.Second     // cap on Reply.RetryAfter: the lease must not expire
+	storeRetryInterval = 2 * time.Second // between attempts to store what could not be stored
 )
 
-// DefaultPatience goes with the Hold of [DefaultTiming].
+// DefaultPollTimeout fits the Hold of [DefaultTiming].
 const DefaultPollTimeout = 1800 * time.Millisecond
 
-// Kept is what a follower keeps on its disk, all or nothing.
+// StoredConfig is what a follower persists, atomically.
 type StoredConfig struct {
 	State
 	Settled       uint64             `json:"settled"`
 	PreviousPlans []PreviousResource `json:"before,omitempty"`
 }
 
-// Save is what is to be kept in place of what was before, whole or not at all.
+// StoreUpdate is a change to the stored configuration, to be applied atomically.
 type StoreUpdate struct {
 	Version       uint64
 	Hash          Hash
 	Settled       uint64
 	PreviousPlans []PreviousResource
-	Set           []Resource // that have changed
-	Delete        []Key      // that are gone
-	Full          bool       // nothing of before stays; Set is all
+	Set           []Resource // new or changed
+	Delete        []Key      // removed
+	Full          bool       // Set replaces all stored resources
 }
 
-// InUse is what an ingress decides by.
+// ActiveConfig is the configuration that an ingress uses.
 type ActiveConfig struct {
 	Version       uint64
 	Hash          Hash
-	Set           Set            // not to be changed
-	PreviousPlans map[Key][]byte // data of plans that some ingress may still decide by
+	Set           Set            // read-only
+	PreviousPlans map[Key][]byte // data of earlier plans that some ingress may still use
 	Settled       uint64
 }
 
-// Plan is a plan as it holds now: its ceiling is the lower one of its own and of the one that
-// others may still decide by, so that all together keep within the higher of both from the
-// first moment on, and within the new one from when all have it.
+// Plan returns a plan as it applies now. Its ceiling is the lower of its own and of the earlier one
+// that other ingresses may still use. Together they thus keep to the higher of both from the first
+// moment on, and to the new one from when all of them have it.
 func (u *ActiveConfig) Plan(k Key) (Plan, error) {
 	p, err := u.Set[k].Plan()
 	if err != nil {
 		return p, err
 	}
-	if data, there := u.PreviousPlans[k]; there {
+	if data, ok := u.PreviousPlans[k]; ok {
 		old, err := (Resource{Key: k, Data: data}).Plan()
 		if err != nil {
 			return p, err
@@ -86,65 +86,65 @@
 	return p, nil
 }
 
-// Ask is a question to one of the coordinators.
+// PollRequest is a poll to one of the coordinators.
 type PollRequest struct {
 	Coordinator int
 	Poll        Poll
 }
 
-// Follower is the end of distribution in one ingress. A question is out, or it waits for the
-// next, or what came is being kept (Save, then Saved) and put in force (InUse, then Using):
-// one thing after the other. What is kept comes before what is in force, so that a process
-// that is killed at any moment begins again with no older version than it decided by.
+// Follower receives the configuration in one ingress. It has a poll in flight, or waits for the next
+// one, or a reply is being stored (StoreUpdate, then Saved) and activated (ActiveConfig, then
+// Activated): one after the other. A version is stored before it is activated, so that a process
+// that is killed at any moment restarts with no older version than it used.
 type Follower struct {
 	cfg           FollowerConfig
 	rng           *rand.Rand
 	now           time.Duration
-	active        ActiveConfig // in force
+	active        ActiveConfig
 	pending       *ActiveConfig
-	needFullState bool // ours can't be built on
-	poll          Poll // the last one
+	needFullState bool // the active state may be damaged, so no difference can be applied
+	poll          Poll // in flight, or the last one
 
-	inFlight     bool // poll is out
+	inFlight     bool
 	deadline     time.Duration
-	coordinator  int           // coordinator that is asked
-	failures     int           // in a row
-	nextPoll     time.Duration // of the next question
-	lastReply    time.Duration // the last reply
-	storageError string        // why the last version could not be kept
-	storeTriedAt time.Duration // when that was tried last
+	coordinator  int // index of the coordinator to poll
+	failures     int // consecutive
+	nextPoll     time.Duration
+	lastReply    time.Duration // when the last reply came
+	storageError string        // why the last version could not be stored
+	storeTriedAt time.Duration // when storing was last attempted
 	refused      *Halted
 }
 
-// NewFollower starts a follower by what it kept; nil for nothing. The error tells that it
-// can't be used: the follower works all the same, from version 0.
-func NewFollower(cfg FollowerConfig, kept *StoredConfig, seed uint64, now time.Duration) (*Follower, error) {
+// NewFollower starts a follower from its stored configuration; nil for none. The error reports that
+// this can't be used; the follower then starts from version 0.
+func NewFollower(cfg FollowerConfig, stored *StoredConfig, seed uint64, now time.Duration) (*Follower, error) {
 	f := &Follower{cfg: cfg, rng: rand.New(rand.NewPCG(seed, cfg.Incarnation)), now: now, lastReply: now, nextPoll: now}
 	f.active = ActiveConfig{Set: Set{}, Hash: Set{}.Sum()}
 	f.coordinator = f.rng.IntN(max(1, cfg.Coordinators))
-	if kept == nil || kept.Version == 0 {
+	if stored == nil || stored.Version == 0 {
 		return f, nil
 	}
-	set := Set{}.with(kept.Resources, nil)
-	if sum := set.Sum(); sum != kept.Hash {
-		return f, &StateDamaged{(&WrongHash{kept.Version, sum, kept.Hash}).Error()}
+	set := Set{}.with(stored.Resources, nil)
+	if sum := set.Sum(); sum != stored.Hash {
+		return f, &StateDamaged{(&WrongHash{stored.Version, sum, stored.Hash}).Error()}
 	}
-	if err := f.check(kept.Resources); err != nil {
+	if err := f.check(stored.Resources); err != nil {
 		return f, &StateDamaged{err.Error()}
 	}
-	f.active = newActiveConfig(kept.Version, kept.Hash, set, kept.Settled, kept.PreviousPlans)
+	f.active = newActiveConfig(stored.Version, stored.Hash, set, stored.Settled, stored.PreviousPlans)
 	return f, nil
 }
 
-func newActiveConfig(version uint64, hash Hash, set Set, settled uint64, before []PreviousResource) ActiveConfig {
+func newActiveConfig(version uint64, hash Hash, set Set, settled uint64, previous []PreviousResource) ActiveConfig {
 	u := ActiveConfig{Version: version, Hash: hash, Set: set, Settled: settled, PreviousPlans: map[Key][]byte{}}
-	for _, o := range before {
+	for _, o := range previous {
 		u.PreviousPlans[o.Key] = o.Data
 	}
 	return u
 }
 
-// before is Before as it is kept, in the order of the keys.
+// previousPlans returns PreviousPlans as it is stored, in key order.
 func (u *ActiveConfig) previousPlans() (list []PreviousResource) {
 	for _, k := range slices.Sorted(maps.Keys(u.PreviousPlans)) {
 		list = append(list, PreviousResource{Key: k, Data: u.PreviousPlans[k]})
@@ -164,17 +164,17 @@
 	return nil
 }
 
-// InUse is what is in force here.
+// Active returns the active configuration.
 func (f *Follower) Active() *ActiveConfig { return &f.active }
 
-// Heard tells when a coordinator answered last.
+// LastReply returns when a coordinator last answered.
 func (f *Follower) LastReply() time.Duration { return f.lastReply }
 
-// Refused tells the last version that could not be used, if none was in force since; or nil.
+// Refused returns the last version that could not be used, or nil if a newer one was activated since.
 func (f *Follower) Refused() *Halted { return f.refused }
 
-// Next tells when Tick has something to do; false while a reply is being kept or put in force.
-func (f *Follower) Next() (at time.Duration, any bool) {
+// Next returns when Tick has something to do; false while a reply is being stored or activated.
+func (f *Follower) Next() (at time.Duration, ok bool) {
 	switch {
 	case f.inFlight:
 		return f.deadline, true
@@ -184,8 +184,8 @@
 	return f.nextPoll, true
 }
 
-// Tick takes the time. It returns the question to ask, if one is due. One that is out longer
-// than the patience with it is given up: what comes of it later counts no more.
+// Tick advances the time and returns the next poll, if one is due. A poll in flight for longer than
+// its timeout has failed: a later reply to it is ignored.
 func (f *Follower) Tick(now time.Duration) *PollRequest {
 	f.now = max(f.now, now)
 	if f.inFlight && f.now >= f.deadline {
@@ -194,15 +194,16 @@
 	if f.inFlight || f.pending != nil || f.now < f.nextPoll {
 		return nil
 	}
-	f.poll = Poll{Follower: f.cfg.Name, Region: f.cfg.Region, Incarnation: f.cfg.Incarnation, Number: f.poll.Number + 1, Version: f.active.Version, Hash: f.active.Hash,
-		Settled: f.active.Settled, NeedFullState: f.needFullState, Refused: f.refused, StorageError: f.storageError}
+	f.poll = Poll{Follower: f.cfg.Name, Region: f.cfg.Region, Incarnation: f.cfg.Incarnation, Number: f.poll.Number + 1,
+		Version: f.active.Version, Hash: f.active.Hash, Settled: f.active.Settled,
+		NeedFullState: f.needFullState, Refused: f.refused, StorageError: f.storageError}
 	f.inFlight, f.deadline = true, f.now+f.cfg.PollTimeout
 	f.nextPoll = f.now + minPollInterval
 	return &PollRequest{f.coordinator, f.poll}
 }
 
-// Failed tells that a question has no answer. leader is the place of the coordinator to ask
-// instead, where the one that was asked knows it, and else below 0.
+// Failed reports that a poll got no reply. leader is the index of the leading coordinator if the
+// polled one named it, else negative.
 func (f *Follower) Failed(now time.Duration, number uint64, leader int) {
 	f.now = max(f.now, now)
 	if !f.inFlight || number != f.poll.Number {
@@ -219,12 +220,12 @@
 	f.nextPoll = max(f.nextPoll, f.now+wait/2+time.Duration(f.rng.Int64N(int64(wait/2)+1)))
 }
 
-// Replied takes a reply. What it returns is to be kept, and then told by Saved; nil where there
-// is nothing to keep. The error tells why the reply was not taken.
+// Replied handles a reply. The caller stores the returned update and then calls Saved; nil means
+// that there is nothing to store. The error reports why the reply was rejected.
 func (f *Follower) Replied(now time.Duration, number uint64, r Reply) (*StoreUpdate, error) {
 	f.now = max(f.now, now)
 	if !f.inFlight || number != f.poll.Number {
-		return nil, nil // given up, or told twice
+		return nil, nil // timed out, or a duplicate
 	}
 	f.inFlight, f.failures, f.lastReply = false, 0, f.now
 	if r.RetryAfter > 0 {
@@ -233,8 +234,9 @@
 	}
 	save, next, err := f.apply(r)
 	if err == nil && next == nil && f.storageError != "" && f.now-f.storeTriedAt >= storeRetryInterval {
-		same := f.active
-		save, next = &StoreUpdate{Version: same.Version, Hash: same.Hash, Settled: same.Settled, PreviousPlans: same.previousPlans()}, &same
+		unchanged := f.active
+		save, next = &StoreUpdate{Version: unchanged.Version, Hash: unchanged.Hash, Settled: unchanged.Settled,
+			PreviousPlans: unchanged.previousPlans()}, &unchanged
 	}
 	if err != nil || next == nil {
 		if _, refused := err.(*Halted); err != nil && !refused {
@@ -242,14 +244,14 @@
 		}
 		return nil, err
 	}
-	if f.storageError != "" { // what is on the disk is older than what differences begin from
+	if f.storageError != "" { // the stored version is older than the base of the difference
 		save.Full, save.Set, save.Delete = true, next.Set.List(), nil
 	}
 	f.pending = next
 	return save, nil
 }
 
-// take works out what a reply makes of what is in force.
+// apply computes the configuration that results from a reply to the active one.
 func (f *Follower) apply(r Reply) (*StoreUpdate, *ActiveConfig, error) {
 	var next ActiveConfig
 	save := &StoreUpdate{}
@@ -257,7 +259,7 @@
 	case r.State != nil:
 		s := r.State
 		if s.Version < f.active.Version || s.Version == f.active.Version && s.Hash == f.active.Hash && !f.needFullState {
-			return nil, nil, nil // never back
+			return nil, nil, nil // never go back to an older version
 		}
 		set := Set{}.with(s.Resources, nil)
 		if sum := set.Sum(); sum != s.Hash {
@@ -272,7 +274,7 @@
 		}
 		set := f.active.Set.with(d.Set, d.Delete)
 		if sum := set.Sum(); sum != d.Hash {
-			f.needFullState = true // what is here may be what is wrong
+			f.needFullState = true // the active state may be the damaged one
 			return nil, nil, &WrongHash{d.Version, sum, d.Hash}
 		}
 		next = newActiveConfig(d.Version, d.Hash, set, r.Settled, r.PreviousPlans)
@@ -283,8 +285,8 @@
 		return nil, nil, nil
 	}
 	if next.Settled < f.active.Settled {
-		// From one that led before, or of a version that has been halted. What has settled here
-		// stays so: ceilings go on from it.
+		// From an earlier leader, or for a version that has been halted. The settled version does
+		// not go back here: ceilings are derived from it.
 		next.Settled = f.active.Settled
 		next.PreviousPlans = maps.Clone(f.active.PreviousPlans)
 		for k, r := range f.active.Set {
@@ -303,10 +305,10 @@
 	return save, &next, nil
 }
 
-// halted makes of the fault of a version the refusal that the publisher is sent.
+// halted turns the fault of a version into the refusal that the publisher is sent.
 func (f *Follower) halted(next *ActiveConfig, fault error) *Halted {
-	refused, one := fault.(*Refused)
-	if !one {
+	refused, ok := fault.(*Refused)
+	if !ok {
 		refused = &Refused{Why: fault.Error()}
 	}
 	if refused.Line == 0 {
@@ -315,9 +317,9 @@
 	return &Halted{Version: next.Version, Follower: f.cfg.Name, Refused: *refused}
 }
 
-// Saved tells that what Replied returned is kept, or why not: it is put in force all the same,
-// and operators are told. What it returns is to be decided by from now on, and then told by
-// Using.
+// Saved reports that the update of Replied is stored, or why not: it is activated all the same, and
+// the error is shown to operators. The caller activates the returned configuration and then calls
+// Activated or ActivationFailed.
 func (f *Follower) Saved(now time.Duration, err error) *ActiveConfig {
 	f.now = max(f.now, now)
 	if f.storageError, f.storeTriedAt = "", f.now; err != nil {
@@ -326,7 +328,7 @@
 	return f.pending
 }
 
-// Using tells that the ingress decides by what Saved returned.
+// Activated reports that the ingress uses the configuration that Saved returned.
 func (f *Follower) Activated(now time.Duration) {
 	f.now = max(f.now, now)
 	if f.pending == nil {
@@ -338,8 +340,9 @@
 	f.active, f.pending, f.needFullState = *f.pending, nil, false
 }
 
-// Unusable tells, in place of Using, that the ingress could not decide by what Saved returned,
-// though it had been checked: it is refused as if the check had found it.
+// ActivationFailed reports, in place of Activated, that the ingress could not use the configuration
+// that Saved returned, though it had passed the check: the version is refused as if the check had
+// failed.
 func (f *Follower) ActivationFailed(now time.Duration, why error) {
 	f.now = max(f.now, now)
 	if f.pending == nil {
@@ -349,7 +352,7 @@
 	f.pending, f.storageError = nil, "it holds a version that can't be used"
 }
 
-// Describe tells in one line what is in force, for logs and status.
+// Describe summarizes the configuration in one line, for logs and status.
 func (u *ActiveConfig) Describe() string {
 	kinds := map[string]int{}
 	for k := range u.Set {
@@ -365,7 +368,7 @@
 	return s
 }
 
-// Keys are the keys of a kind, in order.
+// Keys returns the keys of a kind, sorted.
 func (u *ActiveConfig) Keys(kind string) (keys []Key) {
 	for k := range u.Set {
 		if is, _ := k.Split(); is == kind {
--- a/distribution/publisher.go
+++ b/distribution/publisher.go
@@ -7,52 +7,52 @@
 	"time"
 )
 
-// Timing is the times and the pace that a publisher goes by.
+// Timing holds the timeouts and the rate limit of a publisher.
 type Timing struct {
-	Hold         time.Duration // a question is held for so long at most while there is nothing new
-	Lease        time.Duration // who was heard longer ago counts as gone; a new publisher waits for so long to hear all
-	MaxStaleness time.Duration // nothing is given out if a majority confirmed longer ago that this one leads; 0: none has to
-	Rate         float64       // bytes a second of large replies, to all followers together
-	Burst        float64       // bytes of these that may go at once
+	Hold         time.Duration // max time that a poll is held while there is nothing new (long poll)
+	Lease        time.Duration // a follower that polled longer ago counts as gone; a new publisher waits this long for all to poll
+	MaxStaleness time.Duration // nothing is sent if a majority last confirmed the leadership longer ago; 0: no confirmation needed
+	Rate         float64       // bytes per second of large replies, over all followers
+	Burst        float64       // bytes of large replies that may be sent at once
 }
 
 const (
-	largeReplyBytes = 32 << 10    // bytes from which on a reply is paced
-	minInterval     = time.Second // between two large replies to one follower at least, and two tries at an entry of the log
-	maxReasonBytes  = 1024        // bytes of a follower's words that are kept
+	largeReplyBytes = 32 << 10    // bytes from which a reply is rate limited
+	minInterval     = time.Second // min time between large replies to one follower, and before a log entry is proposed again
+	maxReasonBytes  = 1024        // bytes kept of a text that a follower sends
 
-	maxPreviousLists = 64 // lists of what plans were before that are kept made
+	maxPreviousLists = 64 // cached lists of previous plans
 )
 
-// DefaultTiming keeps a change within 4 s of the end of a fault: a question that was lost is
-// made anew after Hold and the follower's patience. The pace is half of what a link of a gigabit
-// carries: 2,200 routes that all change, 440 KB to each of 480, take 3.3 s.
+// DefaultTiming delivers a change within 4 s of the end of a fault: a lost poll is repeated after
+// Hold and the follower's poll timeout. The rate is half of the capacity of a gigabit link: a change
+// of all of 2,200 routes, 440 KB to each of 480 followers, takes 3.3 s.
 func DefaultTiming() Timing {
 	return Timing{Hold: time.Second, Lease: 4 * time.Second, MaxStaleness: 2 * time.Second, Rate: 64 << 20, Burst: 8 << 20}
 }
 
-// Poll is what a follower tells and asks: what it decides by, and for what is newer.
+// Poll is a follower's request: it reports the active version and asks for a newer one.
 type Poll struct {
 	Follower      string  `json:"follower"`
 	Region        string  `json:"region,omitempty"`
-	Incarnation   uint64  `json:"life"`              // of its process: a later start has a greater one
-	Number        uint64  `json:"number"`            // of the question in this life, from 1
-	Version       uint64  `json:"version"`           // in force; 0: none
-	Hash          Hash    `json:"hash"`              // of that version as it is there
-	Settled       uint64  `json:"settled"`           // as it was told last
-	NeedFullState bool    `json:"whole,omitempty"`   // its own is damaged
-	Refused       *Halted `json:"refused,omitempty"` // the last version that it could not use, if none was since
-	StorageError  string  `json:"disk,omitempty"`    // why it can't keep what it has
+	Incarnation   uint64  `json:"life"`              // of the follower's process; a later start has a greater one
+	Number        uint64  `json:"number"`            // of the poll within the incarnation, from 1
+	Version       uint64  `json:"version"`           // active; 0: none
+	Hash          Hash    `json:"hash"`              // of the active version, as the follower has it
+	Settled       uint64  `json:"settled"`           // settled version that the follower was last sent
+	NeedFullState bool    `json:"whole,omitempty"`   // its own state is damaged
+	Refused       *Halted `json:"refused,omitempty"` // the last version that it could not use, unless a newer one was activated since
+	StorageError  string  `json:"disk,omitempty"`    // why it can't persist its configuration
 }
 
-// State is a whole version as it is sent and kept.
+// State is the full state of a version, as it is sent and stored.
 type State struct {
 	Version   uint64     `json:"version"`
 	Hash      Hash       `json:"hash"`
 	Resources []Resource `json:"resources"`
 }
 
-// Difference leads from one version to another.
+// Difference is the change from one version to another.
 type Difference struct {
 	Base     uint64     `json:"base"`
 	BaseHash Hash       `json:"base_hash"`
@@ -62,81 +62,80 @@
 	Delete   []Key      `json:"delete,omitempty"`
 }
 
-// Reply answers a Poll. Without State and Difference the follower has what there is for it.
+// Reply answers a Poll. Without State and Difference the follower is up to date.
 type Reply struct {
-	State         *State             `json:"state,omitempty"` // shared with other replies: not to be changed
+	State         *State             `json:"state,omitempty"` // shared between replies: read-only
 	Difference    *Difference        `json:"difference,omitempty"`
-	RetryAfter    time.Duration      `json:"wait,omitempty"`    // the whole state comes then: other followers are before it
-	Settled       uint64             `json:"settled,omitempty"` // no follower that is heard decides by an older version than this; 0: says nothing
-	PreviousPlans []PreviousResource `json:"before,omitempty"`  // what the resources changed since Settled were in it, up to the follower's version
-	Newest        uint64             `json:"newest"`            // version in the log
+	RetryAfter    time.Duration      `json:"wait,omitempty"`    // time until a large reply can be sent: other followers are ahead in the queue
+	Settled       uint64             `json:"settled,omitempty"` // no follower with a valid lease uses an older version; 0: unchanged
+	PreviousPlans []PreviousResource `json:"before,omitempty"`  // earlier values of plans changed since Settled, up to the follower's version
+	Newest        uint64             `json:"newest"`            // newest version in the log
 }
 
-// empty tells that a reply has nothing that its follower lacks.
+// empty reports whether a reply has nothing new for its follower.
 func (r *Reply) empty() bool {
 	return r.State == nil && r.Difference == nil && r.RetryAfter == 0 && r.Settled == 0
 }
 
-// Answer is the reply to a question that was held.
+// HeldReply is the reply to a poll that was held.
 type HeldReply struct {
 	Follower string
 	Number   uint64
 	Reply    Reply
 }
 
-// followerState is what a publisher knows of one follower, since it publishes.
+// followerState is what a publisher has learned of one follower in this term.
 type followerState struct {
 	poll      Poll
 	lastPoll  time.Duration
 	held      bool
-	holdUntil time.Duration // when a held question is answered in any case
-	sendAt    time.Duration // when its large reply is due
-	queued    bool          // it has such a place in the row
-	lastLarge time.Duration // when it was sent one last
+	holdUntil time.Duration // deadline of a held poll
+	sendAt    time.Duration // when its queued large reply may be sent
+	queued    bool          // a large reply is queued at sendAt
+	lastLarge time.Duration // when it was last sent a large reply
 }
 
-// Publisher is what the coordinator that leads does. It lives for one term; who leads next
-// begins with a new one.
+// Publisher distributes configuration from the leading coordinator. It lasts for one term; the
+// next leader begins with a new one.
 type Publisher struct {
 	timing           Timing
 	catalog          *Catalog
-	listeningSince   time.Duration // to hear followers; again after a pause
+	listeningSince   time.Duration // start of the wait for all followers' polls; reset after a pause of the process
 	now              time.Duration
-	confirmedAt      time.Duration // a majority confirmed then that this one leads
-	lastInputs       replyInputs   // what there was when Due looked last
+	confirmedAt      time.Duration // when a majority last confirmed the leadership
+	lastInputs       replyInputs   // at the last call of Due
 	followers        map[string]*followerState
-	paceFree         time.Duration // the row of large replies is worked off then
-	fullState        *State        // of the version that is given out
+	paceFree         time.Duration // when the queue of large replies is empty
+	fullState        *State        // of the target version
 	differences      map[uint64]*Difference
-	differencesTo    uint64 // the version that these lead to
+	differencesTo    uint64 // the target version of differences
 	previousLists    map[[2]uint64][]PreviousResource
-	settleProposed   uint64        // the version whose settling is on its way into the log
-	settleProposedAt time.Duration // when that was asked
-	haltProposed     uint64        // the version whose halt is
+	settleProposed   uint64 // the version last proposed as settled
+	settleProposedAt time.Duration
+	haltProposed     uint64 // the version whose halt was last proposed
 	haltProposedAt   time.Duration
-	joinProposedAt   time.Duration // when followers were last taken into the log
+	joinProposedAt   time.Duration // when new followers were last proposed
 }
 
-// NewPublisher begins to publish what a catalog holds, which the caller goes on applying
-// entries to.
+// NewPublisher starts to publish a catalog. The caller goes on applying entries to it.
 func NewPublisher(timing Timing, catalog *Catalog, now time.Duration) *Publisher {
-	return &Publisher{timing: timing, catalog: catalog, listeningSince: now, now: now, confirmedAt: now, followers: map[string]*followerState{}, joinProposedAt: now - minInterval,
-		previousLists: map[[2]uint64][]PreviousResource{}}
+	return &Publisher{timing: timing, catalog: catalog, listeningSince: now, now: now, confirmedAt: now,
+		followers: map[string]*followerState{}, joinProposedAt: now - minInterval, previousLists: map[[2]uint64][]PreviousResource{}}
 }
 
-// Confirmed tells that a majority held this coordinator for the leader at a time: that at which
-// it was asked, not that of its answer. The caller asks at least twice in Timing.Fresh. So a
-// leader that was paused or cut off, and deposed meanwhile, gives out nothing by its old log:
-// no version that the others have halted since.
+// LeadershipConfirmed records that a majority confirmed this coordinator as the leader. The time is
+// that of the question, not that of the answer. The caller asks at least twice within
+// Timing.MaxStaleness. A leader that was paused or partitioned, and deposed meanwhile, therefore
+// sends nothing from its stale log, such as a version that the others have halted since.
 func (p *Publisher) LeadershipConfirmed(at time.Duration) { p.confirmedAt = max(p.confirmedAt, at) }
 
-// confirmed tells whether this publisher may give out anything.
+// confirmed reports whether this publisher may send anything.
 func (p *Publisher) confirmed() bool {
 	return p.timing.MaxStaleness == 0 || p.now-p.confirmedAt < p.timing.MaxStaleness
 }
 
-// setTime sets the current time. A publisher that was paused for long has heard nobody meanwhile; that
-// says nothing about them, so it waits for all once more.
+// setTime sets the current time. A publisher that was paused for long received no polls meanwhile,
+// which does not mean that followers are gone: it waits for all of them again.
 func (p *Publisher) setTime(now time.Duration) {
 	if now-p.now >= p.timing.Lease/2 {
 		p.listeningSince = now
@@ -144,7 +143,7 @@
 	p.now = max(p.now, now)
 }
 
-// news is all that the replies to held questions depend on.
+// replyInputs is all that the replies to held polls depend on.
 type replyInputs struct {
 	version, settled  uint64
 	halted, confirmed bool
@@ -156,8 +155,8 @@
 	return replyInputs{c.Version, c.Settled, c.Halt != nil, p.confirmed(), len(c.Followers)}
 }
 
-// target is the version that is given out: the newest, or while that is halted the newest one
-// before it that was not.
+// target is the version to distribute: the newest, or while that is halted the newest earlier one
+// that was not.
 func (p *Publisher) target() uint64 {
 	if p.catalog.Halt != nil {
 		return p.catalog.Fallback()
@@ -165,81 +164,83 @@
 	return p.catalog.Version
 }
 
-// Poll takes a question. It is answered at once, or held: then [Publisher.Due] answers it.
-func (p *Publisher) Poll(now time.Duration, q Poll) (reply Reply, held bool, err error) {
+// Poll handles a follower's poll. It is answered at once, or held: then [Publisher.Due] answers it.
+func (p *Publisher) Poll(now time.Duration, request Poll) (reply Reply, held bool, err error) {
 	p.setTime(now)
-	if q.Follower == "" || len(q.Follower) > maxFollowerName || len(q.Region) > maxFollowerName || q.Number == 0 {
+	if request.Follower == "" || len(request.Follower) > maxFollowerName || len(request.Region) > maxFollowerName || request.Number == 0 {
 		return reply, false, &BadPoll{"a follower has a name and a region of 1 to 64 characters, and counts its questions from 1"}
 	}
-	s := p.followers[q.Follower]
-	if s == nil {
-		if _, known := p.catalog.Followers[q.Follower]; !known && max(len(p.followers), len(p.catalog.Followers)) >= MaxFollowers {
+	follower := p.followers[request.Follower]
+	if follower == nil {
+		if _, known := p.catalog.Followers[request.Follower]; !known && max(len(p.followers), len(p.catalog.Followers)) >= MaxFollowers {
 			return reply, false, &TooMany{MaxFollowers}
 		}
-		s = &followerState{}
-		p.followers[q.Follower] = s
+		follower = &followerState{}
+		p.followers[request.Follower] = follower
 	}
-	// Repeated, or come late: it tells of what was before. A clock that was set back makes a
-	// later life's number the lower one; it is taken once nobody else is heard under the name.
-	if q.Incarnation == s.poll.Incarnation && q.Number <= s.poll.Number || q.Incarnation < s.poll.Incarnation && p.leaseValid(s) {
+	// A repeated or delayed poll reports outdated state. After a clock was set back, a later process
+	// has the lower incarnation; it is accepted once no other polls under the name.
+	if request.Incarnation == follower.poll.Incarnation && request.Number <= follower.poll.Number ||
+		request.Incarnation < follower.poll.Incarnation && p.leaseValid(follower) {
 		return reply, false, &BadPoll{"a later one has come under this name"}
 	}
-	if q.Incarnation != s.poll.Incarnation {
-		s.queued = false
+	if request.Incarnation != follower.poll.Incarnation {
+		follower.queued = false
 	}
-	q.StorageError = q.StorageError[:min(len(q.StorageError), maxReasonBytes)]
-	if q.Refused != nil {
-		q.Refused = &Halted{q.Refused.Version, q.Follower, q.Refused.Refused.bounded()}
+	request.StorageError = request.StorageError[:min(len(request.StorageError), maxReasonBytes)]
+	if request.Refused != nil {
+		request.Refused = &Halted{request.Refused.Version, request.Follower, request.Refused.Refused.bounded()}
 	}
-	s.poll, s.lastPoll, s.holdUntil, s.held = q, p.now, p.now+p.timing.Hold, false
-	if reply = p.nextReply(s); !reply.empty() {
+	follower.poll, follower.lastPoll, follower.holdUntil, follower.held = request, p.now, p.now+p.timing.Hold, false
+	if reply = p.nextReply(follower); !reply.empty() {
 		return reply, false, nil
 	}
-	s.held = true
+	follower.held = true
 	return Reply{}, true, nil
 }
 
-// next is what a follower lacks.
-func (p *Publisher) nextReply(s *followerState) Reply {
-	c, q, target := p.catalog, &s.poll, p.target()
+// nextReply is what a follower lacks.
+func (p *Publisher) nextReply(follower *followerState) Reply {
+	c, request, target := p.catalog, &follower.poll, p.target()
 	reply := Reply{Newest: c.Version}
-	have, known := c.hashAt(q.Version)
-	at := q.Version
-	if _, joined := c.Followers[q.Follower]; !joined || !p.confirmed() {
-		return reply // who leads next must know of whoever decides by something
+	have, known := c.hashAt(request.Version)
+	at := request.Version
+	if _, joined := c.Followers[request.Follower]; !joined || !p.confirmed() {
+		return reply // the next leader must know every follower that uses a version
 	}
 	switch {
-	case q.Version > c.Version, target == 0 && q.Version == 0:
+	case request.Version > c.Version, target == 0 && request.Version == 0:
 		return reply
-	case q.Refused != nil && q.Refused.Version == target && q.Version < target:
-		return reply // until there is another
-	case q.NeedFullState && q.Version <= target, q.Version < target && (!known || have != q.Hash), q.Version == target && have != q.Hash:
-		if reply.RetryAfter = p.paceDelay(s, p.state().size()); reply.RetryAfter > 0 {
+	case request.Refused != nil && request.Refused.Version == target && request.Version < target:
+		return reply // until there is another version
+	case request.NeedFullState && request.Version <= target,
+		request.Version < target && (!known || have != request.Hash), request.Version == target && have != request.Hash:
+		if reply.RetryAfter = p.paceDelay(follower, p.state().size()); reply.RetryAfter > 0 {
 			return reply
 		}
 		reply.State, at = p.state(), target
-	case q.Version < target:
-		d := p.differenceFrom(q.Version)
-		if reply.RetryAfter = p.paceDelay(s, d.size()); reply.RetryAfter > 0 {
+	case request.Version < target:
+		difference := p.differenceFrom(request.Version)
+		if reply.RetryAfter = p.paceDelay(follower, difference.size()); reply.RetryAfter > 0 {
 			return reply
 		}
-		reply.Difference, at = d, target
+		reply.Difference, at = difference, target
 	}
-	if at != q.Version || reply.State != nil || c.Settled > q.Settled && c.Settled <= at {
+	if at != request.Version || reply.State != nil || c.Settled > request.Settled && c.Settled <= at {
 		reply.Settled = min(c.Settled, at)
 		reply.PreviousPlans = p.previousPlans(reply.Settled, at)
 	}
 	return reply
 }
 
-// before is what plans changed after a version, up to another, were in it. Most followers get
-// the same, so it is made once.
+// previousPlans returns the plans that changed after a version, up to another, as they were in the
+// first. Most followers get the same list, so it is cached.
 func (p *Publisher) previousPlans(settled, at uint64) []PreviousResource {
 	span := [2]uint64{settled, at}
-	list, made := p.previousLists[span]
-	if !made {
+	list, cached := p.previousLists[span]
+	if !cached {
 		for _, o := range p.catalog.replacedSince(settled, at) {
-			// Of plans alone: their ceilings hold together with those of before.
+			// Only plans: the lower of the old and the new ceiling applies until the new one settles.
 			if kind, _ := o.Key.Split(); kind == KindPlan && o.Data != nil {
 				list = append(list, o)
 			}
@@ -263,13 +264,13 @@
 
 func (d *Difference) size() int { return sizeOf(d.Set) }
 
-// state is the whole of the version that is given out.
+// state is the full state of the target version.
 func (p *Publisher) state() *State {
 	target := p.target()
 	if p.fullState == nil || p.fullState.Version != target {
 		set, err := p.catalog.At(target)
 		if err != nil {
-			panic(err) // it is the newest or the way back from it, which are kept always
+			panic(err) // the newest version and its fallback are always kept
 		}
 		hash, _ := p.catalog.hashAt(target)
 		p.fullState = &State{target, hash, set.List()}
@@ -277,8 +278,8 @@
 	return p.fullState
 }
 
-// step is the difference from a version that is kept to the one that is given out. Most
-// followers have the same, so it is made once.
+// differenceFrom returns the difference from a kept version to the target. Most followers have the
+// same version, so it is cached.
 func (p *Publisher) differenceFrom(from uint64) *Difference {
 	target := p.target()
 	if p.differences == nil || p.differencesTo != target {
@@ -291,47 +292,47 @@
 		d.Hash, _ = p.catalog.hashAt(target)
 		var err error
 		if d.Set, d.Delete, err = p.catalog.difference(from, target); err != nil {
-			panic(err) // both are kept
+			panic(err) // both versions are kept
 		}
 		p.differences[from] = d
 	}
 	return d
 }
 
-// pace gives a large reply its place in the row, and tells how long its follower has to
-// wait for it; 0 for now. The row is worked off at Timing.Rate, after a burst.
-func (p *Publisher) paceDelay(s *followerState, size int) time.Duration {
+// paceDelay queues a large reply and returns how long its follower has to wait for it; 0 if it may
+// be sent now. The queue is served at Timing.Rate, after an initial burst.
+func (p *Publisher) paceDelay(follower *followerState, size int) time.Duration {
 	if size < largeReplyBytes {
 		return 0
 	}
-	if !s.queued || p.now > s.sendAt+p.timing.Lease { // no place, or it let that one go by
+	if !follower.queued || p.now > follower.sendAt+p.timing.Lease { // not queued, or it missed its time
 		span := time.Duration(float64(size) / p.timing.Rate * float64(time.Second))
 		burst := time.Duration(p.timing.Burst / p.timing.Rate * float64(time.Second))
 		p.paceFree = max(p.paceFree, p.now-burst) + span
-		s.queued, s.sendAt = true, max(p.paceFree, p.now)
-		if s.lastLarge > 0 {
-			s.sendAt = max(s.sendAt, s.lastLarge+minInterval)
+		follower.queued, follower.sendAt = true, max(p.paceFree, p.now)
+		if follower.lastLarge > 0 {
+			follower.sendAt = max(follower.sendAt, follower.lastLarge+minInterval)
 		}
 	}
-	if s.sendAt > p.now {
-		return s.sendAt - p.now
+	if follower.sendAt > p.now {
+		return follower.sendAt - p.now
 	}
-	s.queued, s.lastLarge = false, p.now
+	follower.queued, follower.lastLarge = false, p.now
 	return 0
 }
 
-// Due answers the held questions that have an answer now: because there is something new,
-// or because their time is over.
+// Due answers the held polls that can be answered now: because there is something new, or
+// because their deadline has passed.
 func (p *Publisher) Due(now time.Duration) (answers []HeldReply) {
 	p.setTime(now)
-	looked := p.replyInputs()
+	inputs := p.replyInputs()
 	var names []string
 	for name, s := range p.followers {
-		if s.held && (looked != p.lastInputs || p.now >= s.holdUntil) {
+		if s.held && (inputs != p.lastInputs || p.now >= s.holdUntil) {
 			names = append(names, name)
 		}
 	}
-	p.lastInputs = looked
+	p.lastInputs = inputs
 	slices.Sort(names)
 	for _, name := range names {
 		s := p.followers[name]
@@ -343,30 +344,31 @@
 	return answers
 }
 
-// Next tells when Due has an answer though nothing happens; false for never.
-func (p *Publisher) Next() (at time.Duration, any bool) {
+// Next returns the earliest deadline of a held poll; false if none is held.
+func (p *Publisher) Next() (at time.Duration, found bool) {
 	for _, s := range p.followers {
-		if s.held && (!any || s.holdUntil < at) {
-			at, any = s.holdUntil, true
+		if s.held && (!found || s.holdUntil < at) {
+			at, found = s.holdUntil, true
 		}
 	}
-	return at, any
+	return at, found
 }
 
-// live tells whether a follower's lease is on.
+// leaseValid reports whether a follower has polled within the lease.
 func (p *Publisher) leaseValid(s *followerState) bool {
 	return s != nil && p.now-s.lastPoll < p.timing.Lease
 }
 
-// Tick makes the entries that the log should have: who follows, which version has settled,
-// and which is halted. The caller proposes them; what is not applied is made again.
+// Tick returns the entries that the log lacks: new followers, the settled version, a halt. The
+// caller proposes them; those that are not applied are returned again later.
 func (p *Publisher) Tick(now time.Duration) (entries []Entry) {
 	p.setTime(now)
 	c := p.catalog
 	if p.now-p.joinProposedAt >= minInterval {
 		joined := map[string]string{}
 		for name, s := range p.followers {
-			if region, known := c.Followers[name]; p.leaseValid(s) && (!known || region != s.poll.Region) && len(c.Followers)+len(joined) < MaxFollowers {
+			if region, known := c.Followers[name]; p.leaseValid(s) && (!known || region != s.poll.Region) &&
+				len(c.Followers)+len(joined) < MaxFollowers {
 				joined[name] = s.poll.Region
 			}
 		}
@@ -395,9 +397,9 @@
 	return entries
 }
 
-// settles is the oldest version by which a follower may decide whose lease is on. Those that
-// the log knows and that were not heard yet may decide by any until a lease after the start.
-// A version that is halted does not settle: those that have not begun with it don't.
+// oldestActive is the oldest version that a follower with a valid lease may use. A follower in the
+// log that has not polled yet may use any version until one lease after the start. A halted version
+// does not settle: it is sent to no further follower.
 func (p *Publisher) oldestActive() uint64 {
 	c, least := p.catalog, p.target()
 	if p.now-p.listeningSince < p.timing.Lease {
@@ -412,37 +414,37 @@
 			continue
 		}
 		if h, known := c.hashAt(s.poll.Version); !known || h != s.poll.Hash {
-			return 0 // what it decides by is none of ours
+			return 0 // it uses a version that is not in the log
 		}
 		least = min(least, s.poll.Version)
 	}
 	return least
 }
 
-// Standing is how one follower stands.
+// SyncStatus compares a follower's configuration with the target version.
 type SyncStatus string
 
-// The standings.
+// The values of SyncStatus.
 const (
-	SyncInForce   SyncStatus = "in force" // it decides by the version that is given out
+	SyncInForce   SyncStatus = "in force" // it uses the target version
 	SyncBehind    SyncStatus = "behind"
 	SyncRefused   SyncStatus = "refused"
-	SyncSilent    SyncStatus = "silent"      // its lease has run out
-	SyncNeverSeen SyncStatus = "never heard" // by this publisher
+	SyncSilent    SyncStatus = "silent"      // its lease has expired
+	SyncNeverSeen SyncStatus = "never heard" // no poll in this publisher's term
 	SyncAhead     SyncStatus = "ahead"
 )
 
-// FollowerStatus is how one follower stands.
+// FollowerStatus is the status of one follower.
 type FollowerStatus struct {
 	Name          string        `json:"name"`
 	Region        string        `json:"region,omitempty"`
 	Sync          SyncStatus    `json:"standing"`
 	Version       uint64        `json:"version"`
-	SinceLastPoll time.Duration `json:"heard"` // ago
+	SinceLastPoll time.Duration `json:"heard"` // 0 if it has not polled
 	Why           string        `json:"why,omitempty"`
 }
 
-// Status is how configuration stands.
+// Status is the state of the configuration and of all followers.
 type Status struct {
 	Version   uint64           `json:"version"`
 	Hash      Hash             `json:"hash"`
@@ -452,14 +454,15 @@
 	Oldest    uint64           `json:"oldest"`
 	Settled   uint64           `json:"settled"`
 	Halt      *Halted          `json:"halt,omitempty"`
-	Followers []FollowerStatus `json:"followers"` // in the order of region and name
+	Followers []FollowerStatus `json:"followers"` // by region and name
 }
 
-// Status tells how all stands.
+// Status returns the state of the configuration and of all followers.
 func (p *Publisher) Status(now time.Duration) Status {
 	p.setTime(now)
 	c := p.catalog
-	st := Status{Version: c.Version, Hash: c.Hash, By: c.By, Resources: len(c.Resources), Bytes: c.Set().Size(), Oldest: c.Oldest(), Settled: c.Settled, Halt: c.Halt}
+	status := Status{Version: c.Version, Hash: c.Hash, By: c.By, Resources: len(c.Resources), Bytes: c.Set().Size(),
+		Oldest: c.Oldest(), Settled: c.Settled, Halt: c.Halt}
 	names := maps.Clone(c.Followers)
 	for name, s := range p.followers {
 		names[name] = s.poll.Region
@@ -482,15 +485,16 @@
 				f.Sync = SyncInForce
 			}
 		}
-		st.Followers = append(st.Followers, f)
+		status.Followers = append(status.Followers, f)
 	}
-	slices.SortFunc(st.Followers, func(a, b FollowerStatus) int {
+	slices.SortFunc(status.Followers, func(a, b FollowerStatus) int {
 		return cmp.Or(cmp.Compare(a.Region, b.Region), cmp.Compare(a.Name, b.Name))
 	})
-	return st
+	return status
 }
 
-// Heard tells how long ago a follower asked; false if it did not since this publisher began.
+// SinceLastPoll returns the time since a follower's last poll; false if there was none in this
+// publisher's term.
 func (p *Publisher) SinceLastPoll(now time.Duration, follower string) (ago time.Duration, ever bool) {
 	s := p.followers[follower]
 	if s == nil {
--- a/distribution/resource.go
+++ b/distribution/resource.go
@@ -1,16 +1,18 @@
 // Package distribution decides how configuration gets from the coordinators to the
-// ingresses of a fleet, and which version of it is in force where.
+// ingresses of a fleet, and which version each ingress uses.
 //
-// A [Catalog] is what the replicated log says: the newest version, what each version
-// before it replaced, who follows. A [Publisher] is what the coordinator that leads
-// makes of it: what each follower is sent, and when. A [Follower] is the other end,
-// in an ingress: what it takes, keeps and decides by. All three are plain state
-// machines: events and the time come in, what is to be done comes out. There is no
-// I/O, clock or goroutine here, and the same events give the same results.
+// A [Catalog] is the state that the replicated log produces: the newest version, the
+// resources that each earlier change replaced, and the known followers. A [Publisher]
+// runs on the leading coordinator and decides what each follower is sent, and when. A
+// [Follower] runs in an ingress and decides what is accepted, stored and activated. All
+// three are deterministic state machines: they take events and the time, and return what
+// to do. There is no I/O, clock or goroutine here.
 //
-// Configuration is a set of resources. A version is the whole set after one change;
-// it is sent whole once, and as the difference to what a follower has from then on.
-// docs/design/distribution.md weighs the ways to do so.
+// Configuration is a set of resources. A version is the whole set after one change. A
+// follower gets the full state once, and differences to its version from then on. A
+// version is settled when every follower with a valid lease uses it or a newer one. Until
+// then the ceilings of earlier plans still count, see [ActiveConfig.Plan].
+// docs/design/distribution.md compares the alternatives.
 package distribution
 
 import (
@@ -27,7 +29,7 @@
 	"strings"
 )
 
-// Bounds on what is configured.
+// Limits on a version.
 const (
 	MaxStateBytes    = 5 << 19 // bytes of all resources of one version
 	MaxResourceBytes = 16 << 10
@@ -41,15 +43,15 @@
 // The kinds of resource.
 const (
 	KindPlan    = "plan"    // what a customer has bought: quota, ceiling, price
-	KindLimit   = "limit"   // a bound that every ingress keeps
-	KindService = "service" // what requests are for
-	KindRoute   = "route"   // which requests are for which service
+	KindLimit   = "limit"   // a limit that every ingress applies
+	KindService = "service" // a service that requests are sent to
+	KindRoute   = "route"   // which requests go to which service
 )
 
-// KeyOf makes a key.
+// KeyOf returns the key of a resource.
 func KeyOf(kind, name string) Key { return Key(kind + "/" + name) }
 
-// Split parts a key into kind and name.
+// Split splits a key into kind and name.
 func (k Key) Split() (kind, name string) {
 	kind, name, _ = strings.Cut(string(k), "/")
 	return kind, name
@@ -58,20 +60,20 @@
 // Resource is one thing that is configured.
 type Resource struct {
 	Key  Key             `json:"key"`
-	Data json.RawMessage `json:"data"`           // as Encode writes its type
-	Line int             `json:"line,omitempty"` // where it stood in the operators' file when it was last changed; 0: not known
+	Data json.RawMessage `json:"data"`           // as written by Encode
+	Line int             `json:"line,omitempty"` // in the operators' file when it was last changed; 0: unknown
 }
 
-// Set is all that one version configures.
+// Set holds the resources of one version by key.
 type Set map[Key]Resource
 
 // Hash is a SHA-256 sum.
 type Hash [sha256.Size]byte
 
-// MarshalText writes it in hexadecimal.
+// MarshalText encodes the hash in hexadecimal.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// UnmarshalText reads what MarshalText has written.
+// UnmarshalText decodes the output of MarshalText.
 func (h *Hash) UnmarshalText(b []byte) error {
 	if hex.DecodedLen(len(b)) != len(h) {
 		return errors.New("distribution: a hash has 64 hexadecimal digits")
@@ -82,8 +84,8 @@
 
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// Sum is the hash of a set: of each key and the hash of its data, in the order of
-// the keys. Lines are no part of it.
+// Sum returns the hash over each key and the hash of its data, sorted by key. Line numbers
+// are not included.
 func (s Set) Sum() (sum Hash) {
 	h := sha256.New()
 	for _, k := range slices.Sorted(maps.Keys(s)) {
@@ -96,10 +98,10 @@
 	return sum
 }
 
-// size is the bytes of a resource, as they are counted against the bounds.
+// size is the number of bytes that count against the limits.
 func (r Resource) size() int { return len(r.Key) + len(r.Data) }
 
-// Size is the bytes of all resources.
+// Size returns the total size of all resources, in bytes.
 func (s Set) Size() (n int) {
 	for _, r := range s {
 		n += r.size()
@@ -107,7 +109,7 @@
 	return n
 }
 
-// List is the resources in the order of their keys.
+// List returns the resources sorted by key.
 func (s Set) List() []Resource {
 	list := make([]Resource, 0, len(s))
 	for _, k := range slices.Sorted(maps.Keys(s)) {
@@ -116,11 +118,11 @@
 	return list
 }
 
-// with is the set after a change; s stays as it is.
-func (s Set) with(set []Resource, without []Key) Set {
+// with returns the set after a change; s itself is not modified.
+func (s Set) with(set []Resource, removed []Key) Set {
 	next := make(Set, len(s)+len(set))
 	maps.Copy(next, s)
-	for _, k := range without {
+	for _, k := range removed {
 		delete(next, k)
 	}
 	for _, r := range set {
@@ -132,46 +134,46 @@
 // Plan is what a customer has bought. Its quotas hold for each customer over all
 // ingresses together.
 type Plan struct {
-	Rate             float64 `json:"rate" toml:"rate"`                           // units a second that fill the token bucket; 0: no such quota
-	Burst            float64 `json:"burst" toml:"burst"`                         // the most units that the bucket holds
-	Open             int     `json:"open" toml:"open"`                           // attempts that may be out at once; 0: no such quota
-	Price            float64 `json:"price" toml:"price"`                         // multiplier of the worth
-	OverCost         float64 `json:"over_cost" toml:"over_cost"`                 // part of its worth that a try sent on beyond the quota costs
-	CeilingRate      float64 `json:"ceiling_rate" toml:"ceiling_rate"`           // units a second that fill the hard ceiling's bucket; 0: no ceiling
-	CeilingBurst     float64 `json:"ceiling_burst" toml:"ceiling_burst"`         // the most units that this bucket holds
-	CeilingTolerance float64 `json:"ceiling_tolerance" toml:"ceiling_tolerance"` // how far that bucket may go below 0
+	Rate             float64 `json:"rate" toml:"rate"`                           // units per second that refill the token bucket; 0: no quota
+	Burst            float64 `json:"burst" toml:"burst"`                         // capacity of the token bucket, in units
+	Open             int     `json:"open" toml:"open"`                           // max attempts in flight; 0: no such quota
+	Price            float64 `json:"price" toml:"price"`                         // multiplier of a request's worth
+	OverCost         float64 `json:"over_cost" toml:"over_cost"`                 // share of the worth that an attempt beyond the quota costs
+	CeilingRate      float64 `json:"ceiling_rate" toml:"ceiling_rate"`           // refill of the hard limit's bucket; 0: none
+	CeilingBurst     float64 `json:"ceiling_burst" toml:"ceiling_burst"`         // capacity of that bucket, in units
+	CeilingTolerance float64 `json:"ceiling_tolerance" toml:"ceiling_tolerance"` // how far the level of that bucket may go below 0
 }
 
 // The names of limits.
 const (
-	LimitAttempts   = "attempts"       // attempts that a request may have, 1 to 4
-	LimitUnits      = "units"          // the most units that one request counts
-	LimitRetryAfter = "retry_after_ms" // the longest advice when to come back; 0: none is given
+	LimitAttempts   = "attempts"       // max attempts per request, 1 to 4
+	LimitUnits      = "units"          // max units that one request counts
+	LimitRetryAfter = "retry_after_ms" // max retry delay that a rejected client is given; 0: none is given
 )
 
-// Limit is a bound that every ingress keeps.
+// Limit is a limit that every ingress applies.
 type Limit struct {
 	Value float64 `json:"value" toml:"value"`
 }
 
-// Service is what requests are for.
+// Service is a service that requests are sent to.
 type Service struct {
-	Zones  []string `json:"zones,omitempty" toml:"zones"`   // where it runs; none: everywhere
-	AimMS  int      `json:"aim_ms,omitempty" toml:"aim_ms"` // an answer within this earns its full worth
-	Weight float64  `json:"weight,omitempty" toml:"weight"` // its part of the backends it shares; 0: 1
-	Owner  string   `json:"owner,omitempty" toml:"owner"`   // whom to ask
-	Labels []string `json:"labels,omitempty" toml:"labels"` // for the operators
+	Zones  []string `json:"zones,omitempty" toml:"zones"`   // zones where it runs; none: everywhere
+	AimMS  int      `json:"aim_ms,omitempty" toml:"aim_ms"` // response time in ms up to which a response counts its full worth
+	Weight float64  `json:"weight,omitempty" toml:"weight"` // its share of the backends that it shares with others; 0: 1
+	Owner  string   `json:"owner,omitempty" toml:"owner"`   // contact
+	Labels []string `json:"labels,omitempty" toml:"labels"` // free text for operators
 }
 
-// Route tells which requests are for which service.
+// Route selects the requests that go to a service.
 type Route struct {
 	Service string `json:"service" toml:"service"`
-	Class   string `json:"class,omitempty" toml:"class"`     // of requests; empty: all
+	Class   string `json:"class,omitempty" toml:"class"`     // request class; empty: all
 	Prefix  string `json:"prefix" toml:"prefix"`             // of the customer's hexadecimal number, or of a path
-	Percent int    `json:"percent,omitempty" toml:"percent"` // of those that match; 0: all
+	Percent int    `json:"percent,omitempty" toml:"percent"` // share of the matching requests; 0: all
 }
 
-// Encode writes a value as the data of a resource.
+// Encode encodes a value as the data of a resource.
 func Encode(v any) (json.RawMessage, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -180,11 +182,11 @@
 	return b, nil
 }
 
-// decode reads the data of a resource; what its type does not have is a fault.
-func decode(r Resource, to any) error {
+// decode decodes the data of a resource; unknown fields are an error.
+func decode(r Resource, value any) error {
 	d := json.NewDecoder(bytes.NewReader(r.Data))
 	d.DisallowUnknownFields()
-	if err := d.Decode(to); err != nil {
+	if err := d.Decode(value); err != nil {
 		return err
 	}
 	if _, err := d.Token(); err != io.EOF {
@@ -193,19 +195,20 @@
 	return nil
 }
 
-// Plan reads a plan.
+// Plan decodes the resource as a plan.
 func (r Resource) Plan() (p Plan, err error) { err = decode(r, &p); return p, err }
 
-// Limit reads a limit.
+// Limit decodes the resource as a limit.
 func (r Resource) Limit() (l Limit, err error) { err = decode(r, &l); return l, err }
 
-// Service reads a service.
+// Service decodes the resource as a service.
 func (r Resource) Service() (s Service, err error) { err = decode(r, &s); return s, err }
 
-// Route reads a route.
+// Route decodes the resource as a route.
 func (r Resource) Route() (o Route, err error) { err = decode(r, &o); return o, err }
 
-// check tells what is wrong with a resource by itself; "" for nothing.
+// check reports what is wrong with a resource by itself; "" if nothing. The texts of
+// the checks are stored in outcomes, which must be the same at each coordinator.
 func (r Resource) check() string {
 	kind, name := r.Key.Split()
 	if name == "" || len(name) > maxNameLength || strings.ContainsFunc(name, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
@@ -214,26 +217,26 @@
 	if r.size() > MaxResourceBytes {
 		return fmt.Sprintf("%d bytes, %d at most", r.size(), MaxResourceBytes)
 	}
-	to := newValue(kind)
-	if to == nil {
+	decoded := newValue(kind)
+	if decoded == nil {
 		return fmt.Sprintf("there is no kind %q", kind)
 	}
-	if err := decode(r, to); err != nil {
+	if err := decode(r, decoded); err != nil {
 		return err.Error()
 	}
-	if again, err := Encode(to); err != nil || !bytes.Equal(again, r.Data) {
-		return "it is not written as it has to be" // one hash a meaning
+	if encoded, err := Encode(decoded); err != nil || !bytes.Equal(encoded, r.Data) {
+		return "it is not written as it has to be" // each value must have one encoding only, and so one hash
 	}
-	return to.check(name)
+	return decoded.check(name)
 }
 
-// value is what a resource of one kind holds.
+// value is the decoded data of a resource.
 type value interface {
-	// check tells what is wrong with the value under its name; "" for nothing.
+	// check reports what is wrong with the value under its name; "" if nothing.
 	check(name string) string
 }
 
-// newValue makes an empty value of a kind, nil for one that there is not.
+// newValue returns an empty value of a kind, nil if the kind is unknown.
 func newValue(kind string) value {
 	switch kind {
 	case KindPlan:
@@ -249,7 +252,8 @@
 }
 
 func (v *Plan) check(string) string {
-	// In this order always: what is said stands in the log's outcome, the same at each coordinator.
+	// The order is fixed: the message is stored in the outcome, which must be the same at each
+	// coordinator.
 	for _, f := range []struct {
 		name  string
 		value float64
@@ -291,7 +295,8 @@
 	return ""
 }
 
-// Check tells the first fault of a set in the order of its keys, as a *Refused, or nil.
+// Check reports the first invalid resource of a set in key order, as a *Refused, or that the set
+// is too large, as a *TooLarge.
 func (s Set) Check() error {
 	if len(s) > MaxResources || s.Size() > MaxStateBytes {
 		return &TooLarge{Resources: len(s), Bytes: s.Size()}
@@ -311,14 +316,14 @@
 			if err := decode(r, &route); err != nil {
 				return refuse("%v", err)
 			}
-			if _, there := s[KeyOf(KindService, route.Service)]; !there {
+			if _, ok := s[KeyOf(KindService, route.Service)]; !ok {
 				return refuse("there is no service %q", route.Service)
 			}
 			match := [2]string{route.Class, route.Prefix}
 			if other, taken := matches[match]; taken && route.Percent == 0 {
 				return refuse("%s takes all of the same requests", other)
 			}
-			if route.Percent == 0 { // beside it others may take a part of them
+			if route.Percent == 0 { // routes with a percentage may match the same requests
 				matches[match] = k
 			}
 		}
