--- a/internal/configfile/configfile.go
+++ b/internal/configfile/configfile.go
@@ -1,4 +1,4 @@
-// Package configfile reads and writes the operators' file of configuration
+// Package configfile reads and writes the operators' configuration file
 // (deploy/configuration.toml): plans, limits, services and routes as tables.
 package configfile
 
@@ -14,10 +14,10 @@
 	"wickarch/internal/tomlfile"
 )
 
-// mostFile bounds a file, in bytes: more than the text of the largest version.
+// maxFileBytes is the max size of a file: more than the text of the largest version.
 const maxFileBytes = 4 * distribution.MaxStateBytes
 
-// file is the text of a file.
+// document is the decoded file.
 type document struct {
 	Plan    map[string]distribution.Plan    `toml:"plan"`
 	Limit   map[string]float64              `toml:"limit"`
@@ -26,7 +26,7 @@
 }
 
 // Load reads a file. The error is a *distribution.TooLarge, a *distribution.Refused with the
-// line, or all faults of the text, each with its line.
+// line, or all errors of the text, each with its line.
 func Load(path string) (distribution.Set, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return set, errors.Join(faults...)
 }
 
-// Parse reads the text of a file; each fault begins with its line, or is a
-// *distribution.Refused that tells it.
+// Parse parses the text of a file. Each error begins with its line, or is a
+// *distribution.Refused or *distribution.TooLarge.
 func Parse(text string) (distribution.Set, []error) {
 	var f document
 	read, faults := tomlfile.Decode(text, &f)
@@ -93,7 +93,7 @@
 	return set, nil
 }
 
-// Text writes a set as a file.
+// Format encodes a set as the text of a file.
 func Format(set distribution.Set) ([]byte, error) {
 	f := document{map[string]distribution.Plan{}, map[string]float64{}, map[string]distribution.Service{}, map[string]distribution.Route{}}
 	for _, r := range set {
--- a/internal/follower/errors.go
+++ b/internal/follower/errors.go
@@ -6,12 +6,12 @@
 	"wickarch/distribution"
 )
 
-// Faults lists one of each error of this package.
+// Faults returns one of each error type of this package.
 func Faults() []distribution.Fault {
 	return []distribution.Fault{&DiskFailed{}, &DiskDamaged{}, &FollowsAlready{}}
 }
 
-// DiskFailed tells that what is in force could not be kept.
+// DiskFailed reports that a configuration could not be stored.
 type DiskFailed struct {
 	Path string
 	Err  error
@@ -19,12 +19,12 @@
 
 func (e *DiskFailed) Error() string { return fmt.Sprintf("%s can't be written: %v", e.Path, e.Err) }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *DiskFailed) Remedy() string {
-	return "make room on the disk or mend it; until then the ingress follows all the same, and a restart asks for the whole again"
+	return "free space on the disk or repair it; until then the ingress keeps following, but requests the full state after a restart"
 }
 
-// DiskDamaged tells that what was kept can't be read.
+// DiskDamaged reports that the stored configuration can't be read.
 type DiskDamaged struct {
 	Path string
 	Why  string
@@ -32,17 +32,17 @@
 
 func (e *DiskDamaged) Error() string { return fmt.Sprintf("%s is damaged: %s", e.Path, e.Why) }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *DiskDamaged) Remedy() string {
-	return "nothing while a coordinator answers: it was put aside (.damaged) and the whole is asked for; check the disk if it comes again"
+	return "nothing while a coordinator answers: the file was moved aside (.damaged) and the full state is requested; check the disk if the error recurs"
 }
 
-// FollowsAlready tells that another process follows with the same folder.
+// FollowsAlready reports that another process uses the same folder.
 type FollowsAlready struct{ Path string }
 
 func (e *FollowsAlready) Error() string { return fmt.Sprintf("%s is held by another process", e.Path) }
 
-// Remedy says what an operator can do.
+// Remedy tells operators how to resolve the error.
 func (e *FollowsAlready) Remedy() string {
-	return "give each ingress a folder of its own; where one takes over from another, it keeps nothing until the next start"
+	return "give each ingress a folder of its own; a process that takes over from another stores nothing until its next start"
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,5 +1,6 @@
-// Package follower runs distribution.Follower in an ingress: the way to the coordinators,
-// a folder on disk, a clock. All decisions are in distribution; here one goroutine owns them.
+// Package follower runs a distribution.Follower in an ingress. It adds the connection to the
+// coordinators, storage on disk and a clock. All decisions are made in package distribution; one
+// goroutine here owns that state.
 package follower
 
 import (
@@ -15,20 +16,21 @@
 	"wickarch/rollout"
 )
 
-// alone is how long no coordinator has answered before the log tells.
+// maxSilence is how long no coordinator may answer before that is logged.
 const maxSilence = 3 * time.Second
 
-// Ingress is what decides by configuration.
+// Ingress uses the configuration.
 type Ingress interface {
-	// CheckConfig tells why resources that are new or have changed can't be used, as a
-	// *distribution.Refused where it is for one of them. It has no effects.
+	// CheckConfig reports why new or changed resources can't be used, as a *distribution.Refused
+	// if one of them is the cause. It has no side effects.
 	CheckConfig(changed []distribution.Resource) error
-	// Configure decides by it from when it returns. It has been checked. The error, if there
-	// is one all the same, is told; what was in force stays.
+	// Configure activates a configuration that has passed CheckConfig: it is used from when
+	// Configure returns. If it fails all the same, the error is reported and the configuration
+	// before stays active.
 	Configure(*distribution.ActiveConfig) error
 }
 
-// Follower is one.
+// Follower keeps the configuration of an ingress up to date.
 type Follower struct {
 	cfg          Config
 	log          *slog.Logger
@@ -38,44 +40,46 @@
 	http         *http.Client
 	startedAt    time.Time
 	events       chan func()
-	disconnected bool   // no coordinator answers, as last told
-	lastWarning  string // what was wrong, as last told: the same is told once until a version is in force
+	disconnected bool   // the log last said that no coordinator answers
+	lastWarning  string // the last warning logged: it is not repeated until another version is activated
 }
 
-// New reads what is kept, has the ingress, which does not run yet, decide by it, and returns
-// before any coordinator was asked. What is wrong with the folder is told in the log, and to the coordinators.
+// New reads the stored configuration, activates it in the ingress, which does not run yet, and
+// returns before any coordinator is polled. Errors of the folder are logged and reported to the
+// coordinators.
 func New(cfg Config, ingress Ingress, log *slog.Logger) *Follower {
 	return NewWithClient(cfg, ingress, log, rolloutlink.NewHTTP(cfg.PollTimeout()))
 }
 
-// NewWith is New with a client of the caller's own.
+// NewWithClient is New with an HTTP client of the caller.
 func NewWithClient(cfg Config, ingress Ingress, log *slog.Logger, client *http.Client) *Follower {
-	f := &Follower{cfg: cfg, log: log.With("follower", cfg.Name), ingress: ingress, http: client, startedAt: time.Now(), events: make(chan func(), 1)}
-	store, kept, err := openStore(cfg.Dir)
+	f := &Follower{cfg: cfg, log: log.With("follower", cfg.Name), ingress: ingress, http: client,
+		startedAt: time.Now(), events: make(chan func(), 1)}
+	store, stored, err := openStore(cfg.Dir)
 	if err != nil {
-		f.warn("nothing is read of what was kept", err)
+		f.warn("reading the stored configuration failed", err)
 	}
 	f.store = store
-	life := uint64(f.startedAt.UnixNano())
-	decides := distribution.FollowerConfig{Name: cfg.Name, Region: cfg.Region, Incarnation: life, Coordinators: len(cfg.Coordinators),
+	incarnation := uint64(f.startedAt.UnixNano())
+	config := distribution.FollowerConfig{Name: cfg.Name, Region: cfg.Region, Incarnation: incarnation, Coordinators: len(cfg.Coordinators),
 		PollTimeout: cfg.PollTimeout(), Check: ingress.CheckConfig}
-	if f.core, err = distribution.NewFollower(decides, kept, life, 0); err != nil {
-		f.warn("what was kept is not used", err)
+	if f.core, err = distribution.NewFollower(config, stored, incarnation, 0); err != nil {
+		f.warn("the stored configuration is not used", err)
 	}
-	if u := f.core.Active(); u.Version > 0 {
-		if err := ingress.Configure(u); err != nil {
-			f.warn("what was kept is not used", err)
-			f.core, _ = distribution.NewFollower(decides, nil, life, 0) // with nothing kept there is nothing to refuse
+	if active := f.core.Active(); active.Version > 0 {
+		if err := ingress.Configure(active); err != nil {
+			f.warn("the stored configuration is not used", err)
+			f.core, _ = distribution.NewFollower(config, nil, incarnation, 0) // can't fail without a stored configuration
 		} else {
-			f.log.Info("configured by what was kept", "in_force", u.Describe())
+			f.log.Info("configured by what was kept", "in_force", active.Describe())
 		}
 	}
 	return f
 }
 
-// tell tells in the log what is wrong, when it is not what was told last.
-func (f *Follower) warn(what string, err error) {
-	text := what + ": " + err.Error()
+// warn logs a warning, unless it is the same as the last one.
+func (f *Follower) warn(message string, err error) {
+	text := message + ": " + err.Error()
 	if text == f.lastWarning {
 		return
 	}
@@ -85,12 +89,12 @@
 	if errors.As(err, &fault) {
 		args = append(args, "remedy", fault.Remedy())
 	}
-	f.log.Warn(what, args...)
+	f.log.Warn(message, args...)
 }
 
 func (f *Follower) now() time.Duration { return time.Since(f.startedAt) }
 
-// Run follows until ctx ends, for the ingress as it runs.
+// Run keeps the running ingress up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context, ingress Ingress) {
 	f.ingress = ingress
 	defer f.store.close()
@@ -98,17 +102,17 @@
 	for {
 		var due <-chan time.Time
 		var timer *time.Timer
-		if at, any := f.core.Next(); any {
+		if at, ok := f.core.Next(); ok {
 			timer = time.NewTimer(at - f.now())
 			due = timer.C
 		}
 		select {
 		case <-ctx.Done():
-		case take := <-f.events:
-			take()
+		case handle := <-f.events:
+			handle()
 		case <-due:
-			if ask := f.core.Tick(f.now()); ask != nil {
-				go f.poll(ctx, *ask)
+			if request := f.core.Tick(f.now()); request != nil {
+				go f.poll(ctx, *request)
 			}
 		}
 		if timer != nil {
@@ -120,66 +124,67 @@
 		if silent := f.now() - f.core.LastReply(); silent > maxSilence && !f.disconnected {
 			f.disconnected = true
 			u := f.core.Active()
-			f.log.Warn("no coordinator answers, and what is in force stays", "in_force", u.Describe(), "since", f.startedAt.Add(f.core.LastReply()))
+			f.log.Warn("no coordinator answers; the active configuration stays in use", "in_force", u.Describe(), "since", f.startedAt.Add(f.core.LastReply()))
 		}
 	}
 }
 
-// ask carries one question, and hands what comes of it to the follower's goroutine.
-func (f *Follower) poll(ctx context.Context, poll distribution.PollRequest) {
-	call, cancel := context.WithTimeout(ctx, f.cfg.PollTimeout())
+// poll sends one poll, and passes its result to the follower's goroutine.
+func (f *Follower) poll(ctx context.Context, request distribution.PollRequest) {
+	callCtx, cancel := context.WithTimeout(ctx, f.cfg.PollTimeout())
 	defer cancel()
 	var reply distribution.Reply
-	leader, err := rolloutlink.Call(call, f.http, http.MethodPost, f.cfg.Coordinators[poll.Coordinator], rolloutlink.PathConfigPoll, poll.Poll, &reply, rolloutlink.MostConfig)
-	take := func() { f.handleReply(poll, reply) }
+	leader, err := rolloutlink.Call(callCtx, f.http, http.MethodPost, f.cfg.Coordinators[request.Coordinator],
+		rolloutlink.PathConfigPoll, request.Poll, &reply, rolloutlink.MostConfig)
+	handle := func() { f.handleReply(request, reply) }
 	if err != nil {
-		take = func() { f.handleFailure(poll, leader, err) }
+		handle = func() { f.handleFailure(request, leader, err) }
 	}
 	select {
-	case f.events <- take:
+	case f.events <- handle:
 	case <-ctx.Done():
 	}
 }
 
-func (f *Follower) handleFailure(ask distribution.PollRequest, leader string, err error) {
+func (f *Follower) handleFailure(request distribution.PollRequest, leader string, err error) {
 	var remote *rollout.RemoteError
 	if errors.As(err, &remote) && remote.Kind != "NotLeader" {
-		f.warn("a coordinator does not answer the question", remote)
+		f.warn("a coordinator rejected the poll", remote)
 	}
-	f.core.Failed(f.now(), ask.Poll.Number, slices.Index(f.cfg.Coordinators, leader))
+	f.core.Failed(f.now(), request.Poll.Number, slices.Index(f.cfg.Coordinators, leader))
 }
 
-func (f *Follower) handleReply(ask distribution.PollRequest, reply distribution.Reply) {
-	before := f.core.Active()
-	was := before.Version
-	save, err := f.core.Replied(f.now(), ask.Poll.Number, reply)
+func (f *Follower) handleReply(request distribution.PollRequest, reply distribution.Reply) {
+	previous := f.core.Active()
+	oldVersion := previous.Version
+	update, err := f.core.Replied(f.now(), request.Poll.Number, reply)
 	if f.disconnected && f.core.LastReply() > f.now()-maxSilence {
 		f.disconnected = false
 		f.log.Info("a coordinator answers again", "newest", reply.Newest)
 	}
 	if err != nil {
-		f.warn("a version is not taken", err)
+		f.warn("a version was rejected", err)
 		return
 	}
-	if save == nil {
+	if update == nil {
 		return
 	}
-	kept := f.store.save(save)
-	if kept != nil {
-		f.warn("what is in force is not kept", kept)
+	storeErr := f.store.save(update)
+	if storeErr != nil {
+		f.warn("a version could not be stored", storeErr)
 	}
-	use := f.core.Saved(f.now(), kept)
-	if use == nil {
+	active := f.core.Saved(f.now(), storeErr)
+	if active == nil {
 		return
 	}
-	if err := f.ingress.Configure(use); err != nil {
-		f.log.Error("a version that was checked can't be used", "version", use.Version, "error", err)
+	if err := f.ingress.Configure(active); err != nil {
+		f.log.Error("activating a version failed although it had passed the check", "version", active.Version, "error", err)
 		f.core.ActivationFailed(f.now(), err)
 		return
 	}
 	f.core.Activated(f.now())
-	if use.Version != was {
+	if active.Version != oldVersion {
 		f.lastWarning = ""
-		f.log.Info("in force", "version", use.Version, "before", was, "settled", use.Settled)
+		f.log.Info("version activated", "version", active.Version, "before", oldVersion, "settled", active.Settled)
 	}
 }
--- a/internal/follower/store.go
+++ b/internal/follower/store.go
@@ -15,15 +15,15 @@
 	"wickarch/internal/checksum"
 )
 
-// store keeps what is in force in one bbolt file: each write is whole or not at all, and
-// synced before it returns. Each value stands behind its checksum (CRC-32C), and all
-// together are held against the version's hash when they are read. bbolt takes its older
-// head page where the newer one is damaged: then an older version is read, whole, and what
-// is newer is asked for.
+// store persists the active configuration in one bbolt file. Each write is atomic, and synced
+// before it returns. Each value is preceded by its checksum (CRC-32C), and all of them together
+// are verified against the version's hash when they are read. If bbolt's newer meta page is
+// damaged, bbolt uses the older one: then an older, complete version is read, and the newer one
+// is requested from the coordinators.
 type store struct {
 	path        string
-	db          *bbolt.DB // nil where the folder can't be used
-	unusableErr error     // then
+	db          *bbolt.DB // nil if the folder can't be used
+	unusableErr error     // why db is nil
 }
 
 var (
@@ -34,11 +34,11 @@
 
 const (
 	fileName     = "config.db"
-	lockTimeout  = 200 * time.Millisecond // for another process that holds the file
-	maxFileBytes = 64 << 20               // bytes: a file that is larger is none of ours
+	lockTimeout  = 200 * time.Millisecond // for the lock on the file, which another process may hold
+	maxFileBytes = 64 << 20               // no file of this package is larger
 )
 
-// head is what is kept beside the resources.
+// header is what is stored besides the resources.
 type header struct {
 	Version       uint64                          `json:"version"`
 	Hash          distribution.Hash               `json:"hash"`
@@ -46,42 +46,42 @@
 	PreviousPlans []distribution.PreviousResource `json:"before,omitempty"`
 }
 
-// openStore opens a folder and reads what it keeps, nil for nothing. With a store that can't
-// be used comes the reason; it works all the same and keeps nothing.
-func openStore(dir string) (s *store, kept *distribution.StoredConfig, err error) {
+// openStore opens a folder and reads the stored configuration, nil if there is none. If the folder
+// can't be used, it returns the reason and a store whose save fails with that reason.
+func openStore(dir string) (s *store, stored *distribution.StoredConfig, err error) {
 	s = &store{path: filepath.Join(dir, fileName)}
 	if err = os.MkdirAll(dir, 0o700); err != nil {
 		return s, nil, s.disable(&DiskFailed{dir, err})
 	}
-	kept, err = s.open()
+	stored, err = s.open()
 	var damaged *DiskDamaged
-	if errors.As(err, &damaged) { // put aside, in place of one that was before
-		if moved := os.Rename(s.path, s.path+".damaged"); moved != nil {
-			return s, nil, s.disable(&DiskFailed{s.path, moved})
+	if errors.As(err, &damaged) { // move the file aside, replacing an earlier damaged one
+		if renameErr := os.Rename(s.path, s.path+".damaged"); renameErr != nil {
+			return s, nil, s.disable(&DiskFailed{s.path, renameErr})
 		}
-		if _, again := s.open(); again != nil {
-			err = s.disable(again)
+		if _, openErr := s.open(); openErr != nil {
+			err = s.disable(openErr)
 		}
 		return s, nil, err
 	}
 	if err != nil {
 		return s, nil, s.disable(err)
 	}
-	return s, kept, nil
+	return s, stored, nil
 }
 
-func (s *store) disable(why error) error {
-	s.unusableErr = why
+func (s *store) disable(err error) error {
+	s.unusableErr = err
 	if s.db != nil {
 		_ = s.db.Close()
 		s.db = nil
 	}
-	return why
+	return err
 }
 
-func (s *store) open() (kept *distribution.StoredConfig, err error) {
+func (s *store) open() (stored *distribution.StoredConfig, err error) {
 	defer func() {
-		if p := recover(); p != nil { // as bbolt does on pages that make no sense
+		if p := recover(); p != nil { // bbolt panics on malformed pages
 			err = &DiskDamaged{s.path, fmt.Sprint(p)}
 		}
 		if err != nil && s.db != nil {
@@ -89,8 +89,8 @@
 			s.db = nil
 		}
 	}()
-	// bbolt makes a file with four pages.
-	if info, missing := os.Stat(s.path); missing == nil && (info.Size() > maxFileBytes || info.Size() > 0 && info.Size() < int64(4*os.Getpagesize())) {
+	// bbolt creates a file of four pages.
+	if info, statErr := os.Stat(s.path); statErr == nil && (info.Size() > maxFileBytes || info.Size() > 0 && info.Size() < int64(4*os.Getpagesize())) {
 		return nil, &DiskDamaged{s.path, fmt.Sprintf("%d bytes", info.Size())}
 	}
 	s.db, err = bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: lockTimeout})
@@ -103,23 +103,23 @@
 		return nil, &DiskFailed{s.path, err}
 	}
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		kept, err = s.read(tx)
+		stored, err = s.read(tx)
 		return err
 	})
-	return kept, err
+	return stored, err
 }
 
-// read reads the version that is kept, nil for none.
+// read reads the stored version, nil if there is none.
 func (s *store) read(tx *bbolt.Tx) (*distribution.StoredConfig, error) {
-	at := tx.Bucket(bucketHeader)
-	if at == nil {
+	headerBucket := tx.Bucket(bucketHeader)
+	if headerBucket == nil {
 		return nil, nil
 	}
 	var h header
-	if err := unseal(at.Get(keyHeader), &h); err != nil {
+	if err := unseal(headerBucket.Get(keyHeader), &h); err != nil {
 		return nil, &DiskDamaged{s.path, err.Error()}
 	}
-	kept := &distribution.StoredConfig{State: distribution.State{Version: h.Version, Hash: h.Hash}, Settled: h.Settled, PreviousPlans: h.PreviousPlans}
+	stored := &distribution.StoredConfig{State: distribution.State{Version: h.Version, Hash: h.Hash}, Settled: h.Settled, PreviousPlans: h.PreviousPlans}
 	resources := tx.Bucket(bucketResources)
 	if resources == nil {
 		return nil, &DiskDamaged{s.path, "no resources"}
@@ -129,14 +129,14 @@
 		if err := unseal(v, &r); err != nil || string(r.Key) != string(k) {
 			return &DiskDamaged{s.path, fmt.Sprintf("resource %q: %v", k, err)}
 		}
-		kept.Resources = append(kept.Resources, r)
+		stored.Resources = append(stored.Resources, r)
 		return nil
 	})
-	return kept, err
+	return stored, err
 }
 
-// save keeps one version in the place of the one before.
-func (s *store) save(what *distribution.StoreUpdate) (err error) {
+// save replaces the stored version by the update's.
+func (s *store) save(update *distribution.StoreUpdate) (err error) {
 	if s.db == nil {
 		return s.unusableErr
 	}
@@ -145,15 +145,15 @@
 			err = s.disable(&DiskDamaged{s.path, fmt.Sprint(p)})
 		}
 	}()
-	if err = s.db.Update(func(tx *bbolt.Tx) error { return write(tx, what) }); err != nil {
+	if err = s.db.Update(func(tx *bbolt.Tx) error { return write(tx, update) }); err != nil {
 		return &DiskFailed{s.path, err}
 	}
 	return nil
 }
 
-// write writes one version in the place of the one before.
-func write(tx *bbolt.Tx, what *distribution.StoreUpdate) error {
-	if what.Full && tx.Bucket(bucketResources) != nil {
+// write applies an update within a transaction.
+func write(tx *bbolt.Tx, update *distribution.StoreUpdate) error {
+	if update.Full && tx.Bucket(bucketResources) != nil {
 		if err := tx.DeleteBucket(bucketResources); err != nil {
 			return err
 		}
@@ -162,24 +162,24 @@
 	if err != nil {
 		return err
 	}
-	for _, k := range what.Delete {
+	for _, k := range update.Delete {
 		if err = resources.Delete([]byte(k)); err != nil {
 			return err
 		}
 	}
-	for _, r := range what.Set {
+	for _, r := range update.Set {
 		if err = putSealed(resources, []byte(r.Key), r); err != nil {
 			return err
 		}
 	}
-	at, err := tx.CreateBucketIfNotExists(bucketHeader)
+	headerBucket, err := tx.CreateBucketIfNotExists(bucketHeader)
 	if err != nil {
 		return err
 	}
-	return putSealed(at, keyHeader, header{what.Version, what.Hash, what.Settled, what.PreviousPlans})
+	return putSealed(headerBucket, keyHeader, header{update.Version, update.Hash, update.Settled, update.PreviousPlans})
 }
 
-// putSealed writes a value behind its checksum under a key.
+// putSealed stores a value with its checksum under a key.
 func putSealed(bucket *bbolt.Bucket, key []byte, value any) error {
 	v, err := seal(value)
 	if err != nil {
@@ -194,9 +194,9 @@
 	}
 }
 
-// seal writes a value behind its checksum.
-func seal(v any) ([]byte, error) {
-	b, err := json.Marshal(v)
+// seal encodes a value and puts its checksum in front.
+func seal(value any) ([]byte, error) {
+	b, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
@@ -205,10 +205,11 @@
 
 var errChecksum = errors.New("the checksum is wrong")
 
-func unseal(b []byte, to any) error {
+// unseal verifies the checksum of an encoded value and decodes it.
+func unseal(b []byte, value any) error {
 	data, ok := checksum.Open(b)
 	if !ok {
 		return errChecksum
 	}
-	return json.Unmarshal(data, to)
+	return json.Unmarshal(data, value)
 }
