--- a/distribution/cases_test.go
+++ b/distribution/cases_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// rig is a log with one catalog, for tests that go event by event.
+// testLog applies entries to one catalog, for tests that proceed event by event.
 type testLog struct {
 	t       *testing.T
 	catalog *Catalog
@@ -28,21 +28,21 @@
 	}
 }
 
-// pushOf is the entry that sets resources on top of the newest version.
+// pushOf returns the entry that sets resources on top of the newest version.
 func (g *testLog) pushOf(set ...Resource) Entry {
 	return Entry{Push: &Push{Base: g.catalog.Version, Set: set, Hash: g.catalog.Set().with(set, nil).Sum()}}
 }
 
 func (g *testLog) push(rate float64) { g.t.Helper(); g.mustApply(g.pushOf(planOf(g.t, "gold", rate))) }
 
-// publisher begins a term; those who ask are in the log.
+// publisher begins a term, with the named followers in the log.
 func (g *testLog) publisher(now time.Duration, names ...string) *Publisher {
 	g.t.Helper()
 	for _, n := range names {
 		g.mustApply(Entry{Join: &Join{map[string]string{n: "r"}}})
 	}
 	timing := DefaultTiming()
-	timing.MaxStaleness = 0 // its own test has it
+	timing.MaxStaleness = 0 // covered by a test of its own
 	return NewPublisher(timing, g.catalog, now)
 }
 
@@ -55,17 +55,17 @@
 	return f
 }
 
-// ask is the next question of a follower.
+// nextPoll returns the next poll of a follower, which must be due.
 func nextPoll(t *testing.T, f *Follower, now time.Duration) Poll {
 	t.Helper()
 	a := f.Tick(now)
 	if a == nil {
-		t.Fatal("no question is due")
+		t.Fatal("no poll is due")
 	}
 	return a.Poll
 }
 
-// exchange asks and takes the reply, keeps and uses it.
+// exchangePoll sends the next poll of a follower, delivers the reply, and stores and activates it.
 func exchangePoll(t *testing.T, f *Follower, p *Publisher, now time.Duration) (Reply, error) {
 	t.Helper()
 	q := nextPoll(t, f, now)
@@ -80,7 +80,7 @@
 	return r, deliver(f, now, q.Number, r)
 }
 
-// mustExchange is exchange where the follower has to take the reply.
+// mustExchangePoll is exchangePoll where the follower must accept the reply.
 func mustExchangePoll(t *testing.T, f *Follower, p *Publisher, now time.Duration) {
 	t.Helper()
 	if _, err := exchangePoll(t, f, p, now); err != nil {
@@ -88,6 +88,7 @@
 	}
 }
 
+// deliver hands a reply to a follower, and stores and activates what comes of it.
 func deliver(f *Follower, now time.Duration, number uint64, r Reply) error {
 	save, err := f.Replied(now, number, r)
 	if save != nil {
@@ -110,10 +111,12 @@
 	return p.CeilingRate
 }
 
-// as tells whether an error is of a kind.
+// isError reports whether an error is of type E.
 func isError[E error](err error) bool { var e E; return errors.As(err, &e) }
 
-func TestDifferenceIsTakenOnceOnItsOwnBaseAlone(t *testing.T) {
+// A difference that is late, repeated, for another base or of wrong content must not be applied:
+// the follower would have a state that no version has.
+func TestDifferenceAppliesOnceAndToItsBaseOnly(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0, "a")
 	g.push(1)
@@ -125,23 +128,23 @@
 	if r2.Difference == nil || r2.Difference.Base != 1 {
 		t.Fatalf("%+v, want the difference from 1", r2)
 	}
-	// Lost: the next question gets it again, and the late one counts no more.
+	// Lost: the next poll gets it again, and the late reply is ignored.
 	f.Failed(2*time.Second, q.Number, -1)
 	q3 := nextPoll(t, f, 4*time.Second)
 	if err := deliver(f, 4*time.Second, q.Number, r2); err != nil || f.Active().Version != 1 {
-		t.Fatalf("a reply that was given up is taken: %v, version %d", err, f.Active().Version)
+		t.Fatalf("a reply to a timed-out poll is accepted: %v, version %d", err, f.Active().Version)
 	}
 	r3, _, _ := p.Poll(4*time.Second, q3)
 	if err := deliver(f, 4*time.Second, q3.Number, r3); err != nil || f.Active().Version != 2 {
 		t.Fatal(err, f.Active().Version)
 	}
-	// Repeated to another question: it is for another base.
+	// Repeated to another poll: it is for another base.
 	g.push(3)
 	q4 := nextPoll(t, f, 5*time.Second)
 	if err := deliver(f, 5*time.Second, q4.Number, r2); !isError[*WrongBase](err) || f.Active().Version != 2 {
 		t.Fatalf("%v, version %d", err, f.Active().Version)
 	}
-	// Of the same version with another hash.
+	// For the same base version with another hash.
 	q5 := nextPoll(t, f, 6*time.Second)
 	r5, _, _ := p.Poll(6*time.Second, q5)
 	other := *r5.Difference
@@ -149,7 +152,7 @@
 	if err := deliver(f, 6*time.Second, q5.Number, Reply{Difference: &other}); !isError[*WrongBase](err) {
 		t.Fatal(err)
 	}
-	// With content that is not what its hash says: the whole is asked for.
+	// With content that does not match its hash: the full state is requested.
 	q6 := nextPoll(t, f, 7*time.Second)
 	other = *r5.Difference
 	other.Set = []Resource{planOf(t, "gold", 9)}
@@ -161,14 +164,15 @@
 	}
 }
 
-func TestWholeStateIsTakenByItsHashAndNeverBack(t *testing.T) {
+// A full state that is older than the active one, or does not match its hash, must be rejected.
+func TestFullStateIsVerifiedAndNeverOlder(t *testing.T) {
 	g := newTestLog(t)
 	g.push(1)
 	old := storedConfigOf(g.catalog).State
 	g.push(2)
 	f := g.follower("a", storedConfigOf(g.catalog))
 	if err := deliver(f, 0, nextPoll(t, f, 0).Number, Reply{State: &old, Settled: 1}); err != nil || f.Active().Version != 2 {
-		t.Fatalf("it goes back to version %d (%v)", f.Active().Version, err)
+		t.Fatalf("the follower goes back to version %d (%v)", f.Active().Version, err)
 	}
 	f = g.follower("b", nil)
 	bad := old
@@ -178,8 +182,9 @@
 	}
 }
 
-// A leader of before gives out versions and settlings that are behind what a follower has.
-func TestDeposedPublisherTakesNobodyBack(t *testing.T) {
+// A deposed leader still sends versions and settled versions that are older than a follower's. The
+// follower must not go back, or it would apply a raised ceiling that has not settled.
+func TestDeposedPublisherDoesNotRevertFollowers(t *testing.T) {
 	g, stale := newTestLog(t), newTestLog(t)
 	for _, rate := range []float64{200, 50, 200} {
 		g.push(rate)
@@ -192,7 +197,7 @@
 	set, _ := g.catalog.At(2)
 	hash, _ := g.catalog.hashAt(2)
 	f := g.follower("a", &StoredConfig{State: State{2, hash, set.List()}, Settled: 2})
-	// To version 3 by the one that knows no settling of 2: the ceiling of 2 holds on all the same.
+	// To version 3 from the publisher that has not settled 2: the ceiling of 2 still applies.
 	if _, err := exchangePoll(t, f, before, time.Second); err != nil || f.Active().Version != 3 || f.Active().Settled != 2 || goldRate(t, f.Active()) != 50 {
 		t.Fatalf("%v; version %d, settled %d, %v", err, f.Active().Version, f.Active().Settled, goldRate(t, f.Active()))
 	}
@@ -203,8 +208,9 @@
 	}
 }
 
-// A publisher that nobody confirms any more gives out nothing, and holds its followers' questions.
-func TestPublisherThatIsNotConfirmedGivesOutNothing(t *testing.T) {
+// A publisher whose leadership is no longer confirmed must send nothing: it may be deposed and its
+// log stale. It holds the polls of its followers.
+func TestUnconfirmedPublisherSendsNothing(t *testing.T) {
 	g := newTestLog(t)
 	g.publisher(0, "a")
 	g.push(1)
@@ -217,15 +223,17 @@
 	p.LeadershipConfirmed(3 * time.Second) // asked long ago
 	q := nextPoll(t, f, 6*time.Second)
 	if r, held, _ := p.Poll(6*time.Second, q); !held {
-		t.Fatalf("%+v is given out", r)
+		t.Fatalf("%+v is sent", r)
 	}
 	p.LeadershipConfirmed(6 * time.Second)
 	if a := p.Due(6 * time.Second); len(a) != 1 || a[0].Reply.Difference == nil {
-		t.Fatalf("%+v, want the difference from nothing", a)
+		t.Fatalf("%+v, want the difference from version 0", a)
 	}
 }
 
-func TestLateAndRepeatedQuestionsCountNothing(t *testing.T) {
+// A delayed or repeated poll reports outdated state, and a corrupt one a version that the follower
+// does not have: neither may let a version settle or halt.
+func TestDelayedAndRepeatedPollsAreRejected(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0, "a")
 	g.push(1)
@@ -242,21 +250,22 @@
 	}
 	for _, q := range []Poll{at(2, 5, 2), at(2, 4, 2), at(1, 99, 2)} {
 		if err := poll(time.Millisecond, q); !isError[*BadPoll](err) {
-			t.Errorf("life %d, question %d: %v", q.Incarnation, q.Number, err)
+			t.Errorf("incarnation %d, poll %d: %v", q.Incarnation, q.Number, err)
 		}
 	}
 	if to := p.oldestActive(); to != 1 {
-		t.Errorf("%d settles by what a late question tells, want 1", to)
+		t.Errorf("version %d settles after a delayed poll, want 1", to)
 	}
-	// Of the same life a repeated one never counts; an older life does when nobody is heard.
+	// A repeated poll of one incarnation is always rejected; an older incarnation is accepted once
+	// the lease has expired.
 	if err := poll(time.Minute, at(2, 5, 2)); !isError[*BadPoll](err) {
 		t.Error(err)
 	}
 	if err := poll(time.Minute, at(1, 1, 2)); err != nil {
 		t.Error(err)
 	}
-	// One that tells a version it never got: with another hash it blocks settling and gets the whole,
-	// ahead of the log it is told.
+	// A follower that reports a version it never got blocks settling: with another hash it gets the
+	// full state, with a version ahead of the log it is shown as ahead.
 	q := at(3, 1, 2)
 	q.Hash = h1
 	if r, _, err := p.Poll(time.Minute+time.Second, q); err != nil || r.State == nil || p.oldestActive() != 0 {
@@ -268,23 +277,25 @@
 	if s := p.Status(time.Minute + 2*time.Second).Followers[0]; s.Sync != SyncAhead {
 		t.Errorf("%+v", s)
 	}
-	// Nor does one halt version 0, or any other than the newest.
+	// A refusal can't halt version 0, or any other than the newest.
 	for i, v := range []uint64{0, 1, 9} {
 		bad := at(4, uint64(i+1), 1)
 		bad.Refused = &Halted{Version: v}
-		_ = poll(time.Minute+3*time.Second, bad) // refused or not: no version is halted
+		_ = poll(time.Minute+3*time.Second, bad) // whether this is accepted or not, no version may be halted
 		for _, e := range p.Tick(time.Minute + 3*time.Second) {
 			if e.Halt != nil {
-				t.Errorf("version %d is halted", v)
+				t.Errorf("a refusal of version %d halts it", v)
 			}
 		}
 	}
 }
 
-func TestFollowersStartByWhatTheyKept(t *testing.T) {
+// A restarted follower must get exactly what its stored configuration lacks, and the full state if
+// that is damaged.
+func TestFollowerStartsFromStoredConfig(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0, "a")
-	for i := range maxHistory { // so that nobody comes from nothing by a difference
+	for i := range maxHistory { // so that version 0 is too old for a difference
 		g.push(float64(1000 + i))
 		g.mustApply(Entry{Settle: g.catalog.Version})
 	}
@@ -322,7 +333,7 @@
 	}
 }
 
-// routes makes so many routes with data of about so many bytes each, and their service.
+// makeRoutes returns n routes with data of about the given size each, and their service.
 func makeRoutes(t *testing.T, n, bytes, percent int) []Resource {
 	t.Helper()
 	data, err := Encode(Service{Owner: "o"})
@@ -340,7 +351,9 @@
 	return all
 }
 
-func TestSizes(t *testing.T) {
+// The largest version that is allowed must be delivered. A larger one must be rejected, whether it
+// is pushed at once or step by step, or it would fill the log and the disks.
+func TestSizeLimits(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0, "a")
 	big := g.pushOf(makeRoutes(t, 2200, 900, 0)...) // 2 MB
@@ -351,7 +364,7 @@
 	f := g.follower("a", nil)
 	for now := time.Duration(0); f.Active().Version != 1; now += 100 * time.Millisecond {
 		if now > 3*time.Second {
-			t.Fatal("2 MB do not come")
+			t.Fatal("2 MB are not delivered within 3 s")
 		}
 		if _, due := f.Next(); due {
 			if f.Tick(now) == nil {
@@ -372,9 +385,9 @@
 		t.Fatal(err, f.Active().Version)
 	}
 	if f.Active().Set.Sum() != g.catalog.Hash {
-		t.Error("what is in force has another hash")
+		t.Error("the active set has another hash")
 	}
-	// 100 MB are not taken, neither before the log nor in it.
+	// 100 MB are rejected both before and within the log.
 	huge := Entry{Push: &Push{Base: 2}}
 	for i := range 6400 {
 		huge.Push.Set = append(huge.Push.Set, Resource{Key: KeyOf(KindLimit, fmt.Sprint(i)), Data: make([]byte, 16<<10)})
@@ -385,7 +398,7 @@
 	if err := g.apply(huge); !isError[*TooLarge](err) || g.catalog.Version != 2 {
 		t.Error(err, g.catalog.Version)
 	}
-	// Nor is what comes to more than that by and by.
+	// So is a push that exceeds the limit together with the resources before.
 	more := makeRoutes(t, 1400, 900, 0)[1:]
 	for i := range more {
 		more[i].Key = KeyOf(KindRoute, fmt.Sprint("more", i))
@@ -395,8 +408,9 @@
 	}
 }
 
-// Large replies to many are paced, and who waits keeps its lease.
-func TestCrowdIsPaced(t *testing.T) {
+// Large replies to many followers must keep to the rate limit. A follower that waits for one must
+// keep its lease, or versions would settle without it.
+func TestLargeRepliesAreRateLimited(t *testing.T) {
 	g := newTestLog(t)
 	const n = 96
 	var names []string
@@ -426,7 +440,7 @@
 				f.Failed(now, a.Poll.Number, -1)
 				continue
 			}
-			if r.State != nil || r.Difference != nil { // from nothing: the same
+			if r.State != nil || r.Difference != nil { // from version 0 a difference is as large as the state
 				sent++
 			}
 			if err := deliver(f, now, a.Poll.Number, r); err != nil {
@@ -438,16 +452,18 @@
 		}
 		for _, f := range p.Status(now).Followers {
 			if f.Sync == SyncSilent {
-				t.Fatalf("%s waits, and its lease runs out at %v", f.Name, now)
+				t.Fatalf("%s waits and its lease expires at %v", f.Name, now)
 			}
 		}
 	}
 	if sent != n {
-		t.Errorf("%d states went out, want one to each of %d", sent, n)
+		t.Errorf("%d states were sent, want one to each of %d", sent, n)
 	}
 }
 
-func TestTwoOperatorsAndRequestsSentTwice(t *testing.T) {
+// Two operators that change the same version must not overwrite each other, and a request that is
+// sent twice must be applied once and get the same answer, also from a restored catalog.
+func TestConflictingAndRepeatedRequests(t *testing.T) {
 	g := newTestLog(t)
 	first, second := g.pushOf(planOf(t, "gold", 1)), g.pushOf(planOf(t, "gold", 2))
 	first.Request, first.By, second.Request, second.By = "q1", "ann", "q2", "bob"
@@ -456,7 +472,7 @@
 	if err := g.apply(second); !errors.As(err, &conflict) || conflict.By != "ann" || conflict.Version != 1 {
 		t.Fatal(err)
 	}
-	// Sent again, also by what was kept of the catalog: the same answers, and nothing twice.
+	// Repeated, also with a restored catalog: the same answers, and nothing is applied twice.
 	data, err := json.Marshal(g.catalog)
 	if err != nil {
 		t.Fatal(err)
@@ -475,7 +491,7 @@
 		if err := c.Apply(g.index+2, second); !reflect.DeepEqual(err, error(conflict)) || c.Version != 1 {
 			t.Error(err, c.Version)
 		}
-		if err := c.Apply(g.index+2, first); err != nil || c.Version != 1 { // an entry that was applied
+		if err := c.Apply(g.index+2, first); err != nil || c.Version != 1 { // an index that was applied already
 			t.Error(err)
 		}
 	}
@@ -493,8 +509,8 @@
 	}
 }
 
-// 440 changes within a minute: one difference out to a follower, newer ones merged; the log
-// keeps a bounded past, and where nobody settles it says so.
+// 440 changes within a minute must reach a slow follower as merged differences, one in flight at a
+// time. The history must stay bounded, and pushes be rejected while no version settles.
 func TestManyChangesAreMerged(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0, "a")
@@ -510,7 +526,7 @@
 				if _, held, err := p.Poll(now, q); err != nil || held {
 					t.Fatal(err, held)
 				}
-				out, due = true, now+time.Second // the reply is a second on its way
+				out, due = true, now+time.Second // the reply takes a second
 			}
 			continue
 		}
@@ -523,13 +539,13 @@
 		}
 	}
 	if replies < 30 || replies > 60 {
-		t.Errorf("%d replies for 440 changes, want about one a second", replies)
+		t.Errorf("%d replies for 440 changes, want about one per second", replies)
 	}
 	if f.Active().Version < 420 {
-		t.Errorf("version %d", f.Active().Version)
+		t.Errorf("version %d after 440 changes, want 420 or more", f.Active().Version)
 	}
 	if n := len(g.catalog.History); n != 440 || g.catalog.Oldest() != 0 {
-		t.Errorf("%d versions are kept while none has settled", n)
+		t.Errorf("%d versions are kept while none has settled, want all 440", n)
 	}
 	var err error
 	for i := 0; err == nil; i++ {
@@ -544,13 +560,15 @@
 	if n := len(g.catalog.History); n != maxHistory {
 		t.Errorf("%d versions are kept, want %d", n, maxHistory)
 	}
-	// Beyond the past a follower gets the whole.
+	// A follower with a version older than the history gets the full state.
 	if r, _, err := p.Poll(2*time.Minute, Poll{Follower: "a", Incarnation: 2, Number: 1, Version: g.catalog.Oldest() - 1}); err != nil || r.State == nil {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
 
-func TestRefusedVersionIsHaltedForAllThatHaveNotBegun(t *testing.T) {
+// A version that one follower refuses must be sent to no further follower. Those that use it keep
+// it, all others stay at the version before, until a later version replaces it.
+func TestRefusedVersionIsHaltedForFollowersNotUsingIt(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0, "begun", "refuses", "other", "empty")
 	g.push(100)
@@ -575,10 +593,10 @@
 		t.Fatal(err)
 	}
 	now := 1200 * time.Millisecond
-	mustExchangePoll(t, refuses, p, now) // it tells so
+	mustExchangePoll(t, refuses, p, now) // reports the refusal
 	for _, e := range p.Tick(now) {
 		if e.Settle > 0 {
-			t.Errorf("%d settles", e.Settle)
+			t.Errorf("version %d settles", e.Settle)
 		}
 		g.mustApply(e)
 	}
@@ -586,7 +604,7 @@
 		t.Fatalf("%+v", g.catalog.Halt)
 	}
 	mustExchangePoll(t, other, p, now)
-	empty := g.follower("empty", nil) // restarted with nothing
+	empty := g.follower("empty", nil) // restarted without stored configuration
 	mustExchangePoll(t, empty, p, now)
 	if begun.Active().Version != 2 || other.Active().Version != 1 || empty.Active().Version != 1 {
 		t.Errorf("begun %d, other %d, empty %d", begun.Active().Version, other.Active().Version, empty.Active().Version)
@@ -594,12 +612,12 @@
 	for _, f := range []*Follower{begun, refuses, other, empty} {
 		mustExchangePoll(t, f, p, 1500*time.Millisecond)
 	}
-	// While it is halted nothing of it settles, however it is asked for.
+	// A halted version does not settle, even if a log entry says so.
 	g.mustApply(Entry{Settle: 2})
 	if g.catalog.Settled != 0 || p.oldestActive() != 1 {
 		t.Errorf("settled %d, to settle %d", g.catalog.Settled, p.oldestActive())
 	}
-	// Back is a version forward, and all are at it.
+	// A rollback is a new version, and all followers get it.
 	g.mustApply(Entry{By: "ann", Rollback: &Rollback{Base: 2, To: 1}})
 	if g.catalog.Version != 3 || g.catalog.Halt != nil {
 		t.Fatalf("version %d, halt %v", g.catalog.Version, g.catalog.Halt)
@@ -610,13 +628,13 @@
 		}
 	}
 	if refuses.Refused() != nil {
-		t.Errorf("%+v is still told", refuses.Refused())
+		t.Errorf("the refusal %+v is still reported", refuses.Refused())
 	}
 }
 
-// A version that had settled is halted: whoever comes now gets the one before, and so that one
-// counts again.
-func TestHaltOfASettledVersion(t *testing.T) {
+// If a settled version is halted, new followers get the version before: that must become the settled
+// version again, or their ceilings would not be taken into account.
+func TestHaltOfSettledVersion(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0, "a", "b")
 	g.push(200)
@@ -627,33 +645,34 @@
 		p.Tick(now)
 	}
 	if g.catalog.Settled != 1 || p.oldestActive() != 1 {
-		t.Errorf("settled %d, to settle %d, want 1: a newcomer gets version 1", g.catalog.Settled, p.oldestActive())
+		t.Errorf("settled %d, to settle %d, want 1: a new follower gets version 1", g.catalog.Settled, p.oldestActive())
 	}
 	if err := g.catalog.Verify(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A change on top of a halted version that does not mend it is halted as well; then the last one
-// that was in force is given out, and not the first halted one (found by internal/distsim).
-func TestHaltOnTopOfAHalt(t *testing.T) {
+// A change on top of a halted version that does not correct it is halted as well. Then the last
+// version that was not halted must be sent, and not the first halted one (found by
+// internal/distsim).
+func TestHaltAfterHalt(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0, "a")
 	g.push(1)
 	g.mustApply(Entry{Settle: 1})
 	for v := uint64(2); v <= 4; v++ {
 		g.push(float64(v))
-		g.mustApply(Entry{Settle: v}) // those that have begun are the only ones that live
+		g.mustApply(Entry{Settle: v}) // only followers that use it have valid leases
 		g.mustApply(Entry{Halt: &Halted{Version: v, Follower: "b"}})
 		if p.target() != 1 || g.catalog.Settled != 1 {
-			t.Fatalf("version %d is given out, %d has settled", p.target(), g.catalog.Settled)
+			t.Fatalf("version %d is the target, %d has settled", p.target(), g.catalog.Settled)
 		}
 	}
 	f := g.follower("a", nil)
 	if mustExchangePoll(t, f, p, 0); f.Active().Version != 1 || g.catalog.Verify() != nil {
 		t.Fatalf("version %d, %v", f.Active().Version, g.catalog.Verify())
 	}
-	// However much comes before and after it, the way back stays.
+	// However many versions come before and after it, the fallback is kept.
 	g.push(5)
 	for range maxHistory + 5 {
 		g.mustApply(Entry{Settle: g.catalog.Version})
@@ -662,7 +681,7 @@
 	g.mustApply(Entry{Settle: g.catalog.Version})
 	g.mustApply(Entry{Halt: &Halted{Version: g.catalog.Version}})
 	if p.target() != g.catalog.Version-1 || g.catalog.Verify() != nil || p.state().Version != g.catalog.Version-1 {
-		t.Errorf("%d of %d is given out", p.target(), g.catalog.Version)
+		t.Errorf("version %d of %d is the target", p.target(), g.catalog.Version)
 	}
 }
 
@@ -671,77 +690,81 @@
 	return p.CeilingRate
 }
 
-func TestSettleWaitsForAllThatLive(t *testing.T) {
+// A raised ceiling must not apply while a follower may still use the lower one. So a version must not
+// settle before each follower with a valid lease reports it as active, nor before followers that the
+// publisher has not heard of had a lease's time to poll, after its start or a pause.
+func TestSettlingWaitsForAllValidLeases(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0, "a", "b")
 	a, b := g.follower("a", nil), g.follower("b", nil)
 	g.push(100)
 	if mustExchangePoll(t, a, p, 0); p.oldestActive() != 0 {
-		t.Error("it settles before all that the log knows were heard")
+		t.Error("the version settles before all followers in the log have polled")
 	}
 	mustExchangePoll(t, b, p, 0)
 	mustExchangePoll(t, a, p, time.Second)
 	if p.oldestActive() != 0 {
-		t.Error("it settles by a version that was sent, and not told to be in force")
+		t.Error("the version settles when it is sent, before it is reported as active")
 	}
 	mustExchangePoll(t, b, p, time.Second)
 	if p.oldestActive() != 1 {
-		t.Errorf("%d settles", p.oldestActive())
+		t.Errorf("version %d settles, want 1", p.oldestActive())
 	}
-	// One is silent: it holds settling up until its lease has run out.
+	// A follower that stops polling delays settling until its lease expires.
 	g.mustApply(Entry{Settle: 1})
 	g.push(200)
 	mustExchangePoll(t, a, p, 2*time.Second)
 	mustExchangePoll(t, a, p, 3*time.Second)
 	if goldRate(t, a.Active()) != 100 {
-		t.Error("the raise holds before it has settled")
+		t.Error("the raise applies before it has settled")
 	}
 	for now := 4 * time.Second; now < 8*time.Second; now += 500 * time.Millisecond {
 		mustExchangePoll(t, a, p, now)
 		if want := uint64(1); now < 5*time.Second && p.oldestActive() != want {
-			t.Fatalf("%d settles at %v", p.oldestActive(), now)
+			t.Fatalf("version %d settles at %v, want 1", p.oldestActive(), now)
 		}
 	}
 	if p.oldestActive() != 2 {
-		t.Fatalf("%d settles, want 2: the silent one's lease is over", p.oldestActive())
+		t.Fatalf("version %d settles, want 2: the lease of the silent follower has expired", p.oldestActive())
 	}
 	g.mustApply(Entry{Settle: 2})
 	if mustExchangePoll(t, a, p, 8*time.Second); goldRate(t, a.Active()) != 200 {
-		t.Error("the raise does not hold")
+		t.Error("the raise does not apply after it has settled")
 	}
-	// A new leader knows none of that, and waits for a lease.
+	// A new leader does not know who polled before, and waits for a lease.
 	g.push(300)
 	next := NewPublisher(p.timing, g.catalog, 10*time.Second)
 	mustExchangePoll(t, a, next, 10*time.Second)
 	mustExchangePoll(t, a, next, 11*time.Second)
 	if next.oldestActive() != 0 {
-		t.Errorf("%d settles, and b was not heard", next.oldestActive())
+		t.Errorf("version %d settles although b has not polled", next.oldestActive())
 	}
 	next.Tick(12 * time.Second)
 	mustExchangePoll(t, a, next, 13900*time.Millisecond)
 	if next.oldestActive() != 0 {
-		t.Errorf("%d settles, and b was not heard", next.oldestActive())
+		t.Errorf("version %d settles although b has not polled", next.oldestActive())
 	}
 	mustExchangePoll(t, a, next, 14*time.Second)
 	if next.oldestActive() != 3 {
-		t.Errorf("%d settles, want 3", next.oldestActive())
+		t.Errorf("version %d settles, want 3", next.oldestActive())
 	}
-	// One that was paused for long has heard nobody, and that says nothing of them.
+	// A publisher that was paused for long has missed polls, so it waits again.
 	g.push(400)
 	next.Tick(30 * time.Second)
 	if next.oldestActive() != 0 {
-		t.Errorf("%d settles after a pause", next.oldestActive())
+		t.Errorf("version %d settles right after a pause", next.oldestActive())
 	}
 }
 
-// What nobody knows of in the log gets nothing yet: a new leader would not wait for it.
+// A follower that is not in the log yet must get nothing: a new leader would not wait for it, and
+// would settle versions that it does not use.
 func TestFollowerGetsNothingBeforeItIsInTheLog(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0)
 	g.push(1)
 	f := g.follower("a", nil)
 	if _, held, _ := p.Poll(0, nextPoll(t, f, 0)); !held {
-		t.Fatal("it is answered")
+		t.Fatal("the poll is answered before the follower is in the log")
 	}
 	for _, e := range p.Tick(0) {
 		g.mustApply(e)
@@ -751,8 +774,9 @@
 	}
 }
 
-// What can't be kept is in force all the same, is told, and is tried again.
-func TestDiskThatCannotKeep(t *testing.T) {
+// A version that can't be stored must be activated all the same, the error reported with each poll,
+// and storing retried with the full state.
+func TestStorageErrorIsReportedAndRetried(t *testing.T) {
 	g := newTestLog(t)
 	p := g.publisher(0, "a")
 	g.push(1)
@@ -764,13 +788,13 @@
 		t.Fatal(err)
 	}
 	if u := f.Saved(0, full); u == nil || u.Version != 1 {
-		t.Fatal("it is not to be used")
+		t.Fatal("a version that could not be stored is not activated")
 	}
 	f.Activated(0)
 	for now := time.Second; now < 3*time.Second; now += time.Second {
 		q := nextPoll(t, f, now)
 		if q.StorageError != "no space" {
-			t.Errorf("%q is told", q.StorageError)
+			t.Errorf("storage error %q, want \"no space\"", q.StorageError)
 		}
 		_, _, _ = p.Poll(now, q)
 		if s := p.Status(now).Followers[0]; s.Why != "no space" || s.Sync != SyncInForce {
@@ -782,26 +806,26 @@
 		}
 		if save != nil {
 			if !save.Full || len(save.Set) != 1 || save.Version != 1 {
-				t.Errorf("%+v, want the whole", save)
+				t.Errorf("%+v, want the full state", save)
 			}
 			f.Saved(now, nil)
 			f.Activated(now)
 		}
 	}
 	if q := nextPoll(t, f, 4*time.Second); q.StorageError != "" {
-		t.Errorf("%q is told", q.StorageError)
+		t.Errorf("storage error %q is reported after storing succeeded", q.StorageError)
 	}
 }
 
-func TestCeilingsInUse(t *testing.T) {
+func TestCeilingIsTheLowerOfOldAndNew(t *testing.T) {
 	for _, c := range []struct{ old, own, want float64 }{{100, 200, 100}, {200, 100, 100}, {0, 100, 100}, {100, 0, 100}, {0, 0, 0}} {
 		k := KeyOf(KindPlan, "gold")
 		u := ActiveConfig{Set: Set{k: planOf(t, "gold", c.own)}, PreviousPlans: map[Key][]byte{k: planOf(t, "gold", c.old).Data}}
-		if c.old == 0 || c.own == 0 { // burst 0 goes with rate 0
+		if c.old == 0 || c.own == 0 { // a ceiling of rate 0 has burst 0
 			u.Set[k], u.PreviousPlans[k] = ceilingOf(t, c.own), ceilingOf(t, c.old).Data
 		}
 		if got := goldRate(t, &u); got != c.want {
-			t.Errorf("of %v and then %v: %v, want %v", c.old, c.own, got, c.want)
+			t.Errorf("ceiling %v, then %v: got %v, want %v", c.old, c.own, got, c.want)
 		}
 	}
 }
@@ -815,8 +839,8 @@
 	return Resource{Key: KeyOf(KindPlan, "gold"), Data: data}
 }
 
-// What was kept of a catalog, with one thing changed, is found out.
-func TestCatalogThatWasDamaged(t *testing.T) {
+// Verify must detect each single damage to a stored catalog, or a coordinator would start from it.
+func TestVerifyDetectsDamagedCatalog(t *testing.T) {
 	make := func() *Catalog {
 		g := newTestLog(t)
 		g.push(1)
@@ -843,14 +867,14 @@
 		damage(c)
 		c.set = nil
 		if c.Verify() == nil {
-			t.Errorf("%s: it passes", name)
+			t.Errorf("%s: the damage is not detected", name)
 		}
 	}
 }
 
-// The same entries make the same catalog, to the byte: also where one is refused for a plan
-// with several faults.
-func TestOutcomesAreTheSameEverywhere(t *testing.T) {
+// The same entries must result in the same catalog, to the byte, also if a plan with several errors
+// is refused: reporting a random one of them would make the coordinators' catalogs differ.
+func TestOutcomesAreDeterministic(t *testing.T) {
 	data, err := json.Marshal(Plan{Rate: -1, Burst: -1, Price: -1, OverCost: -1, CeilingRate: -1, CeilingBurst: -1})
 	if err != nil {
 		t.Fatal(err)
@@ -875,18 +899,18 @@
 	}
 }
 
-func TestFaultsSayWhatToDo(t *testing.T) {
+func TestFaultsHaveRemediesAndAreRestored(t *testing.T) {
 	for _, f := range Faults() {
 		if f.Error() == "" || f.Remedy() == "" {
 			t.Errorf("%T: %q, %q", f, f.Error(), f.Remedy())
 		}
 	}
-	// An outcome gives each back as it was.
+	// An outcome restores each error unchanged.
 	for _, f := range Faults() {
 		var o Outcome
 		o.setError(f)
 		if got := o.error(); !reflect.DeepEqual(got, error(f)) {
-			t.Errorf("%#v comes back as %#v", f, got)
+			t.Errorf("%#v is restored as %#v", f, got)
 		}
 	}
 }
--- a/distribution/distribution_test.go
+++ b/distribution/distribution_test.go
@@ -14,9 +14,9 @@
 	return Resource{Key: KeyOf(KindPlan, name), Data: data}
 }
 
-// A version goes to a follower as a difference, and its raised ceiling holds once all
-// that are heard have it.
-func TestVersionGetsInForceAndSettles(t *testing.T) {
+// A version must reach a follower as a difference, and a raised ceiling must apply only once
+// all followers with valid leases have the version.
+func TestVersionIsActivatedAndSettles(t *testing.T) {
 	c := NewCatalog()
 	p := NewPublisher(DefaultTiming(), c, 0)
 	f, err := NewFollower(FollowerConfig{Name: "n1", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, nil, 1, 0)
@@ -39,7 +39,7 @@
 	run := func(from, to time.Duration) {
 		t.Helper()
 		for now := from; now < to; now += 10 * time.Millisecond {
-			p.LeadershipConfirmed(now) // as a majority does
+			p.LeadershipConfirmed(now) // confirmed by a majority throughout
 			take := func(n uint64, r Reply) {
 				save, err := f.Replied(now, n, r)
 				if err != nil {
@@ -77,7 +77,7 @@
 	if f.Active().Version != 1 || c.Settled != 1 || ceiling() != 100 {
 		t.Fatalf("version %d, settled %d, ceiling %v", f.Active().Version, c.Settled, ceiling())
 	}
-	// Another one stays behind: the raise does not hold before its lease has run out.
+	// Another follower stays behind: the raise must not apply before its lease has expired.
 	if _, held, err := p.Poll(time.Second, Poll{Follower: "n2", Incarnation: 1, Number: 1, Version: 1, Hash: c.Hash, Settled: 1}); err != nil || !held {
 		t.Fatal(held, err)
 	}
--- a/internal/configfile/configfile_test.go
+++ b/internal/configfile/configfile_test.go
@@ -11,8 +11,8 @@
 	"wickarch/distribution"
 )
 
-// The shipped example is right, and what is written of it is read as the same.
-func TestFileIsReadAndWritten(t *testing.T) {
+// The shipped example must be valid, and give the same set after it is written and read again.
+func TestShippedFileRoundTrip(t *testing.T) {
 	set, err := Load("../../deploy/configuration.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -32,8 +32,8 @@
 	}
 }
 
-// Every fault names its line, and of a resource that can't be used the resource.
-func TestFaultsNameResourceAndLine(t *testing.T) {
+// Each error must name the line, and the resource if one can't be used.
+func TestErrorsNameResourceAndLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"[plan.a]\nprice = 1\nrate = -1\n": "plan/a (line 1): rate is -1",
 		"\n[plan.a]\nrate = 1\n":           "plan/a (line 2): a bucket",
@@ -52,8 +52,8 @@
 	}
 }
 
-// A file of 2,200 routes is taken, one of 100 MB is refused before it is read.
-func TestSizeIsBounded(t *testing.T) {
+// A file of 2,200 routes must be accepted, and one of 100 MB rejected before it is read into memory.
+func TestFileSizeLimit(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("[service.s]\n")
 	for i := range 2200 {
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -20,7 +20,7 @@
 	"wickarch/internal/rolloutlink"
 )
 
-// patience bounds every wait of the tests; none of them passes by waiting.
+// testTimeout limits every wait; no test passes by reaching it.
 const testTimeout = 30 * time.Second
 
 func plan(t *testing.T, name string, rate float64) distribution.Resource {
@@ -40,8 +40,9 @@
 	return set.Sum()
 }
 
-// What is saved is read again, whole or not at all, and each damage is told and put aside.
-func TestStoreKeepsWholeVersions(t *testing.T) {
+// A stored version must be read back complete. A damaged file must be detected, reported and moved
+// aside, so that a restart neither uses it nor fails to store the next version.
+func TestStoreIsAtomicAndDetectsDamage(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new", "folder")
 	s, kept, err := openStore(dir)
 	if err != nil || kept != nil {
@@ -58,7 +59,7 @@
 		}
 	}
 	if _, _, err = openStore(dir); !isError[*FollowsAlready](err) {
-		t.Errorf("a folder that is held is opened: %v", err)
+		t.Errorf("a folder in use by another store is opened: %v", err)
 	}
 	s.close()
 	s, kept, err = openStore(dir)
@@ -90,22 +91,23 @@
 				t.Fatalf("%+v, %v", kept, err)
 			}
 			if aside, err := os.ReadFile(s.path + ".damaged"); err != nil || !bytes.HasPrefix(aside, spoilt[:100]) {
-				t.Errorf("it is not put aside: %v", err)
+				t.Errorf("the damaged file is not moved aside: %v", err)
 			}
 			if err := s.save(&distribution.StoreUpdate{Version: 1, Hash: sum(a), Set: []distribution.Resource{a}, Full: true}); err != nil {
-				t.Errorf("nothing can be kept behind it: %v", err)
+				t.Errorf("storing after the damage fails: %v", err)
 			}
 		})
 	}
 }
 
+// isError reports whether an error is of type E.
 func isError[E error](err error) bool {
 	var e E
 	return errors.As(err, &e)
 }
 
-// A folder that can't be written is told at each version, and nothing else stops.
-func TestFolderThatCannotBeWrittenIsTold(t *testing.T) {
+// An unwritable folder must be reported when it is opened and at each save, without a panic.
+func TestUnwritableFolderIsReported(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a file")
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -120,7 +122,7 @@
 	s.close()
 }
 
-// script is a coordinator whose answers stand in a list; each question is told.
+// scriptedCoordinator answers polls by a list, the last entry repeatedly, and passes on each poll.
 type scriptedCoordinator struct {
 	*httptest.Server
 	polls   chan distribution.Poll
@@ -133,7 +135,7 @@
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var q distribution.Poll
 		if err := json.NewDecoder(r.Body).Decode(&q); err != nil || r.URL.Path != rolloutlink.PathConfigPoll {
-			t.Errorf("asked %s, %v", r.URL.Path, err)
+			t.Errorf("request to %s, %v", r.URL.Path, err)
 		}
 		s.mu.Lock()
 		do := s.replies[0]
@@ -152,12 +154,12 @@
 	return func(w http.ResponseWriter, _ distribution.Poll) { _ = json.NewEncoder(w).Encode(r) }
 }
 
-// hold answers nothing until the question is given up.
+// emptyReply sends a reply without a body, which is an error to the follower.
 func emptyReply(w http.ResponseWriter, _ distribution.Poll) { time.Sleep(20 * time.Millisecond) }
 
-// fake is an ingress.
+// fakeIngress refuses one resource or fails, and passes on each configuration that it is given.
 type fakeIngress struct {
-	refusedKey     string // a key
+	refusedKey     string
 	configureFails bool
 	configured     chan distribution.ActiveConfig
 }
@@ -173,7 +175,7 @@
 
 func (f *fakeIngress) Configure(u *distribution.ActiveConfig) error {
 	if f.configureFails {
-		return errors.New("it fails")
+		return errors.New("configure fails")
 	}
 	f.configured <- *u
 	return nil
@@ -203,7 +205,7 @@
 	select {
 	case v = <-from:
 	case <-time.After(testTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return v
 }
@@ -217,9 +219,9 @@
 	}
 }
 
-// A version is kept, put in force, and told by the next question; what comes with it that
-// makes no sense is not taken, and a new process begins by what was kept.
-func TestFollowerTakesVersionsAndKeepsThem(t *testing.T) {
+// A version must be stored, activated, and reported by the next poll. Malformed, older and damaged
+// replies between must be rejected, and a new process must start from the stored version.
+func TestFollowerActivatesAndStoresVersions(t *testing.T) {
 	a, b := plan(t, "a", 1), plan(t, "b", 2)
 	first := distribution.Reply{State: &distribution.State{Version: 5, Hash: sum(a), Resources: []distribution.Resource{a}}, Settled: 4}
 	second := distribution.Reply{Difference: &distribution.Difference{Base: 5, BaseHash: sum(a), Version: 6, Hash: sum(a, b), Set: []distribution.Resource{b}}, Settled: 5}
@@ -235,7 +237,7 @@
 	if u := receive(t, "version 6", in.configured); u.Version != 6 || len(u.Set) != 2 {
 		t.Errorf("%+v", u)
 	}
-	q := waitForPoll(t, s, "a question with version 6", func(q distribution.Poll) bool { return q.Version == 6 })
+	q := waitForPoll(t, s, "a poll with version 6", func(q distribution.Poll) bool { return q.Version == 6 })
 	if q.Hash != sum(a, b) || q.Follower != "n1" || q.Region != "west" || q.StorageError != "" {
 		t.Errorf("%+v", q)
 	}
@@ -243,16 +245,17 @@
 
 	s = newScriptedCoordinator(t, emptyReply)
 	startFollower(t, dir, in, s.URL)
-	if u := receive(t, "what was kept", in.configured); u.Version != 6 || u.Hash != sum(a, b) {
+	if u := receive(t, "the stored version", in.configured); u.Version != 6 || u.Hash != sum(a, b) {
 		t.Errorf("%+v", u)
 	}
-	if q := receive(t, "a question", s.polls); q.Version != 6 || q.Number != 1 {
+	if q := receive(t, "a poll", s.polls); q.Version != 6 || q.Number != 1 {
 		t.Errorf("%+v", q)
 	}
 }
 
-// One that the ingress can't use is told with resource and line, and what is in force stays.
-func TestRefusalIsTold(t *testing.T) {
+// A version that the ingress can't use must not become active, whether the check or the activation
+// fails; the poll reports it with resource and line.
+func TestRefusalIsReported(t *testing.T) {
 	a, b := plan(t, "a", 1), plan(t, "b", 2)
 	for _, in := range []*fakeIngress{{refusedKey: "plan/b"}, {configureFails: true}} {
 		in.configured = make(chan distribution.ActiveConfig, 100)
@@ -263,19 +266,19 @@
 			t.Errorf("%+v", q)
 		}
 		if len(in.configured) > 0 {
-			t.Error("it is in force")
+			t.Error("the refused version is active")
 		}
 	}
 }
 
-// A coordinator that hangs, one that is gone and one that sends to the leader: the question
-// finds its way, and each is made once.
-func TestQuestionFindsTheLeader(t *testing.T) {
+// A poll must reach the leader past a coordinator that hangs, one that is down, and one that
+// redirects to the leader.
+func TestPollFindsTheLeader(t *testing.T) {
 	a := plan(t, "a", 1)
 	leader := newScriptedCoordinator(t, replyWith(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a), Resources: []distribution.Resource{a}}}), emptyReply)
 	release := make(chan struct{})
 	hangs := newScriptedCoordinator(t, func(http.ResponseWriter, distribution.Poll) { <-release })
-	t.Cleanup(func() { close(release) }) // before hangs is closed, which waits for it
+	t.Cleanup(func() { close(release) }) // before hangs is closed, which waits for the handler
 	gone := httptest.NewServer(nil)
 	gone.Close()
 	sends := newScriptedCoordinator(t, func(w http.ResponseWriter, _ distribution.Poll) {
@@ -289,8 +292,8 @@
 	}
 }
 
-// What is wrong again and again stands in the log once, however often it is asked.
-func TestSameFaultIsToldOnce(t *testing.T) {
+// A rejection that repeats with each poll must be logged once only, or it floods the log.
+func TestSameWarningIsLoggedOnce(t *testing.T) {
 	s := newScriptedCoordinator(t, func(w http.ResponseWriter, _ distribution.Poll) {
 		w.WriteHeader(http.StatusConflict)
 		_, _ = fmt.Fprint(w, `{"error":{"kind":"BadPoll","text":"a later one has come under this name","remedy":"give each a name of its own"}}`)
@@ -298,15 +301,15 @@
 	var log bytes.Buffer
 	stop := startFollowerWithLog(t, t.TempDir(), &fakeIngress{configured: make(chan distribution.ActiveConfig, 100)}, slog.NewTextHandler(&log, nil), strings.TrimPrefix(s.URL, "http://"))
 	for range 5 {
-		receive(t, "a question", s.polls)
+		receive(t, "a poll", s.polls)
 	}
 	stop()
 	if n := strings.Count(log.String(), "a later one has come"); n != 1 {
-		t.Errorf("it is told %d times: %s", n, log.String())
+		t.Errorf("logged %d times, want once: %s", n, log.String())
 	}
 }
 
-func TestConfigTellsFaultsWithTheirLines(t *testing.T) {
+func TestConfigErrorsHaveLines(t *testing.T) {
 	if c, err := LoadConfig("../../deploy/follower.toml"); err != nil || c.Name == "" || len(c.Coordinators) != 3 {
 		t.Errorf("the shipped file: %+v, %v", c, err)
 	}
