--- a/distribution/cases_test.go
+++ b/distribution/cases_test.go
@@ -35,8 +35,8 @@
 
 func (g *testLog) push(rate float64) { g.t.Helper(); g.mustApply(g.pushOf(planOf(g.t, "gold", rate))) }
 
-// publisher begins a term, with the named followers in the log.
-func (g *testLog) publisher(now time.Duration, names ...string) *Publisher {
+// newPublisher begins a term, with the named followers in the log.
+func (g *testLog) newPublisher(now time.Duration, names ...string) *Publisher {
 	g.t.Helper()
 	for _, n := range names {
 		g.mustApply(Entry{Join: &Join{map[string]string{n: "r"}}})
@@ -46,9 +46,10 @@
 	return NewPublisher(timing, g.catalog, now)
 }
 
-func (g *testLog) follower(name string, kept *StoredConfig) *Follower {
+func (g *testLog) newFollower(name string, kept *StoredConfig) *Follower {
 	g.t.Helper()
-	f, err := NewFollower(FollowerConfig{Name: name, Region: "r", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, kept, 1, 0)
+	f, err := NewFollower(FollowerConfig{Name: name, Region: "r", Incarnation: 1, Coordinators: 3,
+		PollTimeout: DefaultPollTimeout}, kept, 1, 0)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -56,9 +57,9 @@
 }
 
 // nextPoll returns the next poll of a follower, which must be due.
-func nextPoll(t *testing.T, f *Follower, now time.Duration) Poll {
+func nextPoll(t *testing.T, follower *Follower, now time.Duration) Poll {
 	t.Helper()
-	a := f.Tick(now)
+	a := follower.Tick(now)
 	if a == nil {
 		t.Fatal("no poll is due")
 	}
@@ -66,34 +67,34 @@
 }
 
 // exchangePoll sends the next poll of a follower, delivers the reply, and stores and activates it.
-func exchangePoll(t *testing.T, f *Follower, p *Publisher, now time.Duration) (Reply, error) {
+func exchangePoll(t *testing.T, follower *Follower, publisher *Publisher, now time.Duration) (Reply, error) {
 	t.Helper()
-	q := nextPoll(t, f, now)
-	r, held, err := p.Poll(now, q)
+	q := nextPoll(t, follower, now)
+	r, held, err := publisher.Poll(now, q)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if held {
-		_, _ = f.Replied(now, q.Number, Reply{})
+		_, _ = follower.Replied(now, q.Number, Reply{})
 		return r, nil
 	}
-	return r, deliver(f, now, q.Number, r)
+	return r, deliver(follower, now, q.Number, r)
 }
 
 // mustExchangePoll is exchangePoll where the follower must accept the reply.
-func mustExchangePoll(t *testing.T, f *Follower, p *Publisher, now time.Duration) {
+func mustExchangePoll(t *testing.T, follower *Follower, publisher *Publisher, now time.Duration) {
 	t.Helper()
-	if _, err := exchangePoll(t, f, p, now); err != nil {
+	if _, err := exchangePoll(t, follower, publisher, now); err != nil {
 		t.Fatalf("at %v: %v", now, err)
 	}
 }
 
 // deliver hands a reply to a follower, and stores and activates what comes of it.
-func deliver(f *Follower, now time.Duration, number uint64, r Reply) error {
-	save, err := f.Replied(now, number, r)
+func deliver(follower *Follower, now time.Duration, number uint64, reply Reply) error {
+	save, err := follower.Replied(now, number, reply)
 	if save != nil {
-		f.Saved(now, nil)
-		f.Activated(now)
+		follower.Saved(now, nil)
+		follower.Activated(now)
 	}
 	return err
 }
@@ -117,68 +118,71 @@
 // A difference that is late, repeated, for another base or of wrong content must not be applied:
 // the follower would have a state that no version has.
 func TestDifferenceAppliesOnceAndToItsBaseOnly(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0, "a")
-	g.push(1)
-	f := g.follower("a", nil)
-	mustExchangePoll(t, f, p, 0)
-	g.push(2)
-	q := nextPoll(t, f, time.Second)
-	r2, _, _ := p.Poll(time.Second, q)
+	log := newTestLog(t)
+	publisher := log.newPublisher(0, "a")
+	log.push(1)
+	follower := log.newFollower("a", nil)
+	mustExchangePoll(t, follower, publisher, 0)
+	log.push(2)
+	q := nextPoll(t, follower, time.Second)
+	r2, _, _ := publisher.Poll(time.Second, q)
 	if r2.Difference == nil || r2.Difference.Base != 1 {
 		t.Fatalf("%+v, want the difference from 1", r2)
 	}
 	// Lost: the next poll gets it again, and the late reply is ignored.
-	f.Failed(2*time.Second, q.Number, -1)
-	q3 := nextPoll(t, f, 4*time.Second)
-	if err := deliver(f, 4*time.Second, q.Number, r2); err != nil || f.Active().Version != 1 {
-		t.Fatalf("a reply to a timed-out poll is accepted: %v, version %d", err, f.Active().Version)
+	follower.Failed(2*time.Second, q.Number, -1)
+	q3 := nextPoll(t, follower, 4*time.Second)
+	if err := deliver(follower, 4*time.Second, q.Number, r2); err != nil || follower.Active().Version != 1 {
+		t.Fatalf("a reply to a timed-out poll is accepted: %v, version %d", err, follower.Active().Version)
 	}
-	r3, _, _ := p.Poll(4*time.Second, q3)
-	if err := deliver(f, 4*time.Second, q3.Number, r3); err != nil || f.Active().Version != 2 {
-		t.Fatal(err, f.Active().Version)
+	r3, _, _ := publisher.Poll(4*time.Second, q3)
+	if err := deliver(follower, 4*time.Second, q3.Number, r3); err != nil || follower.Active().Version != 2 {
+		t.Fatal(err, follower.Active().Version)
 	}
 	// Repeated to another poll: it is for another base.
-	g.push(3)
-	q4 := nextPoll(t, f, 5*time.Second)
-	if err := deliver(f, 5*time.Second, q4.Number, r2); !isError[*WrongBase](err) || f.Active().Version != 2 {
-		t.Fatalf("%v, version %d", err, f.Active().Version)
+	log.push(3)
+	q4 := nextPoll(t, follower, 5*time.Second)
+	if err := deliver(follower, 5*time.Second, q4.Number, r2); !isError[*WrongBase](err) || follower.Active().Version != 2 {
+		t.Fatalf("%v, version %d", err, follower.Active().Version)
 	}
 	// For the same base version with another hash.
-	q5 := nextPoll(t, f, 6*time.Second)
-	r5, _, _ := p.Poll(6*time.Second, q5)
+	q5 := nextPoll(t, follower, 6*time.Second)
+	r5, _, _ := publisher.Poll(6*time.Second, q5)
 	other := *r5.Difference
 	other.BaseHash[0] ^= 1
-	if err := deliver(f, 6*time.Second, q5.Number, Reply{Difference: &other}); !isError[*WrongBase](err) {
+	if err := deliver(follower, 6*time.Second, q5.Number, Reply{Difference: &other}); !isError[*WrongBase](err) {
 		t.Fatal(err)
 	}
 	// With content that does not match its hash: the full state is requested.
-	q6 := nextPoll(t, f, 7*time.Second)
+	q6 := nextPoll(t, follower, 7*time.Second)
 	other = *r5.Difference
 	other.Set = []Resource{planOf(t, "gold", 9)}
-	if err := deliver(f, 7*time.Second, q6.Number, Reply{Difference: &other}); !isError[*WrongHash](err) || f.Active().Version != 2 || goldRate(t, f.Active()) > 2 {
+	if err := deliver(follower, 7*time.Second, q6.Number, Reply{Difference: &other}); !isError[*WrongHash](err) ||
+		follower.Active().Version != 2 || goldRate(t, follower.Active()) > 2 {
 		t.Fatal(err)
 	}
-	if r, err := exchangePoll(t, f, p, 8*time.Second); err != nil || r.State == nil || f.Active().Version != 3 {
-		t.Fatalf("%v; %+v; version %d", err, r, f.Active().Version)
+	if r, err := exchangePoll(t, follower, publisher, 8*time.Second); err != nil || r.State == nil || follower.Active().Version != 3 {
+		t.Fatalf("%v; %+v; version %d", err, r, follower.Active().Version)
 	}
 }
 
 // A full state that is older than the active one, or does not match its hash, must be rejected.
 func TestFullStateIsVerifiedAndNeverOlder(t *testing.T) {
-	g := newTestLog(t)
-	g.push(1)
-	old := storedConfigOf(g.catalog).State
-	g.push(2)
-	f := g.follower("a", storedConfigOf(g.catalog))
-	if err := deliver(f, 0, nextPoll(t, f, 0).Number, Reply{State: &old, Settled: 1}); err != nil || f.Active().Version != 2 {
-		t.Fatalf("the follower goes back to version %d (%v)", f.Active().Version, err)
-	}
-	f = g.follower("b", nil)
+	log := newTestLog(t)
+	log.push(1)
+	old := storedConfigOf(log.catalog).State
+	log.push(2)
+	follower := log.newFollower("a", storedConfigOf(log.catalog))
+	if err := deliver(follower, 0, nextPoll(t, follower, 0).Number, Reply{State: &old, Settled: 1}); err != nil ||
+		follower.Active().Version != 2 {
+		t.Fatalf("the follower goes back to version %d (%v)", follower.Active().Version, err)
+	}
+	follower = log.newFollower("b", nil)
 	bad := old
 	bad.Resources = []Resource{planOf(t, "gold", 7)}
-	if err := deliver(f, 0, nextPoll(t, f, 0).Number, Reply{State: &bad}); !isError[*WrongHash](err) || f.Active().Version != 0 {
-		t.Fatal(err, f.Active().Version)
+	if err := deliver(follower, 0, nextPoll(t, follower, 0).Number, Reply{State: &bad}); !isError[*WrongHash](err) ||
+		follower.Active().Version != 0 {
+		t.Fatal(err, follower.Active().Version)
 	}
 }
 
@@ -190,43 +194,44 @@
 		g.push(rate)
 		stale.push(rate)
 	}
-	p := g.publisher(0, "a")
+	publisher := g.newPublisher(0, "a")
 	g.mustApply(Entry{Settle: 2})
 	stale.mustApply(Entry{Settle: 1})
-	before := stale.publisher(0, "a")
+	before := stale.newPublisher(0, "a")
 	set, _ := g.catalog.At(2)
 	hash, _ := g.catalog.hashAt(2)
-	f := g.follower("a", &StoredConfig{State: State{2, hash, set.List()}, Settled: 2})
+	follower := g.newFollower("a", &StoredConfig{State: State{2, hash, set.List()}, Settled: 2})
 	// To version 3 from the publisher that has not settled 2: the ceiling of 2 still applies.
-	if _, err := exchangePoll(t, f, before, time.Second); err != nil || f.Active().Version != 3 || f.Active().Settled != 2 || goldRate(t, f.Active()) != 50 {
-		t.Fatalf("%v; version %d, settled %d, %v", err, f.Active().Version, f.Active().Settled, goldRate(t, f.Active()))
+	if _, err := exchangePoll(t, follower, before, time.Second); err != nil || follower.Active().Version != 3 ||
+		follower.Active().Settled != 2 || goldRate(t, follower.Active()) != 50 {
+		t.Fatalf("%v; version %d, settled %d, %v", err, follower.Active().Version, follower.Active().Settled, goldRate(t, follower.Active()))
 	}
 	g.push(300)
-	mustExchangePoll(t, f, p, 2*time.Second)
-	if _, err := exchangePoll(t, f, before, 3*time.Second); err != nil || f.Active().Version != 4 {
-		t.Fatalf("%v, version %d", err, f.Active().Version)
+	mustExchangePoll(t, follower, publisher, 2*time.Second)
+	if _, err := exchangePoll(t, follower, before, 3*time.Second); err != nil || follower.Active().Version != 4 {
+		t.Fatalf("%v, version %d", err, follower.Active().Version)
 	}
 }
 
 // A publisher whose leadership is no longer confirmed must send nothing: it may be deposed and its
 // log stale. It holds the polls of its followers.
 func TestUnconfirmedPublisherSendsNothing(t *testing.T) {
-	g := newTestLog(t)
-	g.publisher(0, "a")
-	g.push(1)
-	p := NewPublisher(DefaultTiming(), g.catalog, 0)
-	f := g.follower("a", nil)
-	p.LeadershipConfirmed(0)
+	log := newTestLog(t)
+	log.newPublisher(0, "a")
+	log.push(1)
+	publisher := NewPublisher(DefaultTiming(), log.catalog, 0)
+	follower := log.newFollower("a", nil)
+	publisher.LeadershipConfirmed(0)
 	for now := time.Duration(0); now <= 6*time.Second; now += time.Second {
-		p.Tick(now)
+		publisher.Tick(now)
 	}
-	p.LeadershipConfirmed(3 * time.Second) // asked long ago
-	q := nextPoll(t, f, 6*time.Second)
-	if r, held, _ := p.Poll(6*time.Second, q); !held {
+	publisher.LeadershipConfirmed(3 * time.Second) // asked long ago
+	q := nextPoll(t, follower, 6*time.Second)
+	if r, held, _ := publisher.Poll(6*time.Second, q); !held {
 		t.Fatalf("%+v is sent", r)
 	}
-	p.LeadershipConfirmed(6 * time.Second)
-	if a := p.Due(6 * time.Second); len(a) != 1 || a[0].Reply.Difference == nil {
+	publisher.LeadershipConfirmed(6 * time.Second)
+	if a := publisher.Due(6 * time.Second); len(a) != 1 || a[0].Reply.Difference == nil {
 		t.Fatalf("%+v, want the difference from version 0", a)
 	}
 }
@@ -234,17 +239,17 @@
 // A delayed or repeated poll reports outdated state, and a corrupt one a version that the follower
 // does not have: neither may let a version settle or halt.
 func TestDelayedAndRepeatedPollsAreRejected(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0, "a")
-	g.push(1)
-	g.push(2)
-	h1, _ := g.catalog.hashAt(1)
+	log := newTestLog(t)
+	publisher := log.newPublisher(0, "a")
+	log.push(1)
+	log.push(2)
+	h1, _ := log.catalog.hashAt(1)
 	at := func(life, number, version uint64) Poll {
 		q := Poll{Follower: "a", Region: "r", Incarnation: life, Number: number, Version: version, Settled: 0}
-		q.Hash, _ = g.catalog.hashAt(version)
+		q.Hash, _ = log.catalog.hashAt(version)
 		return q
 	}
-	poll := func(now time.Duration, q Poll) error { _, _, err := p.Poll(now, q); return err }
+	poll := func(now time.Duration, q Poll) error { _, _, err := publisher.Poll(now, q); return err }
 	if err := poll(0, at(2, 5, 1)); err != nil {
 		t.Fatal(err)
 	}
@@ -253,7 +258,7 @@
 			t.Errorf("incarnation %d, poll %d: %v", q.Incarnation, q.Number, err)
 		}
 	}
-	if to := p.oldestActive(); to != 1 {
+	if to := publisher.oldestActive(); to != 1 {
 		t.Errorf("version %d settles after a delayed poll, want 1", to)
 	}
 	// A repeated poll of one incarnation is always rejected; an older incarnation is accepted once
@@ -268,13 +273,13 @@
 	// full state, with a version ahead of the log it is shown as ahead.
 	q := at(3, 1, 2)
 	q.Hash = h1
-	if r, _, err := p.Poll(time.Minute+time.Second, q); err != nil || r.State == nil || p.oldestActive() != 0 {
-		t.Errorf("%+v, %v, settles %d", r, err, p.oldestActive())
+	if r, _, err := publisher.Poll(time.Minute+time.Second, q); err != nil || r.State == nil || publisher.oldestActive() != 0 {
+		t.Errorf("%+v, %v, settles %d", r, err, publisher.oldestActive())
 	}
-	if r, _, err := p.Poll(time.Minute+2*time.Second, at(3, 2, 9)); err != nil || !r.empty() || p.oldestActive() != 0 {
-		t.Errorf("%+v, %v, settles %d", r, err, p.oldestActive())
+	if r, _, err := publisher.Poll(time.Minute+2*time.Second, at(3, 2, 9)); err != nil || !r.empty() || publisher.oldestActive() != 0 {
+		t.Errorf("%+v, %v, settles %d", r, err, publisher.oldestActive())
 	}
-	if s := p.Status(time.Minute + 2*time.Second).Followers[0]; s.Sync != SyncAhead {
+	if s := publisher.Status(time.Minute + 2*time.Second).Followers[0]; s.Sync != SyncAhead {
 		t.Errorf("%+v", s)
 	}
 	// A refusal can't halt version 0, or any other than the newest.
@@ -282,7 +287,7 @@
 		bad := at(4, uint64(i+1), 1)
 		bad.Refused = &Halted{Version: v}
 		_ = poll(time.Minute+3*time.Second, bad) // whether this is accepted or not, no version may be halted
-		for _, e := range p.Tick(time.Minute + 3*time.Second) {
+		for _, e := range publisher.Tick(time.Minute + 3*time.Second) {
 			if e.Halt != nil {
 				t.Errorf("a refusal of version %d halts it", v)
 			}
@@ -293,18 +298,18 @@
 // A restarted follower must get exactly what its stored configuration lacks, and the full state if
 // that is damaged.
 func TestFollowerStartsFromStoredConfig(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0, "a")
+	log := newTestLog(t)
+	publisher := log.newPublisher(0, "a")
 	for i := range maxHistory { // so that version 0 is too old for a difference
-		g.push(float64(1000 + i))
-		g.mustApply(Entry{Settle: g.catalog.Version})
-	}
-	g.push(1)
-	g.mustApply(Entry{Settle: g.catalog.Version})
-	stale := storedConfigOf(g.catalog)
-	g.push(2)
-	good := storedConfigOf(g.catalog)
-	turned := storedConfigOf(g.catalog)
+		log.push(float64(1000 + i))
+		log.mustApply(Entry{Settle: log.catalog.Version})
+	}
+	log.push(1)
+	log.mustApply(Entry{Settle: log.catalog.Version})
+	stale := storedConfigOf(log.catalog)
+	log.push(2)
+	good := storedConfigOf(log.catalog)
+	turned := storedConfigOf(log.catalog)
 	data := append([]byte(nil), turned.Resources[0].Data...)
 	data[len(data)-3] ^= 1
 	turned.Resources = []Resource{{Key: turned.Resources[0].Key, Data: data}}
@@ -314,13 +319,14 @@
 		version uint64
 		damaged bool
 		want    string
-	}{{"empty", nil, 0, false, "state"}, {"stale", stale, maxHistory + 1, false, "difference"}, {"newest", good, maxHistory + 2, false, "nothing"}, {"one bit turned", turned, 0, true, "state"}} {
+	}{{"empty", nil, 0, false, "state"}, {"stale", stale, maxHistory + 1, false, "difference"},
+		{"newest", good, maxHistory + 2, false, "nothing"}, {"one bit turned", turned, 0, true, "state"}} {
 		f, err := NewFollower(FollowerConfig{Name: "a", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, c.kept, 1, 0)
 		if isError[*StateDamaged](err) != c.damaged || f.Active().Version != c.version {
 			t.Errorf("%s: %v, version %d", c.name, err, f.Active().Version)
 		}
-		p.followers = map[string]*followerState{}
-		r, err := exchangePoll(t, f, p, 0)
+		publisher.followers = map[string]*followerState{}
+		r, err := exchangePoll(t, f, publisher, 0)
 		got := "nothing"
 		if r.State != nil {
 			got = "state"
@@ -354,37 +360,38 @@
 // The largest version that is allowed must be delivered. A larger one must be rejected, whether it
 // is pushed at once or step by step, or it would fill the log and the disks.
 func TestSizeLimits(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0, "a")
-	big := g.pushOf(makeRoutes(t, 2200, 900, 0)...) // 2 MB
+	log := newTestLog(t)
+	publisher := log.newPublisher(0, "a")
+	big := log.pushOf(makeRoutes(t, 2200, 900, 0)...) // 2 MB
 	if err := big.Check(); err != nil {
 		t.Fatal(err)
 	}
-	g.mustApply(big)
-	f := g.follower("a", nil)
-	for now := time.Duration(0); f.Active().Version != 1; now += 100 * time.Millisecond {
+	log.mustApply(big)
+	follower := log.newFollower("a", nil)
+	for now := time.Duration(0); follower.Active().Version != 1; now += 100 * time.Millisecond {
 		if now > 3*time.Second {
 			t.Fatal("2 MB are not delivered within 3 s")
 		}
-		if _, due := f.Next(); due {
-			if f.Tick(now) == nil {
+		if _, due := follower.Next(); due {
+			if follower.Tick(now) == nil {
 				continue
 			}
-			r, held, err := p.Poll(now, f.poll)
+			r, held, err := publisher.Poll(now, follower.poll)
 			if err != nil || held {
 				t.Fatal(err, held)
 			}
-			if err := deliver(f, now, f.poll.Number, r); err != nil {
+			if err := deliver(follower, now, follower.poll.Number, r); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	// All of them change at once.
-	g.mustApply(g.pushOf(makeRoutes(t, 2200, 900, 50)...))
-	if d, err := exchangePoll(t, f, p, 10*time.Second); err != nil || d.Difference == nil || len(d.Difference.Set) != 2200 || f.Active().Version != 2 {
-		t.Fatal(err, f.Active().Version)
+	log.mustApply(log.pushOf(makeRoutes(t, 2200, 900, 50)...))
+	if d, err := exchangePoll(t, follower, publisher, 10*time.Second); err != nil || d.Difference == nil ||
+		len(d.Difference.Set) != 2200 || follower.Active().Version != 2 {
+		t.Fatal(err, follower.Active().Version)
 	}
-	if f.Active().Set.Sum() != g.catalog.Hash {
+	if follower.Active().Set.Sum() != log.catalog.Hash {
 		t.Error("the active set has another hash")
 	}
 	// 100 MB are rejected both before and within the log.
@@ -395,35 +402,35 @@
 	if err := huge.Check(); !isError[*TooLarge](err) {
 		t.Error(err)
 	}
-	if err := g.apply(huge); !isError[*TooLarge](err) || g.catalog.Version != 2 {
-		t.Error(err, g.catalog.Version)
+	if err := log.apply(huge); !isError[*TooLarge](err) || log.catalog.Version != 2 {
+		t.Error(err, log.catalog.Version)
 	}
 	// So is a push that exceeds the limit together with the resources before.
 	more := makeRoutes(t, 1400, 900, 0)[1:]
 	for i := range more {
 		more[i].Key = KeyOf(KindRoute, fmt.Sprint("more", i))
 	}
-	if err := g.apply(g.pushOf(more...)); !isError[*TooLarge](err) || g.catalog.Version != 2 {
-		t.Error(err, g.catalog.Version)
+	if err := log.apply(log.pushOf(more...)); !isError[*TooLarge](err) || log.catalog.Version != 2 {
+		t.Error(err, log.catalog.Version)
 	}
 }
 
 // Large replies to many followers must keep to the rate limit. A follower that waits for one must
 // keep its lease, or versions would settle without it.
 func TestLargeRepliesAreRateLimited(t *testing.T) {
-	g := newTestLog(t)
+	log := newTestLog(t)
 	const n = 96
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("n", i))
 	}
-	p := g.publisher(0, names...)
-	p.timing.Rate, p.timing.Burst = 1<<20, 1<<20
-	g.mustApply(g.pushOf(makeRoutes(t, 200, 200, 0)...))
-	size := float64(p.state().size())
+	publisher := log.newPublisher(0, names...)
+	publisher.timing.Rate, publisher.timing.Burst = 1<<20, 1<<20
+	log.mustApply(log.pushOf(makeRoutes(t, 200, 200, 0)...))
+	size := float64(publisher.state().size())
 	var all []*Follower
 	for _, name := range names {
-		all = append(all, g.follower(name, nil))
+		all = append(all, log.newFollower(name, nil))
 	}
 	sent := 0
 	for now := time.Duration(0); now < 12*time.Second; now += 20 * time.Millisecond {
@@ -432,7 +439,7 @@
 			if a == nil {
 				continue
 			}
-			r, held, err := p.Poll(now, a.Poll)
+			r, held, err := publisher.Poll(now, a.Poll)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -447,10 +454,10 @@
 				t.Fatal(err)
 			}
 		}
-		if most := p.timing.Burst + p.timing.Rate*now.Seconds() + size; float64(sent)*size > most {
+		if most := publisher.timing.Burst + publisher.timing.Rate*now.Seconds() + size; float64(sent)*size > most {
 			t.Fatalf("%d states of %v bytes by %v, want %v bytes at most", sent, size, now, most)
 		}
-		for _, f := range p.Status(now).Followers {
+		for _, f := range publisher.Status(now).Followers {
 			if f.Sync == SyncSilent {
 				t.Fatalf("%s waits and its lease expires at %v", f.Name, now)
 			}
@@ -464,16 +471,16 @@
 // Two operators that change the same version must not overwrite each other, and a request that is
 // sent twice must be applied once and get the same answer, also from a restored catalog.
 func TestConflictingAndRepeatedRequests(t *testing.T) {
-	g := newTestLog(t)
-	first, second := g.pushOf(planOf(t, "gold", 1)), g.pushOf(planOf(t, "gold", 2))
+	log := newTestLog(t)
+	first, second := log.pushOf(planOf(t, "gold", 1)), log.pushOf(planOf(t, "gold", 2))
 	first.Request, first.By, second.Request, second.By = "q1", "ann", "q2", "bob"
-	g.mustApply(first)
+	log.mustApply(first)
 	var conflict *Conflict
-	if err := g.apply(second); !errors.As(err, &conflict) || conflict.By != "ann" || conflict.Version != 1 {
+	if err := log.apply(second); !errors.As(err, &conflict) || conflict.By != "ann" || conflict.Version != 1 {
 		t.Fatal(err)
 	}
 	// Repeated, also with a restored catalog: the same answers, and nothing is applied twice.
-	data, err := json.Marshal(g.catalog)
+	data, err := json.Marshal(log.catalog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -484,27 +491,27 @@
 	if err := again.Verify(); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []*Catalog{g.catalog, again} {
-		if err := c.Apply(g.index+1, first); err != nil || c.Version != 1 {
+	for _, c := range []*Catalog{log.catalog, again} {
+		if err := c.Apply(log.index+1, first); err != nil || c.Version != 1 {
 			t.Error(err, c.Version)
 		}
-		if err := c.Apply(g.index+2, second); !reflect.DeepEqual(err, error(conflict)) || c.Version != 1 {
+		if err := c.Apply(log.index+2, second); !reflect.DeepEqual(err, error(conflict)) || c.Version != 1 {
 			t.Error(err, c.Version)
 		}
-		if err := c.Apply(g.index+2, first); err != nil || c.Version != 1 { // an index that was applied already
+		if err := c.Apply(log.index+2, first); err != nil || c.Version != 1 { // an index that was applied already
 			t.Error(err)
 		}
 	}
-	g.index += 2
-	wrong := g.pushOf(planOf(t, "gold", 3))
+	log.index += 2
+	wrong := log.pushOf(planOf(t, "gold", 3))
 	wrong.Push.Hash[0] ^= 1
-	if err := g.apply(wrong); !isError[*WrongHash](err) {
+	if err := log.apply(wrong); !isError[*WrongHash](err) {
 		t.Error(err)
 	}
-	if err := g.apply(g.pushOf(planOf(t, "gold", 1))); !isError[*NothingChanged](err) {
+	if err := log.apply(log.pushOf(planOf(t, "gold", 1))); !isError[*NothingChanged](err) {
 		t.Error(err)
 	}
-	if err := g.apply(Entry{Rollback: &Rollback{Base: 1, To: 7}}); !isError[*NoSuchVersion](err) {
+	if err := log.apply(Entry{Rollback: &Rollback{Base: 1, To: 7}}); !isError[*NoSuchVersion](err) {
 		t.Error(err)
 	}
 }
@@ -512,18 +519,18 @@
 // 440 changes within a minute must reach a slow follower as merged differences, one in flight at a
 // time. The history must stay bounded, and pushes be rejected while no version settles.
 func TestManyChangesAreMerged(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0, "a")
-	f := g.follower("a", nil)
+	log := newTestLog(t)
+	publisher := log.newPublisher(0, "a")
+	follower := log.newFollower("a", nil)
 	replies, out, due := 0, false, time.Duration(0)
 	var q Poll
 	for i := range 440 {
 		now := time.Duration(i) * time.Minute / 440
-		g.push(float64(i + 1))
+		log.push(float64(i + 1))
 		if !out {
-			if a := f.Tick(now); a != nil {
+			if a := follower.Tick(now); a != nil {
 				q = a.Poll
-				if _, held, err := p.Poll(now, q); err != nil || held {
+				if _, held, err := publisher.Poll(now, q); err != nil || held {
 					t.Fatal(err, held)
 				}
 				out, due = true, now+time.Second // the reply takes a second
@@ -531,8 +538,8 @@
 			continue
 		}
 		if now >= due {
-			r := p.nextReply(p.followers["a"])
-			if err := deliver(f, now, q.Number, r); err != nil {
+			r := publisher.nextReply(publisher.followers["a"])
+			if err := deliver(follower, now, q.Number, r); err != nil {
 				t.Fatal(err)
 			}
 			replies, out = replies+1, false
@@ -541,27 +548,28 @@
 	if replies < 30 || replies > 60 {
 		t.Errorf("%d replies for 440 changes, want about one per second", replies)
 	}
-	if f.Active().Version < 420 {
-		t.Errorf("version %d after 440 changes, want 420 or more", f.Active().Version)
+	if follower.Active().Version < 420 {
+		t.Errorf("version %d after 440 changes, want 420 or more", follower.Active().Version)
 	}
-	if n := len(g.catalog.History); n != 440 || g.catalog.Oldest() != 0 {
+	if n := len(log.catalog.History); n != 440 || log.catalog.Oldest() != 0 {
 		t.Errorf("%d versions are kept while none has settled, want all 440", n)
 	}
 	var err error
 	for i := 0; err == nil; i++ {
-		err = g.apply(g.pushOf(planOf(t, "gold", 1000+float64(i))))
+		err = log.apply(log.pushOf(planOf(t, "gold", 1000+float64(i))))
 	}
-	if !isError[*Unsettled](err) || g.catalog.Version != maxHistory {
-		t.Errorf("%v at version %d", err, g.catalog.Version)
+	if !isError[*Unsettled](err) || log.catalog.Version != maxHistory {
+		t.Errorf("%v at version %d", err, log.catalog.Version)
 	}
-	g.mustApply(Entry{Settle: g.catalog.Version})
-	g.push(1)
-	g.mustApply(Entry{Settle: g.catalog.Version})
-	if n := len(g.catalog.History); n != maxHistory {
+	log.mustApply(Entry{Settle: log.catalog.Version})
+	log.push(1)
+	log.mustApply(Entry{Settle: log.catalog.Version})
+	if n := len(log.catalog.History); n != maxHistory {
 		t.Errorf("%d versions are kept, want %d", n, maxHistory)
 	}
 	// A follower with a version older than the history gets the full state.
-	if r, _, err := p.Poll(2*time.Minute, Poll{Follower: "a", Incarnation: 2, Number: 1, Version: g.catalog.Oldest() - 1}); err != nil || r.State == nil {
+	if r, _, err := publisher.Poll(2*time.Minute, Poll{Follower: "a", Incarnation: 2, Number: 1,
+		Version: log.catalog.Oldest() - 1}); err != nil || r.State == nil {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -569,10 +577,10 @@
 // A version that one follower refuses must be sent to no further follower. Those that use it keep
 // it, all others stay at the version before, until a later version replaces it.
 func TestRefusedVersionIsHaltedForFollowersNotUsingIt(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0, "begun", "refuses", "other", "empty")
-	g.push(100)
-	begun, refuses, other := g.follower("begun", nil), g.follower("refuses", nil), g.follower("other", nil)
+	log := newTestLog(t)
+	publisher := log.newPublisher(0, "begun", "refuses", "other", "empty")
+	log.push(100)
+	begun, refuses, other := log.newFollower("begun", nil), log.newFollower("refuses", nil), log.newFollower("other", nil)
 	refuses.cfg.Check = func(changed []Resource) error {
 		for _, r := range changed {
 			if plan, err := r.Plan(); err == nil && plan.CeilingRate == 666 {
@@ -582,48 +590,50 @@
 		return nil
 	}
 	for _, f := range []*Follower{begun, refuses, other} {
-		mustExchangePoll(t, f, p, 0)
+		mustExchangePoll(t, f, publisher, 0)
 	}
 	bad := planOf(t, "gold", 666)
 	bad.Line = 17
-	g.mustApply(g.pushOf(bad))
-	mustExchangePoll(t, begun, p, time.Second)
+	log.mustApply(log.pushOf(bad))
+	mustExchangePoll(t, begun, publisher, time.Second)
 	var halted *Halted
-	if _, err := exchangePoll(t, refuses, p, time.Second); !errors.As(err, &halted) || halted.Refused.Line != 17 || refuses.Active().Version != 1 {
+	if _, err := exchangePoll(t, refuses, publisher, time.Second); !errors.As(err, &halted) ||
+		halted.Refused.Line != 17 || refuses.Active().Version != 1 {
 		t.Fatal(err)
 	}
 	now := 1200 * time.Millisecond
-	mustExchangePoll(t, refuses, p, now) // reports the refusal
-	for _, e := range p.Tick(now) {
+	mustExchangePoll(t, refuses, publisher, now) // reports the refusal
+	for _, e := range publisher.Tick(now) {
 		if e.Settle > 0 {
 			t.Errorf("version %d settles", e.Settle)
 		}
-		g.mustApply(e)
+		log.mustApply(e)
 	}
-	if g.catalog.Halt == nil || g.catalog.Halt.Refused.Line != 17 || g.catalog.Halt.Follower != "refuses" || !strings.Contains(g.catalog.Halt.Error(), "line 17") {
-		t.Fatalf("%+v", g.catalog.Halt)
+	if log.catalog.Halt == nil || log.catalog.Halt.Refused.Line != 17 || log.catalog.Halt.Follower != "refuses" ||
+		!strings.Contains(log.catalog.Halt.Error(), "line 17") {
+		t.Fatalf("%+v", log.catalog.Halt)
 	}
-	mustExchangePoll(t, other, p, now)
-	empty := g.follower("empty", nil) // restarted without stored configuration
-	mustExchangePoll(t, empty, p, now)
+	mustExchangePoll(t, other, publisher, now)
+	empty := log.newFollower("empty", nil) // restarted without stored configuration
+	mustExchangePoll(t, empty, publisher, now)
 	if begun.Active().Version != 2 || other.Active().Version != 1 || empty.Active().Version != 1 {
 		t.Errorf("begun %d, other %d, empty %d", begun.Active().Version, other.Active().Version, empty.Active().Version)
 	}
 	for _, f := range []*Follower{begun, refuses, other, empty} {
-		mustExchangePoll(t, f, p, 1500*time.Millisecond)
+		mustExchangePoll(t, f, publisher, 1500*time.Millisecond)
 	}
 	// A halted version does not settle, even if a log entry says so.
-	g.mustApply(Entry{Settle: 2})
-	if g.catalog.Settled != 0 || p.oldestActive() != 1 {
-		t.Errorf("settled %d, to settle %d", g.catalog.Settled, p.oldestActive())
+	log.mustApply(Entry{Settle: 2})
+	if log.catalog.Settled != 0 || publisher.oldestActive() != 1 {
+		t.Errorf("settled %d, to settle %d", log.catalog.Settled, publisher.oldestActive())
 	}
 	// A rollback is a new version, and all followers get it.
-	g.mustApply(Entry{By: "ann", Rollback: &Rollback{Base: 2, To: 1}})
-	if g.catalog.Version != 3 || g.catalog.Halt != nil {
-		t.Fatalf("version %d, halt %v", g.catalog.Version, g.catalog.Halt)
+	log.mustApply(Entry{By: "ann", Rollback: &Rollback{Base: 2, To: 1}})
+	if log.catalog.Version != 3 || log.catalog.Halt != nil {
+		t.Fatalf("version %d, halt %v", log.catalog.Version, log.catalog.Halt)
 	}
 	for _, f := range []*Follower{begun, refuses, other, empty} {
-		if _, err := exchangePoll(t, f, p, 2*time.Second); err != nil || f.Active().Version != 3 || goldRate(t, f.Active()) != 100 {
+		if _, err := exchangePoll(t, f, publisher, 2*time.Second); err != nil || f.Active().Version != 3 || goldRate(t, f.Active()) != 100 {
 			t.Errorf("%s: %v, version %d", f.cfg.Name, err, f.Active().Version)
 		}
 	}
@@ -635,19 +645,19 @@
 // If a settled version is halted, new followers get the version before: that must become the settled
 // version again, or their ceilings would not be taken into account.
 func TestHaltOfSettledVersion(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0, "a", "b")
-	g.push(200)
-	g.push(100)
-	g.mustApply(Entry{Settle: 2})
-	g.mustApply(Entry{Halt: &Halted{Version: 2, Follower: "b"}})
-	for now := time.Duration(0); now <= p.timing.Lease; now += time.Second {
-		p.Tick(now)
-	}
-	if g.catalog.Settled != 1 || p.oldestActive() != 1 {
-		t.Errorf("settled %d, to settle %d, want 1: a new follower gets version 1", g.catalog.Settled, p.oldestActive())
-	}
-	if err := g.catalog.Verify(); err != nil {
+	log := newTestLog(t)
+	publisher := log.newPublisher(0, "a", "b")
+	log.push(200)
+	log.push(100)
+	log.mustApply(Entry{Settle: 2})
+	log.mustApply(Entry{Halt: &Halted{Version: 2, Follower: "b"}})
+	for now := time.Duration(0); now <= publisher.timing.Lease; now += time.Second {
+		publisher.Tick(now)
+	}
+	if log.catalog.Settled != 1 || publisher.oldestActive() != 1 {
+		t.Errorf("settled %d, to settle %d, want 1: a new follower gets version 1", log.catalog.Settled, publisher.oldestActive())
+	}
+	if err := log.catalog.Verify(); err != nil {
 		t.Error(err)
 	}
 }
@@ -656,32 +666,32 @@
 // version that was not halted must be sent, and not the first halted one (found by
 // internal/distsim).
 func TestHaltAfterHalt(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0, "a")
-	g.push(1)
-	g.mustApply(Entry{Settle: 1})
+	log := newTestLog(t)
+	publisher := log.newPublisher(0, "a")
+	log.push(1)
+	log.mustApply(Entry{Settle: 1})
 	for v := uint64(2); v <= 4; v++ {
-		g.push(float64(v))
-		g.mustApply(Entry{Settle: v}) // only followers that use it have valid leases
-		g.mustApply(Entry{Halt: &Halted{Version: v, Follower: "b"}})
-		if p.target() != 1 || g.catalog.Settled != 1 {
-			t.Fatalf("version %d is the target, %d has settled", p.target(), g.catalog.Settled)
+		log.push(float64(v))
+		log.mustApply(Entry{Settle: v}) // only followers that use it have valid leases
+		log.mustApply(Entry{Halt: &Halted{Version: v, Follower: "b"}})
+		if publisher.target() != 1 || log.catalog.Settled != 1 {
+			t.Fatalf("version %d is the target, %d has settled", publisher.target(), log.catalog.Settled)
 		}
 	}
-	f := g.follower("a", nil)
-	if mustExchangePoll(t, f, p, 0); f.Active().Version != 1 || g.catalog.Verify() != nil {
-		t.Fatalf("version %d, %v", f.Active().Version, g.catalog.Verify())
+	follower := log.newFollower("a", nil)
+	if mustExchangePoll(t, follower, publisher, 0); follower.Active().Version != 1 || log.catalog.Verify() != nil {
+		t.Fatalf("version %d, %v", follower.Active().Version, log.catalog.Verify())
 	}
 	// However many versions come before and after it, the fallback is kept.
-	g.push(5)
+	log.push(5)
 	for range maxHistory + 5 {
-		g.mustApply(Entry{Settle: g.catalog.Version})
-		g.push(g.catalog.Set().goldCeiling() + 1)
+		log.mustApply(Entry{Settle: log.catalog.Version})
+		log.push(log.catalog.Set().goldCeiling() + 1)
 	}
-	g.mustApply(Entry{Settle: g.catalog.Version})
-	g.mustApply(Entry{Halt: &Halted{Version: g.catalog.Version}})
-	if p.target() != g.catalog.Version-1 || g.catalog.Verify() != nil || p.state().Version != g.catalog.Version-1 {
-		t.Errorf("version %d of %d is the target", p.target(), g.catalog.Version)
+	log.mustApply(Entry{Settle: log.catalog.Version})
+	log.mustApply(Entry{Halt: &Halted{Version: log.catalog.Version}})
+	if publisher.target() != log.catalog.Version-1 || log.catalog.Verify() != nil || publisher.state().Version != log.catalog.Version-1 {
+		t.Errorf("version %d of %d is the target", publisher.target(), log.catalog.Version)
 	}
 }
 
@@ -694,46 +704,46 @@
 // settle before each follower with a valid lease reports it as active, nor before followers that the
 // publisher has not heard of had a lease's time to poll, after its start or a pause.
 func TestSettlingWaitsForAllValidLeases(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0, "a", "b")
-	a, b := g.follower("a", nil), g.follower("b", nil)
-	g.push(100)
-	if mustExchangePoll(t, a, p, 0); p.oldestActive() != 0 {
+	log := newTestLog(t)
+	publisher := log.newPublisher(0, "a", "b")
+	a, b := log.newFollower("a", nil), log.newFollower("b", nil)
+	log.push(100)
+	if mustExchangePoll(t, a, publisher, 0); publisher.oldestActive() != 0 {
 		t.Error("the version settles before all followers in the log have polled")
 	}
-	mustExchangePoll(t, b, p, 0)
-	mustExchangePoll(t, a, p, time.Second)
-	if p.oldestActive() != 0 {
+	mustExchangePoll(t, b, publisher, 0)
+	mustExchangePoll(t, a, publisher, time.Second)
+	if publisher.oldestActive() != 0 {
 		t.Error("the version settles when it is sent, before it is reported as active")
 	}
-	mustExchangePoll(t, b, p, time.Second)
-	if p.oldestActive() != 1 {
-		t.Errorf("version %d settles, want 1", p.oldestActive())
+	mustExchangePoll(t, b, publisher, time.Second)
+	if publisher.oldestActive() != 1 {
+		t.Errorf("version %d settles, want 1", publisher.oldestActive())
 	}
 	// A follower that stops polling delays settling until its lease expires.
-	g.mustApply(Entry{Settle: 1})
-	g.push(200)
-	mustExchangePoll(t, a, p, 2*time.Second)
-	mustExchangePoll(t, a, p, 3*time.Second)
+	log.mustApply(Entry{Settle: 1})
+	log.push(200)
+	mustExchangePoll(t, a, publisher, 2*time.Second)
+	mustExchangePoll(t, a, publisher, 3*time.Second)
 	if goldRate(t, a.Active()) != 100 {
 		t.Error("the raise applies before it has settled")
 	}
 	for now := 4 * time.Second; now < 8*time.Second; now += 500 * time.Millisecond {
-		mustExchangePoll(t, a, p, now)
-		if want := uint64(1); now < 5*time.Second && p.oldestActive() != want {
-			t.Fatalf("version %d settles at %v, want 1", p.oldestActive(), now)
+		mustExchangePoll(t, a, publisher, now)
+		if want := uint64(1); now < 5*time.Second && publisher.oldestActive() != want {
+			t.Fatalf("version %d settles at %v, want 1", publisher.oldestActive(), now)
 		}
 	}
-	if p.oldestActive() != 2 {
-		t.Fatalf("version %d settles, want 2: the lease of the silent follower has expired", p.oldestActive())
+	if publisher.oldestActive() != 2 {
+		t.Fatalf("version %d settles, want 2: the lease of the silent follower has expired", publisher.oldestActive())
 	}
-	g.mustApply(Entry{Settle: 2})
-	if mustExchangePoll(t, a, p, 8*time.Second); goldRate(t, a.Active()) != 200 {
+	log.mustApply(Entry{Settle: 2})
+	if mustExchangePoll(t, a, publisher, 8*time.Second); goldRate(t, a.Active()) != 200 {
 		t.Error("the raise does not apply after it has settled")
 	}
 	// A new leader does not know who polled before, and waits for a lease.
-	g.push(300)
-	next := NewPublisher(p.timing, g.catalog, 10*time.Second)
+	log.push(300)
+	next := NewPublisher(publisher.timing, log.catalog, 10*time.Second)
 	mustExchangePoll(t, a, next, 10*time.Second)
 	mustExchangePoll(t, a, next, 11*time.Second)
 	if next.oldestActive() != 0 {
@@ -749,7 +759,7 @@
 		t.Errorf("version %d settles, want 3", next.oldestActive())
 	}
 	// A publisher that was paused for long has missed polls, so it waits again.
-	g.push(400)
+	log.push(400)
 	next.Tick(30 * time.Second)
 	if next.oldestActive() != 0 {
 		t.Errorf("version %d settles right after a pause", next.oldestActive())
@@ -759,17 +769,17 @@
 // A follower that is not in the log yet must get nothing: a new leader would not wait for it, and
 // would settle versions that it does not use.
 func TestFollowerGetsNothingBeforeItIsInTheLog(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0)
-	g.push(1)
-	f := g.follower("a", nil)
-	if _, held, _ := p.Poll(0, nextPoll(t, f, 0)); !held {
+	log := newTestLog(t)
+	publisher := log.newPublisher(0)
+	log.push(1)
+	follower := log.newFollower("a", nil)
+	if _, held, _ := publisher.Poll(0, nextPoll(t, follower, 0)); !held {
 		t.Fatal("the poll is answered before the follower is in the log")
 	}
-	for _, e := range p.Tick(0) {
-		g.mustApply(e)
+	for _, e := range publisher.Tick(0) {
+		log.mustApply(e)
 	}
-	if a := p.Due(0); len(a) != 1 || a[0].Reply.Difference == nil {
+	if a := publisher.Due(0); len(a) != 1 || a[0].Reply.Difference == nil {
 		t.Errorf("%+v", a)
 	}
 }
@@ -777,30 +787,30 @@
 // A version that can't be stored must be activated all the same, the error reported with each poll,
 // and storing retried with the full state.
 func TestStorageErrorIsReportedAndRetried(t *testing.T) {
-	g := newTestLog(t)
-	p := g.publisher(0, "a")
-	g.push(1)
-	f := g.follower("a", nil)
+	log := newTestLog(t)
+	publisher := log.newPublisher(0, "a")
+	log.push(1)
+	follower := log.newFollower("a", nil)
 	full := errors.New("no space")
-	q := nextPoll(t, f, 0)
-	r, _, _ := p.Poll(0, q)
-	if save, err := f.Replied(0, q.Number, r); save == nil || err != nil {
+	q := nextPoll(t, follower, 0)
+	r, _, _ := publisher.Poll(0, q)
+	if save, err := follower.Replied(0, q.Number, r); save == nil || err != nil {
 		t.Fatal(err)
 	}
-	if u := f.Saved(0, full); u == nil || u.Version != 1 {
+	if u := follower.Saved(0, full); u == nil || u.Version != 1 {
 		t.Fatal("a version that could not be stored is not activated")
 	}
-	f.Activated(0)
+	follower.Activated(0)
 	for now := time.Second; now < 3*time.Second; now += time.Second {
-		q := nextPoll(t, f, now)
+		q := nextPoll(t, follower, now)
 		if q.StorageError != "no space" {
 			t.Errorf("storage error %q, want \"no space\"", q.StorageError)
 		}
-		_, _, _ = p.Poll(now, q)
-		if s := p.Status(now).Followers[0]; s.Why != "no space" || s.Sync != SyncInForce {
+		_, _, _ = publisher.Poll(now, q)
+		if s := publisher.Status(now).Followers[0]; s.Why != "no space" || s.Sync != SyncInForce {
 			t.Errorf("%+v", s)
 		}
-		save, err := f.Replied(now, q.Number, Reply{})
+		save, err := follower.Replied(now, q.Number, Reply{})
 		if err != nil || (save != nil) != (now >= storeRetryInterval) {
 			t.Fatalf("%v: %+v, %v", now, save, err)
 		}
@@ -808,11 +818,11 @@
 			if !save.Full || len(save.Set) != 1 || save.Version != 1 {
 				t.Errorf("%+v, want the full state", save)
 			}
-			f.Saved(now, nil)
-			f.Activated(now)
+			follower.Saved(now, nil)
+			follower.Activated(now)
 		}
 	}
-	if q := nextPoll(t, f, 4*time.Second); q.StorageError != "" {
+	if q := nextPoll(t, follower, 4*time.Second); q.StorageError != "" {
 		t.Errorf("storage error %q is reported after storing succeeded", q.StorageError)
 	}
 }
--- a/distribution/distribution_test.go
+++ b/distribution/distribution_test.go
@@ -17,9 +17,9 @@
 // A version must reach a follower as a difference, and a raised ceiling must apply only once
 // all followers with valid leases have the version.
 func TestVersionIsActivatedAndSettles(t *testing.T) {
-	c := NewCatalog()
-	p := NewPublisher(DefaultTiming(), c, 0)
-	f, err := NewFollower(FollowerConfig{Name: "n1", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, nil, 1, 0)
+	catalog := NewCatalog()
+	publisher := NewPublisher(DefaultTiming(), catalog, 0)
+	follower, err := NewFollower(FollowerConfig{Name: "n1", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, nil, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,46 +27,46 @@
 	put := func(e Entry) {
 		t.Helper()
 		index++
-		if err := c.Apply(index, e); err != nil {
+		if err := catalog.Apply(index, e); err != nil {
 			t.Fatal(err)
 		}
 	}
 	push := func(rate float64) {
 		t.Helper()
 		r := planOf(t, "gold", rate)
-		put(Entry{Push: &Push{Base: c.Version, Set: []Resource{r}, Hash: c.Set().with([]Resource{r}, nil).Sum()}})
+		put(Entry{Push: &Push{Base: catalog.Version, Set: []Resource{r}, Hash: catalog.Set().with([]Resource{r}, nil).Sum()}})
 	}
 	run := func(from, to time.Duration) {
 		t.Helper()
 		for now := from; now < to; now += 10 * time.Millisecond {
-			p.LeadershipConfirmed(now) // confirmed by a majority throughout
+			publisher.LeadershipConfirmed(now) // confirmed by a majority throughout
 			take := func(n uint64, r Reply) {
-				save, err := f.Replied(now, n, r)
+				save, err := follower.Replied(now, n, r)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if save != nil {
-					f.Saved(now, nil)
-					f.Activated(now)
+					follower.Saved(now, nil)
+					follower.Activated(now)
 				}
 			}
-			if ask := f.Tick(now); ask != nil {
-				if r, held, err := p.Poll(now, ask.Poll); err != nil {
+			if ask := follower.Tick(now); ask != nil {
+				if r, held, err := publisher.Poll(now, ask.Poll); err != nil {
 					t.Fatal(err)
 				} else if !held {
 					take(ask.Poll.Number, r)
 				}
 			}
-			for _, a := range p.Due(now) {
+			for _, a := range publisher.Due(now) {
 				take(a.Number, a.Reply)
 			}
-			for _, e := range p.Tick(now) {
+			for _, e := range publisher.Tick(now) {
 				put(e)
 			}
 		}
 	}
 	ceiling := func() float64 {
-		plan, err := f.Active().Plan(KeyOf(KindPlan, "gold"))
+		plan, err := follower.Active().Plan(KeyOf(KindPlan, "gold"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,20 +74,21 @@
 	}
 	push(100)
 	run(0, time.Second)
-	if f.Active().Version != 1 || c.Settled != 1 || ceiling() != 100 {
-		t.Fatalf("version %d, settled %d, ceiling %v", f.Active().Version, c.Settled, ceiling())
+	if follower.Active().Version != 1 || catalog.Settled != 1 || ceiling() != 100 {
+		t.Fatalf("version %d, settled %d, ceiling %v", follower.Active().Version, catalog.Settled, ceiling())
 	}
 	// Another follower stays behind: the raise must not apply before its lease has expired.
-	if _, held, err := p.Poll(time.Second, Poll{Follower: "n2", Incarnation: 1, Number: 1, Version: 1, Hash: c.Hash, Settled: 1}); err != nil || !held {
+	if _, held, err := publisher.Poll(time.Second, Poll{Follower: "n2", Incarnation: 1, Number: 1,
+		Version: 1, Hash: catalog.Hash, Settled: 1}); err != nil || !held {
 		t.Fatal(held, err)
 	}
 	push(200)
 	run(time.Second, 2*time.Second)
-	if f.Active().Version != 2 || c.Settled != 1 || ceiling() != 100 {
-		t.Fatalf("version %d, settled %d, ceiling %v", f.Active().Version, c.Settled, ceiling())
+	if follower.Active().Version != 2 || catalog.Settled != 1 || ceiling() != 100 {
+		t.Fatalf("version %d, settled %d, ceiling %v", follower.Active().Version, catalog.Settled, ceiling())
 	}
 	run(2*time.Second, 7*time.Second)
-	if c.Settled != 2 || ceiling() != 200 {
-		t.Fatalf("settled %d, ceiling %v; %+v", c.Settled, ceiling(), p.Status(7*time.Second))
+	if catalog.Settled != 2 || ceiling() != 200 {
+		t.Fatalf("settled %d, ceiling %v; %+v", catalog.Settled, ceiling(), publisher.Status(7*time.Second))
 	}
 }
