--- a/cmd/wickarch-fleet/config.go
+++ b/cmd/wickarch-fleet/config.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	version, err := f.sendConfigOrder(distribution.Entry{Back: &distribution.Back{Base: newest.Version, To: c.To}})
+	version, err := f.sendConfigOrder(distribution.Entry{Rollback: &distribution.Rollback{Base: newest.Version, To: c.To}})
 	if err != nil {
 		return err
 	}
@@ -205,14 +205,14 @@
 			names = append(names, s.Region)
 		}
 		r.all++
-		if s.Standing == distribution.InForce {
+		if s.Sync == distribution.SyncInForce {
 			r.inForce++
 		} else {
 			missing++
 		}
-		if all || s.Standing != distribution.InForce && missing <= maxListedMissing {
+		if all || s.Sync != distribution.SyncInForce && missing <= maxListedMissing {
 			fmt.Fprintf(table, "%s\t%s\tversion %d\t%s\tlast poll %v ago\t%s\n",
-				s.Name, s.Region, s.Version, s.Standing, s.Heard.Round(100*time.Millisecond), s.Why)
+				s.Name, s.Region, s.Version, s.Sync, s.SinceLastPoll.Round(100*time.Millisecond), s.Why)
 		}
 	}
 	slices.Sort(names)
@@ -240,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := configfile.Text(set)
+	text, err := configfile.Format(set)
 	if err != nil {
 		return err
 	}
--- a/distribution/catalog.go
+++ b/distribution/catalog.go
@@ -8,77 +8,77 @@
 	"slices"
 )
 
-// Bounds on what the log keeps.
+// Limits on what the log keeps.
 const (
-	MostFollowers  = 10_000
-	mostPast       = 512     // versions that can be gone back to, and that differences can begin from
-	mostPastBytes  = 1 << 20 // of what they replaced, beyond the newest one
-	mostPastWaits  = 4 << 20 // and while they have not settled
-	mostRequests   = 256     // operators' requests remembered, so that one sent again counts once
-	mostFollowName = 64
+	MaxFollowers      = 10_000
+	maxHistory        = 512     // versions kept for rollbacks and as bases of differences
+	maxHistoryBytes   = 1 << 20 // of the resources that they replaced, beyond the newest version
+	maxUnsettledBytes = 4 << 20 // the same while versions have not settled
+	maxOutcomes       = 256     // operators' requests remembered, so that a repeated one is applied once
+	maxFollowerName   = 64
 )
 
-// Old is what a resource was before a change.
-type Old struct {
+// PreviousResource is a resource as it was before a change.
+type PreviousResource struct {
 	Key  Key             `json:"key"`
-	Data json.RawMessage `json:"data,omitempty"` // nil: it was not there
+	Data json.RawMessage `json:"data,omitempty"` // nil: it did not exist
 	Line int             `json:"line,omitempty"`
 }
 
-// Past is one version and what it replaced.
-type Past struct {
-	Version uint64 `json:"version"`
-	Hash    Hash   `json:"hash"`
-	Prior   Hash   `json:"prior"` // of the version before
-	By      string `json:"by,omitempty"`
-	Halted  bool   `json:"halted,omitempty"`
-	Before  []Old  `json:"before"` // in the order of their keys
+// VersionRecord is one version and the resources that it replaced.
+type VersionRecord struct {
+	Version  uint64             `json:"version"`
+	Hash     Hash               `json:"hash"`
+	Prior    Hash               `json:"prior"` // hash of the version before
+	By       string             `json:"by,omitempty"`
+	Halted   bool               `json:"halted,omitempty"`
+	Replaced []PreviousResource `json:"before"` // sorted by key
 }
 
-func (p Past) size() (n int) {
-	for _, o := range p.Before {
+func (p VersionRecord) size() (n int) {
+	for _, o := range p.Replaced {
 		n += len(o.Key) + len(o.Data) + 64
 	}
 	return n
 }
 
-// Push is a change that an operator wants.
+// Push is a change that an operator requests.
 type Push struct {
-	Base   uint64     `json:"base"` // the version that it begins from (compare and set)
+	Base   uint64     `json:"base"` // the version that it applies to (compare and set)
 	Set    []Resource `json:"set,omitempty"`
 	Delete []Key      `json:"delete,omitempty"`
-	Hash   Hash       `json:"hash"` // of what comes out
+	Hash   Hash       `json:"hash"` // of the resulting set
 }
 
-// Back wants an earlier version's resources in force again, as a new version.
-type Back struct {
+// Rollback restores the resources of an earlier version, as a new version.
+type Rollback struct {
 	Base uint64 `json:"base"`
 	To   uint64 `json:"to"`
 }
 
-// Join takes followers into the log, so that whoever leads next knows them.
+// Join records followers in the log, so that the next leader knows them.
 type Join struct {
 	Followers map[string]string `json:"followers"` // regions by name
 }
 
-// Entry is one entry of the log. One of its fields but Request and By is set.
+// Entry is one entry of the log. Besides Request and By exactly one field is set.
 type Entry struct {
-	Request string  `json:"request,omitempty"` // an operator's, so that it counts once
-	By      string  `json:"by,omitempty"`
-	Push    *Push   `json:"push,omitempty"`
-	Back    *Back   `json:"back,omitempty"`
-	Halt    *Halted `json:"halt,omitempty"`
-	Settle  uint64  `json:"settle,omitempty"`
-	Join    *Join   `json:"join,omitempty"`
-	Forget  string  `json:"forget,omitempty"`
+	Request  string    `json:"request,omitempty"` // ID of an operator's request, so that a repeated one is applied once
+	By       string    `json:"by,omitempty"`
+	Push     *Push     `json:"push,omitempty"`
+	Rollback *Rollback `json:"back,omitempty"`
+	Halt     *Halted   `json:"halt,omitempty"`
+	Settle   uint64    `json:"settle,omitempty"`
+	Join     *Join     `json:"join,omitempty"`
+	Forget   string    `json:"forget,omitempty"`
 }
 
-// Check tells why an operator's entry is not to go into the log at all: it holds more than
-// any version may, as a *TooLarge, or names that are none, as a *BadRequest. What a log takes
-// stays in it for long, and is sent to all coordinators.
+// Check reports why an operator's entry must not be proposed at all: it holds more than any version
+// may, as a *TooLarge, or has names that are too long, as a *BadRequest. An entry stays in the log
+// for long, and is sent to all coordinators.
 func (e Entry) Check() error {
-	if len(e.Request) > mostName || len(e.By) > mostName || len(e.Forget) > mostFollowName {
-		return &BadRequest{fmt.Sprintf("a request's number and its operator have %d characters at most", mostName)}
+	if len(e.Request) > maxNameLength || len(e.By) > maxNameLength || len(e.Forget) > maxFollowerName {
+		return &BadRequest{fmt.Sprintf("the request's id and the operator's name may have at most %d characters", maxNameLength)}
 	}
 	if e.Push != nil {
 		return e.Push.check()
@@ -87,65 +87,66 @@
 }
 
 func (p *Push) check() error {
-	if n, size := len(p.Set), sizeOf(p.Set); n > MostResources || size > MostState {
+	if n, size := len(p.Set), sizeOf(p.Set); n > MaxResources || size > MaxStateBytes {
 		return &TooLarge{n, size}
 	}
-	if len(p.Delete) > MostResources {
-		return &BadRequest{fmt.Sprintf("%d resources are to go, %d at most", len(p.Delete), MostResources)}
+	if len(p.Delete) > MaxResources {
+		return &BadRequest{fmt.Sprintf("%d resources are to go, %d at most", len(p.Delete), MaxResources)}
 	}
 	for _, k := range p.Delete {
-		if len(k) > MostResource {
+		if len(k) > MaxResourceBytes {
 			return &BadRequest{"a key is too long"}
 		}
 	}
 	return nil
 }
 
-// CheckOrder tells why an entry is no order of an operator's, as Check does or as a *BadRequest.
-func (e Entry) CheckOrder() error {
-	orders := 0
-	for _, is := range []bool{e.Push != nil, e.Back != nil, e.Forget != ""} {
-		if is {
-			orders++
+// CheckOperatorRequest reports why an entry is not a valid operator's request, as Check does or as a
+// *BadRequest.
+func (e Entry) CheckOperatorRequest() error {
+	requests := 0
+	for _, set := range []bool{e.Push != nil, e.Rollback != nil, e.Forget != ""} {
+		if set {
+			requests++
 		}
 	}
-	if orders != 1 || e.Halt != nil || e.Settle > 0 || e.Join != nil || e.Request == "" {
-		return &BadRequest{"a push, a way back or a follower to forget is wanted, and a name for the request"}
+	if requests != 1 || e.Halt != nil || e.Settle > 0 || e.Join != nil || e.Request == "" {
+		return &BadRequest{"exactly one of push, back and forget is required, and a request id"}
 	}
 	return e.Check()
 }
 
-// Outcome is what came of an operator's request.
+// Outcome is the result of an operator's request.
 type Outcome struct {
 	ID      string          `json:"id"`
-	Version uint64          `json:"version"` // that it made
+	Version uint64          `json:"version"` // that was the newest after it
 	Kind    string          `json:"kind,omitempty"`
 	Err     json.RawMessage `json:"err,omitempty"`
 }
 
-// Catalog is what the log says of configuration. The same entries make the same
-// catalog everywhere.
+// Catalog is the state of configuration that the log's entries produce. The same entries produce
+// the same catalog on each coordinator.
 type Catalog struct {
-	Index     uint64            `json:"index"` // of the last entry applied
+	Index     uint64            `json:"index"` // index of the last entry applied
 	Version   uint64            `json:"version"`
 	Hash      Hash              `json:"hash"`
 	By        string            `json:"by,omitempty"` // who made the newest version
-	Resources []Resource        `json:"resources"`    // in the order of their keys
-	Past      []Past            `json:"past"`         // oldest first, up to the newest version
-	Settled   uint64            `json:"settled"`      // nobody that is heard decides by an older version
+	Resources []Resource        `json:"resources"`    // sorted by key
+	History   []VersionRecord   `json:"past"`         // oldest first, up to the newest version
+	Settled   uint64            `json:"settled"`      // no follower with a valid lease uses an older version
 	Halt      *Halted           `json:"halt,omitempty"`
 	Followers map[string]string `json:"followers"` // regions by name
-	Requests  []Outcome         `json:"requests"`  // the last ones, oldest first
+	Requests  []Outcome         `json:"requests"`  // the most recent ones, oldest first
 
 	set Set // of Resources
 }
 
-// NewCatalog is the catalog of an empty log: version 0, with nothing in it.
+// NewCatalog returns the catalog of an empty log: version 0 without resources.
 func NewCatalog() *Catalog {
 	return &Catalog{Hash: Set{}.Sum(), Followers: map[string]string{}}
 }
 
-// Set is all that the newest version configures. It must not be changed.
+// Set returns the resources of the newest version. It is read-only.
 func (c *Catalog) Set() Set {
 	if c.set == nil {
 		c.set = make(Set, len(c.Resources))
@@ -156,27 +157,27 @@
 	return c.set
 }
 
-// Oldest is the oldest version that is kept.
+// Oldest returns the oldest version that is kept.
 func (c *Catalog) Oldest() uint64 {
-	if len(c.Past) == 0 {
+	if len(c.History) == 0 {
 		return c.Version
 	}
-	return c.Past[0].Version - 1
+	return c.History[0].Version - 1
 }
 
-// Fallback is the newest version before the newest one that was not halted: what is given out
-// while the newest one is.
+// Fallback returns the newest version before the newest one that was not halted. It is distributed
+// while the newest one is halted.
 func (c *Catalog) Fallback() uint64 {
 	oldest, v := c.Oldest(), c.Version
 	for v > oldest {
-		if v--; v == oldest || !c.Past[v-oldest-1].Halted {
+		if v--; v == oldest || !c.History[v-oldest-1].Halted {
 			break
 		}
 	}
 	return v
 }
 
-// hashAt is the hash of a version; false if that is not kept.
+// hashAt returns the hash of a version; false if that is not kept.
 func (c *Catalog) hashAt(v uint64) (Hash, bool) {
 	switch {
 	case v == c.Version:
@@ -184,34 +185,34 @@
 	case v > c.Version || v < c.Oldest():
 		return Hash{}, false
 	}
-	return c.Past[v-c.Oldest()].Prior, true
+	return c.History[v-c.Oldest()].Prior, true
 }
 
-// since is what the resources that have changed after a version were in it, in the
-// order of their keys, as far as versions up to another one changed them.
-func (c *Catalog) since(v, upTo uint64) (olds []Old) {
+// replacedSince returns the resources that changed after version v, up to version upTo, as they
+// were in v, sorted by key.
+func (c *Catalog) replacedSince(v, upTo uint64) (previous []PreviousResource) {
 	seen := map[Key]bool{}
-	for _, p := range c.Past {
+	for _, p := range c.History {
 		if p.Version <= v || p.Version > upTo {
 			continue
 		}
-		for _, o := range p.Before {
-			if !seen[o.Key] { // the first change after v is the one that replaced v's
+		for _, o := range p.Replaced {
+			if !seen[o.Key] { // the first change after v replaced what was in v
 				seen[o.Key] = true
-				olds = append(olds, o)
+				previous = append(previous, o)
 			}
 		}
 	}
-	slices.SortFunc(olds, func(a, b Old) int {
+	slices.SortFunc(previous, func(a, b PreviousResource) int {
 		if a.Key < b.Key {
 			return -1
 		}
 		return 1
 	})
-	return olds
+	return previous
 }
 
-// At is the set of a version that is kept.
+// At returns the set of a version that is kept.
 func (c *Catalog) At(v uint64) (Set, error) {
 	if v > c.Version || v < c.Oldest() {
 		return nil, &NoSuchVersion{v, c.Oldest(), c.Version}
@@ -220,7 +221,7 @@
 		return c.Set(), nil
 	}
 	s := maps.Clone(c.Set())
-	for _, o := range c.since(v, c.Version) {
+	for _, o := range c.replacedSince(v, c.Version) {
 		if o.Data == nil {
 			delete(s, o.Key)
 		} else {
@@ -230,24 +231,23 @@
 	return s, nil
 }
 
-// difference is what leads from one kept version to a later one.
-func (c *Catalog) difference(from, to uint64) (set []Resource, without []Key, err error) {
+// difference returns the change from one kept version to a later one.
+func (c *Catalog) difference(from, to uint64) (set []Resource, removed []Key, err error) {
 	target, err := c.At(to)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, o := range c.since(from, to) {
-		if r, there := target[o.Key]; !there {
-			without = append(without, o.Key)
+	for _, o := range c.replacedSince(from, to) {
+		if r, ok := target[o.Key]; !ok {
+			removed = append(removed, o.Key)
 		} else {
 			set = append(set, r)
 		}
 	}
-	return set, without, nil
+	return set, removed, nil
 }
 
-// Apply applies one entry with its place in the log. The error is why it changed
-// nothing.
+// Apply applies one entry with its index in the log. The error reports why it changed nothing.
 func (c *Catalog) Apply(index uint64, e Entry) error {
 	if index <= c.Index {
 		return nil
@@ -257,22 +257,22 @@
 		return c.apply(e)
 	}
 	for _, done := range c.Requests {
-		if done.ID == e.Request { // sent again: it counts once, and gets the same answer
+		if done.ID == e.Request { // a repeated request is applied once and gets the same answer
 			return done.error()
 		}
 	}
 	err := c.apply(e)
 	done := Outcome{ID: e.Request, Version: c.Version}
-	done.note(err)
+	done.setError(err)
 	c.Requests = append(c.Requests, done)
-	if len(c.Requests) > mostRequests {
-		c.Requests = slices.Delete(c.Requests, 0, len(c.Requests)-mostRequests)
+	if len(c.Requests) > maxOutcomes {
+		c.Requests = slices.Delete(c.Requests, 0, len(c.Requests)-maxOutcomes)
 	}
 	return err
 }
 
-// note keeps an error, so that it can be given once more.
-func (o *Outcome) note(err error) {
+// setError stores an error, so that it can be returned again.
+func (o *Outcome) setError(err error) {
 	if err == nil {
 		return
 	}
@@ -297,9 +297,9 @@
 	return nil
 }
 
-// Made is the version that an operator's request made, or met where it made none; false if
-// the request is not remembered.
-func (c *Catalog) Made(request string) (version uint64, known bool) {
+// RequestVersion returns the newest version after an operator's request was applied, which it need
+// not have created; false if the request is not remembered.
+func (c *Catalog) RequestVersion(request string) (version uint64, known bool) {
 	for _, done := range c.Requests {
 		if done.ID == request {
 			return done.Version, true
@@ -312,13 +312,13 @@
 	switch {
 	case e.Push != nil:
 		return c.push(e.By, *e.Push)
-	case e.Back != nil:
-		return c.back(e.By, *e.Back)
+	case e.Rollback != nil:
+		return c.rollback(e.By, *e.Rollback)
 	case e.Halt != nil:
 		if e.Halt.Version == c.Version && c.Version > 0 && c.Halt == nil {
 			c.Halt = e.Halt
-			c.Past[len(c.Past)-1].Halted = true
-			// Whoever comes from now on decides by an earlier one, and ceilings are held so.
+			c.History[len(c.History)-1].Halted = true
+			// Followers that come from now on get an earlier version, and ceilings are kept for it.
 			c.Settled = min(c.Settled, c.Fallback())
 		}
 	case e.Settle > 0:
@@ -328,7 +328,7 @@
 		}
 	case e.Join != nil:
 		for _, name := range slices.Sorted(maps.Keys(e.Join.Followers)) {
-			if _, known := c.Followers[name]; known || len(c.Followers) < MostFollowers {
+			if _, known := c.Followers[name]; known || len(c.Followers) < MaxFollowers {
 				c.Followers[name] = e.Join.Followers[name]
 			}
 		}
@@ -341,7 +341,7 @@
 	return nil
 }
 
-func (c *Catalog) back(by string, b Back) error {
+func (c *Catalog) rollback(by string, b Rollback) error {
 	if b.Base != c.Version {
 		return &Conflict{b.Base, c.Version, c.By}
 	}
@@ -350,8 +350,8 @@
 		return err
 	}
 	p := Push{Base: b.Base, Hash: target.Sum()}
-	for _, o := range c.since(b.To, c.Version) {
-		if r, there := target[o.Key]; there {
+	for _, o := range c.replacedSince(b.To, c.Version) {
+		if r, ok := target[o.Key]; ok {
 			p.Set = append(p.Set, r)
 		} else {
 			p.Delete = append(p.Delete, o.Key)
@@ -367,18 +367,18 @@
 	if p.Base != c.Version {
 		return &Conflict{p.Base, c.Version, c.By}
 	}
-	if waits := int(c.Version - c.Settled); waits >= mostPast || waits > 0 && c.pastBytes() > mostPastWaits {
-		return &Unsettled{waits}
+	if unsettled := int(c.Version - c.Settled); unsettled >= maxHistory || unsettled > 0 && c.historyBytes() > maxUnsettledBytes {
+		return &Unsettled{unsettled}
 	}
-	before, old := c.Set(), Past{Version: c.Version + 1, Prior: c.Hash, By: by}
-	next := before.with(p.Set, p.Delete)
+	previous, record := c.Set(), VersionRecord{Version: c.Version + 1, Prior: c.Hash, By: by}
+	next := previous.with(p.Set, p.Delete)
 	if err := next.Check(); err != nil {
 		return err
 	}
-	if old.Hash = next.Sum(); old.Hash != p.Hash {
-		return &WrongHash{old.Version, old.Hash, p.Hash}
+	if record.Hash = next.Sum(); record.Hash != p.Hash {
+		return &WrongHash{record.Version, record.Hash, p.Hash}
 	}
-	if old.Hash == c.Hash {
+	if record.Hash == c.Hash {
 		return &NothingChanged{c.Version}
 	}
 	touched := map[Key]bool{}
@@ -389,60 +389,60 @@
 		touched[k] = true
 	}
 	for _, k := range slices.Sorted(maps.Keys(touched)) {
-		o := Old{Key: k}
-		if r, there := before[k]; there {
+		o := PreviousResource{Key: k}
+		if r, ok := previous[k]; ok {
 			o.Data, o.Line = r.Data, r.Line
 		}
 		if string(o.Data) != string(next[k].Data) {
-			old.Before = append(old.Before, o)
+			record.Replaced = append(record.Replaced, o)
 		}
 	}
-	c.Version, c.Hash, c.By, c.Halt = old.Version, old.Hash, by, nil
+	c.Version, c.Hash, c.By, c.Halt = record.Version, record.Hash, by, nil
 	c.set, c.Resources = next, next.List()
-	c.Past = append(c.Past, old)
+	c.History = append(c.History, record)
 	c.trim()
 	return nil
 }
 
-func (c *Catalog) pastBytes() (n int) {
-	for _, p := range c.Past {
+func (c *Catalog) historyBytes() (n int) {
+	for _, p := range c.History {
 		n += p.size()
 	}
 	return n
 }
 
-// trim drops the oldest versions beyond the bounds, but none after the settled one: what was
-// before those must be known while somebody may decide by it. The way back from a halt of
-// the newest one stays in any case, and the oldest one is none that was halted.
+// trim drops the oldest versions beyond the limits, but none after the settled one: what those
+// replaced must be known while a follower may use it. The fallback from a halt of the newest
+// version always stays, and the oldest version kept is never a halted one.
 func (c *Catalog) trim() {
-	bytes, drop, until := c.pastBytes(), 0, min(c.Settled, c.Fallback())
-	for i, p := range c.Past {
-		if p.Version > until || len(c.Past)-i <= mostPast && bytes <= mostPastBytes {
+	bytes, drop, oldestNeeded := c.historyBytes(), 0, min(c.Settled, c.Fallback())
+	for i, p := range c.History {
+		if p.Version > oldestNeeded || len(c.History)-i <= maxHistory && bytes <= maxHistoryBytes {
 			break
 		}
 		if bytes -= p.size(); !p.Halted {
 			drop = i + 1
 		}
 	}
-	c.Past = slices.Delete(c.Past, 0, drop)
+	c.History = slices.Delete(c.History, 0, drop)
 }
 
-// Verify tells whether a catalog that was kept is whole.
+// Verify checks a catalog that was read from storage for consistency.
 func (c *Catalog) Verify() error {
-	c.set = nil // it may be from before Resources were read
+	c.set = nil // may have been cached before Resources were read
 	if c.Followers == nil {
 		c.Followers = map[string]string{}
 	}
 	if sum := c.Set().Sum(); sum != c.Hash || len(c.Set()) != len(c.Resources) {
 		return &WrongHash{c.Version, sum, c.Hash}
 	}
-	n := uint64(len(c.Past))
+	n := uint64(len(c.History))
 	if n > c.Version || n == 0 && c.Version > 0 || c.Settled > c.Version {
-		return errors.New("distribution: the versions before are not those of the newest")
+		return errors.New("distribution: the version history does not lead to the newest version")
 	}
-	for i, p := range c.Past {
-		if p.Version != c.Version-n+1+uint64(i) || i > 0 && p.Prior != c.Past[i-1].Hash || p.Version == c.Version && p.Hash != c.Hash {
-			return errors.New("distribution: the versions before are not those of the newest")
+	for i, p := range c.History {
+		if p.Version != c.Version-n+1+uint64(i) || i > 0 && p.Prior != c.History[i-1].Hash || p.Version == c.Version && p.Hash != c.Hash {
+			return errors.New("distribution: the version history does not lead to the newest version")
 		}
 	}
 	if n > 0 {
@@ -450,8 +450,8 @@
 		if err != nil {
 			return err
 		}
-		if sum := oldest.Sum(); sum != c.Past[0].Prior {
-			return &WrongHash{c.Oldest(), sum, c.Past[0].Prior}
+		if sum := oldest.Sum(); sum != c.History[0].Prior {
+			return &WrongHash{c.Oldest(), sum, c.History[0].Prior}
 		}
 	}
 	return nil
--- a/internal/configfile/configfile.go
+++ b/internal/configfile/configfile.go
@@ -1,4 +1,4 @@
-// Package configfile reads and writes the operators' file of configuration
+// Package configfile reads and writes the operators' configuration file
 // (deploy/configuration.toml): plans, limits, services and routes as tables.
 package configfile
 
@@ -14,11 +14,11 @@
 	"wickarch/internal/tomlfile"
 )
 
-// mostFile bounds a file, in bytes: more than the text of the largest version.
-const mostFile = 4 * distribution.MostState
+// maxFileBytes is the max size of a file: more than the text of the largest version.
+const maxFileBytes = 4 * distribution.MaxStateBytes
 
-// file is the text of a file.
-type file struct {
+// document is the decoded file.
+type document struct {
 	Plan    map[string]distribution.Plan    `toml:"plan"`
 	Limit   map[string]float64              `toml:"limit"`
 	Service map[string]distribution.Service `toml:"service"`
@@ -26,13 +26,13 @@
 }
 
 // Load reads a file. The error is a *distribution.TooLarge, a *distribution.Refused with the
-// line, or all faults of the text, each with its line.
+// line, or all errors of the text, each with its line.
 func Load(path string) (distribution.Set, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if info.Size() > mostFile {
+	if info.Size() > maxFileBytes {
 		return nil, &distribution.TooLarge{Bytes: int(info.Size())}
 	}
 	data, err := os.ReadFile(path)
@@ -50,10 +50,10 @@
 	return set, errors.Join(faults...)
 }
 
-// Parse reads the text of a file; each fault begins with its line, or is a
-// *distribution.Refused that tells it.
+// Parse parses the text of a file. Each error begins with its line, or is a
+// *distribution.Refused or *distribution.TooLarge.
 func Parse(text string) (distribution.Set, []error) {
-	var f file
+	var f document
 	read, faults := tomlfile.Decode(text, &f)
 	if read == nil {
 		return nil, faults
@@ -93,9 +93,9 @@
 	return set, nil
 }
 
-// Text writes a set as a file.
-func Text(set distribution.Set) ([]byte, error) {
-	f := file{map[string]distribution.Plan{}, map[string]float64{}, map[string]distribution.Service{}, map[string]distribution.Route{}}
+// Format encodes a set as the text of a file.
+func Format(set distribution.Set) ([]byte, error) {
+	f := document{map[string]distribution.Plan{}, map[string]float64{}, map[string]distribution.Service{}, map[string]distribution.Route{}}
 	for _, r := range set {
 		kind, name := r.Key.Split()
 		var err error
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -321,14 +321,14 @@
 }
 
 func (s *Server) configOrder(ctx context.Context, e distribution.Entry) (any, error) {
-	if err := e.CheckOrder(); err != nil {
+	if err := e.CheckOperatorRequest(); err != nil {
 		return nil, err
 	}
 	var version uint64
 	err := s.callReplica(ctx, func(done func(error)) {
 		s.replica.Configure(s.now(), e, func(err error) {
 			if c, failed := s.replica.Catalog(); failed == nil {
-				version, _ = c.Made(e.Request)
+				version, _ = c.RequestVersion(e.Request)
 			}
 			done(err)
 		})
--- a/internal/ingress/runtimeconfig.go
+++ b/internal/ingress/runtimeconfig.go
@@ -43,7 +43,7 @@
 // plan. A version without plans keeps the platform's. Limits apply in addition to the platform's
 // own. Services and routes are checked and kept, but not used yet. It must be called on the
 // reactor's goroutine.
-func (i *Ingress) Configure(u *distribution.InUse) error {
+func (i *Ingress) Configure(u *distribution.ActiveConfig) error {
 	l := i.loop
 	if l.terms == nil {
 		l.terms = &runtimeConfig{base: l.cfg.Choice, planIndexes: maps.Clone(l.cfg.plans), plans: l.cfg.Choice.Plans}
@@ -113,7 +113,7 @@
 type Configurable struct{ *Server }
 
 // Configure applies a version on the reactor's goroutine and waits until that is done.
-func (c Configurable) Configure(u *distribution.InUse) (err error) {
+func (c Configurable) Configure(u *distribution.ActiveConfig) (err error) {
 	c.loop.Do(func() { err = c.Ingress.Configure(u) })
 	return err
 }
--- a/rollout/replica/replica.go
+++ b/rollout/replica/replica.go
@@ -447,7 +447,7 @@
 			return &rollout.NotLeader{Leader: r.LeaderID()}
 		}
 		if e.Forget != "" {
-			if ago, ever := r.publisher.Heard(r.now, e.Forget); ever && ago < r.cfg.publisherTiming().Lease {
+			if ago, ever := r.publisher.SinceLastPoll(r.now, e.Forget); ever && ago < r.cfg.publisherTiming().Lease {
 				return &distribution.StillThere{Follower: e.Forget, Heard: ago}
 			}
 		}
@@ -590,7 +590,7 @@
 			if c := read.RequestCtx; len(c) == 16 && r.leader != nil && binary.BigEndian.Uint64(c) == r.term {
 				at := time.Duration(binary.BigEndian.Uint64(c[8:]))
 				r.leader.Confirmed(at)
-				r.publisher.Confirmed(at)
+				r.publisher.LeadershipConfirmed(at)
 			}
 		}
 		for _, e := range ready.CommittedEntries {
