--- a/cmd/wickarch/faults_test.go
+++ b/cmd/wickarch/faults_test.go
@@ -52,7 +52,7 @@
 	for _, c := range change {
 		c(f)
 	}
-	env, err := faultinject.Environment("", 1, f.first...)
+	env, err := faultinject.TracerEnv("", 1, f.first...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,7 +163,7 @@
 // behind it, which a short read does not show.
 func TestRefusalWithMoreBehindItIsNotRepeated(t *testing.T) {
 	f := startFaulty(t)
-	f.set(faultinject.Rule{Call: faultinject.ReadBackend, Fault: faultinject.Short, Share: 1, Bytes: len("-BUSY\r\n")})
+	f.set(faultinject.Rule{Call: faultinject.ReadBackend, Fault: faultinject.Short, Share: 1, MaxBytes: len("-BUSY\r\n")})
 	for range 5 {
 		id := newIDs(2)[1]
 		c := f.dial()
@@ -188,7 +188,7 @@
 			for range 8 { // these are busy: none of them makes room
 				f.open(f.dial(), 20_000)
 			}
-			f.set(faultinject.Rule{Call: faultinject.Accept, Fault: fault, Share: 1, Most: 5})
+			f.set(faultinject.Rule{Call: faultinject.Accept, Fault: fault, Share: 1, MaxFaults: 5})
 			begun := time.Now()
 			f.takesClients(30)
 			if took := time.Since(begun); took > prompt {
@@ -240,7 +240,7 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			f := startFaulty(t)
-			f.set(faultinject.Rule{Call: faultinject.Watch, Fault: fault, Share: 1, Most: 5})
+			f.set(faultinject.Rule{Call: faultinject.Watch, Fault: fault, Share: 1, MaxFaults: 5})
 			f.takesClients(10)
 		})
 	}
@@ -256,7 +256,7 @@
 			for range 5 {
 				ids := newIDs(4)
 				c := f.dial()
-				f.set(faultinject.Rule{Call: faultinject.WriteClient, Fault: fault, Share: 1, Most: 3})
+				f.set(faultinject.Rule{Call: faultinject.WriteClient, Fault: fault, Share: 1, MaxFaults: 3})
 				f.judge(ids, f.sendAll(c, ids))
 			}
 		})
@@ -278,7 +278,7 @@
 			f := startFaulty(t)
 			client := f.dial()
 			f.judge([]string{"0" + standin.NewID()[1:]}, []standin.Outcome{standin.Served})
-			f.set(faultinject.Rule{Call: c.call, Fault: c.fault, Share: 1, Most: 6})
+			f.set(faultinject.Rule{Call: c.call, Fault: c.fault, Share: 1, MaxFaults: 6})
 			ids := newIDs(4)
 			f.judge(ids, f.sendAll(client, ids))
 		})
@@ -292,7 +292,7 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			f := startFaulty(t)
-			f.set(faultinject.Rule{Call: faultinject.Connect, Fault: fault, Share: 1, Most: 5})
+			f.set(faultinject.Rule{Call: faultinject.Connect, Fault: fault, Share: 1, MaxFaults: 5})
 			ids := newIDs(2)[1:]
 			f.judge(ids, f.sendAll(f.dial(), ids))
 			if n := f.events("dial-failed"); n > 0 {
@@ -400,7 +400,7 @@
 func TestPlacesOutliveAShortageThatIsNotOurs(t *testing.T) {
 	const prompt = 900 * time.Millisecond
 	for _, fault := range []faultinject.Rule{
-		{Call: faultinject.Accept, Fault: "ENFILE", Share: 1, Most: 20}, {Call: faultinject.Watch, Fault: "ENOMEM", Share: 1, Most: 20},
+		{Call: faultinject.Accept, Fault: "ENFILE", Share: 1, MaxFaults: 20}, {Call: faultinject.Watch, Fault: "ENOMEM", Share: 1, MaxFaults: 20},
 	} {
 		t.Run(fmt.Sprint(fault.Call, " ", fault.Fault), func(t *testing.T) {
 			t.Parallel()
@@ -621,9 +621,9 @@
 // Guards against two processes that take clients at once, because the lock between them failed for a moment.
 func TestHandoverOutlivesLocksThatFail(t *testing.T) {
 	for _, fault := range []faultinject.Rule{
-		{Call: faultinject.Open, Path: "wickarch.held", Fault: "EIO", Share: 1, Most: 3},
-		{Call: faultinject.Open, Path: "wickarch.next", Fault: "ENOSPC", Share: 1, Most: 3},
-		{Call: faultinject.Lock, Fault: "ENOLCK", Share: 1, Most: 3},
+		{Call: faultinject.Open, Path: "wickarch.held", Fault: "EIO", Share: 1, MaxFaults: 3},
+		{Call: faultinject.Open, Path: "wickarch.next", Fault: "ENOSPC", Share: 1, MaxFaults: 3},
+		{Call: faultinject.Lock, Fault: "ENOLCK", Share: 1, MaxFaults: 3},
 	} {
 		t.Run(fmt.Sprint(fault.Call, " ", fault.Fault), func(t *testing.T) {
 			t.Parallel()
@@ -631,7 +631,7 @@
 			s.hold()
 			shared := []string{"NODE_PASSED_SOCKET=3", "TMPDIR=" + t.TempDir()}
 			s.begin(nil, shared...)
-			traced, err := faultinject.Environment("", 1, fault)
+			traced, err := faultinject.TracerEnv("", 1, fault)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -660,11 +660,11 @@
 // Guards against a start that ends the process because a call failed for a moment.
 func TestStartOutlivesCallsThatFail(t *testing.T) {
 	for _, fault := range []faultinject.Rule{
-		{Call: faultinject.ReadFile, Path: configName, Fault: "EIO", Share: 1, Most: 3},
-		{Call: faultinject.Open, Path: configName, Fault: "ENFILE", Share: 1, Most: 3},
-		{Call: faultinject.Socket, Fault: "ENOBUFS", Share: 1, Most: 3}, {Call: faultinject.Socket, Fault: "ENFILE", Share: 1, Most: 3},
+		{Call: faultinject.ReadFile, Path: configName, Fault: "EIO", Share: 1, MaxFaults: 3},
+		{Call: faultinject.Open, Path: configName, Fault: "ENFILE", Share: 1, MaxFaults: 3},
+		{Call: faultinject.Socket, Fault: "ENOBUFS", Share: 1, MaxFaults: 3}, {Call: faultinject.Socket, Fault: "ENFILE", Share: 1, MaxFaults: 3},
 		// The Go runtime's own first call can't fail: it ends the process.
-		{Call: faultinject.Watch, Skip: 1, Fault: "ENOMEM", Share: 1, Most: 3},
+		{Call: faultinject.Watch, Skip: 1, Fault: "ENOMEM", Share: 1, MaxFaults: 3},
 	} {
 		t.Run(fmt.Sprint(fault.Call, " ", fault.Fault), func(t *testing.T) {
 			t.Parallel()
--- a/internal/agent/diskfaults_test.go
+++ b/internal/agent/diskfaults_test.go
@@ -30,9 +30,9 @@
 func TestStateIsKeptThroughADiskThatFailsForAMoment(t *testing.T) {
 	for _, fault := range []faultinject.Rule{
 		{Call: faultinject.Open, Fault: "ENOSPC"}, {Call: faultinject.WriteFile, Fault: "ENOSPC"}, {Call: faultinject.WriteFile, Fault: "EIO"},
-		{Call: faultinject.WriteFile, Fault: faultinject.Short, Bytes: 1}, {Call: faultinject.Sync, Fault: "EIO"},
+		{Call: faultinject.WriteFile, Fault: faultinject.Short, MaxBytes: 1}, {Call: faultinject.Sync, Fault: "EIO"},
 	} {
-		fault.Path, fault.Share, fault.Most = "state.new", 1, 3
+		fault.Path, fault.Share, fault.MaxFaults = "state.new", 1, 3
 		path := filepath.Join(t.TempDir(), "state")
 		cmd, err := faultinject.Command(t.Context(), 1, []string{asWriter + "=" + path}, fault)
 		if err != nil {
--- a/internal/coordinator/diskfaults_test.go
+++ b/internal/coordinator/diskfaults_test.go
@@ -68,7 +68,7 @@
 			faultinject.Rule{Call: faultinject.WriteFile, Path: file, Fault: "ENOSPC", Share: 0.1, Skip: 40},
 			faultinject.Rule{Call: faultinject.Sync, Path: file, Fault: "EIO", Share: 0.1, Skip: 10},
 			faultinject.Rule{Call: faultinject.WriteFile, Path: countFile, Fault: "EIO", Share: 0.2},
-			faultinject.Rule{Call: faultinject.WriteFile, Path: countFile, Fault: faultinject.Short, Share: 0.5, Bytes: 5},
+			faultinject.Rule{Call: faultinject.WriteFile, Path: countFile, Fault: faultinject.Short, Share: 0.5, MaxBytes: 5},
 			faultinject.Rule{Call: faultinject.Sync, Path: countFile, Fault: "EIO", Share: 0.2})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/faultinject/control.go
+++ b/internal/faultinject/control.go
@@ -25,10 +25,10 @@
 	seen map[string]int // by the last call of Since
 }
 
-// Environment is what makes a command that runs a test binary, or another binary that
+// TracerEnv is what makes a command that runs a test binary, or another binary that
 // calls [RunRole], a tracer. program is what it runs; "" for the binary itself.
 // The rules are in force from the program's first moment, until others are set.
-func Environment(program string, seed uint64, rules ...Rule) ([]string, error) {
+func TracerEnv(program string, seed uint64, rules ...Rule) ([]string, error) {
 	first, err := json.Marshal(Rules{Rules: rules})
 	if err != nil {
 		return nil, fmt.Errorf("faultinject: %w", err)
@@ -40,7 +40,7 @@
 // Command is one that runs this binary again under a tracer, with more variables in its environment and
 // rules in force from its first moment.
 func Command(ctx context.Context, seed uint64, env []string, rules ...Rule) (*exec.Cmd, error) {
-	traced, err := Environment("", seed, rules...)
+	traced, err := TracerEnv("", seed, rules...)
 	if err != nil {
 		return nil, err
 	}
@@ -62,8 +62,8 @@
 	return &Control{in: in, out: bufio.NewScanner(out)}, nil
 }
 
-// Since takes counts that Set has returned, and tells what has been added since it was last called.
-func (c *Control) Since(applied map[string]int) map[string]int {
+// Delta takes counts that Set has returned, and tells what has been added since it was last called.
+func (c *Control) Delta(applied map[string]int) map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	added := map[string]int{}
--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -74,13 +74,13 @@
 
 // Rule makes a share of one kind of call fail.
 type Rule struct {
-	Call  Call    `json:"call"`
-	Fault string  `json:"fault"`           // Short, or the name of an error such as ENFILE
-	Share float64 `json:"share"`           // of these calls
-	Skip  int     `json:"skip,omitempty"`  // the first so many calls that the rule would fit pass
-	Most  int     `json:"most,omitempty"`  // at most so many fail; 0: no bound
-	Path  string  `json:"path,omitempty"`  // for files: the end of their name; "" for any
-	Bytes int     `json:"bytes,omitempty"` // for Short: the most bytes that one call takes; 0: one to half of them
+	Call      Call    `json:"call"`
+	Fault     string  `json:"fault"`           // Short, or the name of an error such as ENFILE
+	Share     float64 `json:"share"`           // of these calls
+	Skip      int     `json:"skip,omitempty"`  // the first so many calls that the rule would fit pass
+	MaxFaults int     `json:"most,omitempty"`  // at most so many fail; 0: no bound
+	Path      string  `json:"path,omitempty"`  // for files: the end of their name; "" for any
+	MaxBytes  int     `json:"bytes,omitempty"` // for Short: the most bytes that one call takes; 0: one to half of them
 	// Broken keeps a connection failing from its first fault on, as one that is broken does.
 	Broken bool `json:"broken,omitempty"`
 }
@@ -129,7 +129,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, r := range t.rules {
-		if r.Call != call || !strings.HasSuffix(path, r.Path) || r.Most > 0 && t.applied[i] >= r.Most {
+		if r.Call != call || !strings.HasSuffix(path, r.Path) || r.MaxFaults > 0 && t.applied[i] >= r.MaxFaults {
 			continue
 		}
 		if t.skipped[i] < r.Skip {
@@ -153,8 +153,8 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r.Bytes > 0 {
-		return min(n, uint64(r.Bytes))
+	if r.MaxBytes > 0 {
+		return min(n, uint64(r.MaxBytes))
 	}
 	return 1 + t.rng.Uint64N(min(n/2, mostShort))
 }
--- a/internal/faultinject/faultinject_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -85,7 +85,7 @@
 		return lines.Text()
 	}
 	addr := next()
-	if _, err = control.Set(Rule{Call: ReadClient, Fault: Short, Share: 1, Bytes: 2}); err != nil {
+	if _, err = control.Set(Rule{Call: ReadClient, Fault: Short, Share: 1, MaxBytes: 2}); err != nil {
 		t.Fatal(err)
 	}
 	c, err := net.Dial("tcp", addr)
@@ -101,7 +101,8 @@
 			t.Errorf("the program read %q, want %q", got, want)
 		}
 	}
-	if _, err = control.Set(Rule{Call: Accept, Fault: "ENFILE", Share: 1, Most: 1}, Rule{Call: ReadClient, Fault: "EHOSTUNREACH", Share: 1, Most: 1, Broken: true}); err != nil {
+	if _, err = control.Set(Rule{Call: Accept, Fault: "ENFILE", Share: 1, MaxFaults: 1},
+		Rule{Call: ReadClient, Fault: "EHOSTUNREACH", Share: 1, MaxFaults: 1, Broken: true}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err = c.Write([]byte("4")); err != nil {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -151,7 +151,7 @@
 func (r *run) applied(of *faultinject.Control, counts map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for what, n := range of.Since(counts) {
+	for what, n := range of.Delta(counts) {
 		r.report.Faults[what] += n
 	}
 }
@@ -166,7 +166,7 @@
 		if !in.change(true) {
 			continue
 		}
-		again := faultinject.Rule{Call: faultinject.Socket, Fault: "ENOBUFS", Share: 0.5, Most: rng.IntN(4)}
+		again := faultinject.Rule{Call: faultinject.Socket, Fault: "ENOBUFS", Share: 0.5, MaxFaults: rng.IntN(4)}
 		if what < 0.1 {
 			r.count(func(p *Report) { p.Steps++ })
 			in.stepClock(clockSteps[rng.IntN(len(clockSteps))])
--- a/internal/soak/ingress.go
+++ b/internal/soak/ingress.go
@@ -96,7 +96,7 @@
 
 // start starts the next process and waits until it takes clients.
 func (i *ingress) start(ctx context.Context, rules ...faultinject.Rule) error {
-	env, err := faultinject.Environment(i.run.cfg.Program, i.run.rng.Uint64(), rules...)
+	env, err := faultinject.TracerEnv(i.run.cfg.Program, i.run.rng.Uint64(), rules...)
 	if err != nil {
 		return err
 	}
