--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,6 +1,6 @@
-// Command drill is the adapter between the decision module and the
-// simulator's wire. It reads batches of events on standard input, hands each
-// to the instance it names and writes one reply a batch on standard output.
+// Command drill connects the decision code to the simulator's protocol. It reads
+// batches of events from standard input, passes each event to the gateway instance
+// that it names, and writes one reply per batch to standard output.
 package main
 
 import (
@@ -23,26 +23,28 @@
 	}
 }
 
-// An instance is one gateway and the Actions that write into the reply.
+// An instance is one gateway. It implements choice.Actions by adding each action to the reply.
 type instance struct {
 	*choice.Gateway
-	fleet *fleet.Fleet
-	num   uint32
-	ask   bool
-	reply *wire.Reply
+	fleet      *fleet.Fleet
+	instanceID uint32
+	subscribe  bool // discovery sends updates only to subscribers
+	reply      *wire.Reply
 }
 
 func (n *instance) Send(id, backend uint32, timeout time.Duration) {
-	n.reply.Send(n.num, id, backend, timeout)
+	n.reply.Send(n.instanceID, id, backend, timeout)
 	n.fleet.Sent()
 }
-func (n *instance) Refuse(id uint32, after time.Duration)     { n.reply.Refuse(n.num, id, after) }
-func (n *instance) Fail(id uint32)                            { n.reply.Fail(n.num, id) }
-func (n *instance) Cancel(id uint32, attempt int)             { n.reply.Cancel(n.num, id, attempt) }
-func (n *instance) Probe(backend uint32)                      { n.reply.Probe(n.num, backend) }
-func (n *instance) SetTimer(wait time.Duration, token uint64) { n.reply.After(n.num, wait, token) }
+func (n *instance) Refuse(id uint32, after time.Duration) { n.reply.Refuse(n.instanceID, id, after) }
+func (n *instance) Fail(id uint32)                        { n.reply.Fail(n.instanceID, id) }
+func (n *instance) Cancel(id uint32, attempt int)         { n.reply.Cancel(n.instanceID, id, attempt) }
+func (n *instance) Probe(backend uint32)                  { n.reply.Probe(n.instanceID, backend) }
+func (n *instance) SetTimer(wait time.Duration, token uint64) {
+	n.reply.SetTimer(n.instanceID, wait, token)
+}
 
-// run serves batches until the end of input.
+// run handles batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
 	var (
 		batch     wire.Batch
@@ -69,19 +71,19 @@
 				lists[event.List] = append(lists[event.List][:0], event.Backends...)
 				continue
 			case wire.CodeInit:
-				n, err := start(&batch, &event, &reply)
+				n, err := newInstance(&batch, &event, &reply)
 				if err != nil {
-					return fmt.Errorf("batch %d, record %d: instance %d: %w", batch.Seq, i, event.Inst, err)
+					return fmt.Errorf("batch %d, record %d: instance %d: %w", batch.Seq, i, event.Instance, err)
 				}
-				instances[event.Inst] = n
+				instances[event.Instance] = n
 				continue
 			}
-			n, ok := instances[event.Inst]
+			n, ok := instances[event.Instance]
 			if !ok {
-				return fmt.Errorf("batch %d, record %d: instance %d is unknown", batch.Seq, i, event.Inst)
+				return fmt.Errorf("batch %d, record %d: instance %d is unknown", batch.Seq, i, event.Instance)
 			}
 			if event.Code == wire.CodeStop {
-				delete(instances, event.Inst)
+				delete(instances, event.Instance)
 				continue
 			}
 			if event.Code == wire.CodeMembers && event.Kind != choice.Failed && event.List > 15 {
@@ -98,29 +100,30 @@
 	}
 }
 
-func start(b *wire.Batch, e *wire.Event, reply *wire.Reply) (*instance, error) {
-	cfg, ask, err := wire.ParseConfig(e.Config)
+// newInstance creates the gateway that an init event describes.
+func newInstance(b *wire.Batch, e *wire.Event, reply *wire.Reply) (*instance, error) {
+	cfg, subscribe, err := wire.ParseConfig(e.Config)
 	if err != nil {
 		return nil, err
 	}
-	n := &instance{num: e.Inst, ask: ask, reply: reply}
+	n := &instance{instanceID: e.Instance, subscribe: subscribe, reply: reply}
 	if n.Gateway, err = choice.New(cfg, e.Seed, b.Now, n); err != nil {
 		return nil, err
 	}
 	if n.fleet, err = fleet.New(cfg, n.Gateway, b.Now); err != nil {
 		return nil, err
 	}
-	if ask {
-		reply.Subscribe(n.num)
+	if subscribe {
+		reply.Subscribe(n.instanceID)
 	}
 	return n, nil
 }
 
-// deliver hands one event to its instance; a panic there becomes its fault.
+// deliver passes one event to its instance. A panic is reported as a fault of that instance.
 func deliver(n *instance, now time.Duration, e *wire.Event, lists *[16][]choice.Backend) {
 	defer func() {
 		if p := recover(); p != nil {
-			n.reply.Fault(n.num, fmt.Sprint(p))
+			n.reply.Fault(n.instanceID, fmt.Sprint(p))
 		}
 	}()
 	switch e.Code {
@@ -128,8 +131,8 @@
 		var list []choice.Backend
 		if e.Kind != choice.Failed {
 			list = lists[e.List]
-		} else if n.ask {
-			n.reply.Subscribe(n.num)
+		} else if n.subscribe {
+			n.reply.Subscribe(n.instanceID)
 		}
 		n.fleet.Members(now, e.Kind, list, func(b choice.Backend) uint64 { return subset.KeyOf(fmt.Sprint(b.ID)) })
 	case wire.CodeRequest:
