--- a/internal/faultinject/calls.go
+++ b/internal/faultinject/calls.go
@@ -13,26 +13,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// descriptor is what is known of one descriptor of the program.
+// descriptor is the state of one file descriptor of the traced program.
 type descriptor struct {
 	name      string
 	socket    bool
-	regular   bool
-	connected bool          // by the program itself
-	broken    syscall.Errno // all calls on it fail with it; 0: they do not
+	regular   bool          // see isStoredFile
+	connected bool          // by the program, so to a backend; otherwise accepted from a client
+	broken    syscall.Errno // the error of all further calls on it; 0 for none
 }
 
-// direction is whether a call takes bytes from a descriptor or gives some to it.
+// direction distinguishes calls that read from a descriptor from those that write to it.
 type direction int
 
 const (
-	reads direction = iota
-	writes
+	readDirection direction = iota
+	writeDirection
 )
 
-// handlers by the number of the call. Each tells the kind of the call, or "" for one that
-// is not to fail.
-var handlers = map[int]func(t *tracer, r *syscall.PtraceRegs) Call{
+// classifiers, by system call number, return the kind of a call, or "" if it must not fail.
+// Those of connect and close also update the state of the descriptor.
+var classifiers = map[int]func(t *tracer, r *syscall.PtraceRegs) Call{
 	unix.SYS_ACCEPT4:       func(*tracer, *syscall.PtraceRegs) Call { return Accept },
 	unix.SYS_SOCKET:        func(*tracer, *syscall.PtraceRegs) Call { return Socket },
 	unix.SYS_EPOLL_WAIT:    func(*tracer, *syscall.PtraceRegs) Call { return Poll },
@@ -54,66 +54,66 @@
 		return Connect
 	},
 	unix.SYS_CLOSE: func(t *tracer, r *syscall.PtraceRegs) Call {
-		delete(t.sockets, int(r.Rdi))
+		delete(t.descriptors, int(r.Rdi))
 		return ""
 	},
-	unix.SYS_READ:     func(t *tracer, r *syscall.PtraceRegs) Call { return t.transfer(r, reads) },
-	unix.SYS_RECVFROM: func(t *tracer, r *syscall.PtraceRegs) Call { return t.transfer(r, reads) },
-	unix.SYS_WRITE:    func(t *tracer, r *syscall.PtraceRegs) Call { return t.transfer(r, writes) },
-	unix.SYS_PWRITE64: func(t *tracer, r *syscall.PtraceRegs) Call { return t.transfer(r, writes) },
-	unix.SYS_SENDTO:   func(t *tracer, r *syscall.PtraceRegs) Call { return t.transfer(r, writes) },
+	unix.SYS_READ:     func(t *tracer, r *syscall.PtraceRegs) Call { return t.transferCall(r, readDirection) },
+	unix.SYS_RECVFROM: func(t *tracer, r *syscall.PtraceRegs) Call { return t.transferCall(r, readDirection) },
+	unix.SYS_WRITE:    func(t *tracer, r *syscall.PtraceRegs) Call { return t.transferCall(r, writeDirection) },
+	unix.SYS_PWRITE64: func(t *tracer, r *syscall.PtraceRegs) Call { return t.transferCall(r, writeDirection) },
+	unix.SYS_SENDTO:   func(t *tracer, r *syscall.PtraceRegs) Call { return t.transferCall(r, writeDirection) },
 }
 
-func tracedCalls() []int { return slices.Sorted(maps.Keys(handlers)) }
+func tracedCalls() []int { return slices.Sorted(maps.Keys(classifiers)) }
 
-// transfer tells what kind a read or write is.
-func (t *tracer) transfer(r *syscall.PtraceRegs, way direction) Call {
+// transferCall returns the kind of a read or write, or "" if it must not fail.
+func (t *tracer) transferCall(r *syscall.PtraceRegs, dir direction) Call {
 	d := t.descriptor(int(r.Rdi))
 	switch {
-	case d.regular && way == reads:
+	case d.regular && dir == readDirection:
 		return ReadFile
 	case d.regular:
 		return WriteFile
 	case !d.socket:
 		return ""
-	case d.connected && way == reads:
+	case d.connected && dir == readDirection:
 		return ReadBackend
 	case d.connected:
 		return WriteBackend
-	case way == reads:
+	case dir == readDirection:
 		return ReadClient
 	}
 	return WriteClient
 }
 
-// descriptor looks a descriptor up.
+// descriptor returns the state of a descriptor. On first use it reads /proc.
 func (t *tracer) descriptor(fd int) *descriptor {
-	if d := t.sockets[fd]; d != nil {
+	if d := t.descriptors[fd]; d != nil {
 		return d
 	}
 	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", t.pid, fd))
-	d := &descriptor{name: name, socket: strings.HasPrefix(name, "socket:"), regular: isFile(name)}
+	d := &descriptor{name: name, socket: strings.HasPrefix(name, "socket:"), regular: isStoredFile(name)}
 	if err == nil {
-		t.sockets[fd] = d
+		t.descriptors[fd] = d
 	}
 	return d
 }
 
-// isFile tells whether a descriptor's name is that of a file that the program could keep something in.
-func isFile(name string) bool {
-	for _, system := range []string{"/dev/", "/proc/", "/sys/"} {
-		if strings.HasPrefix(name, system) {
+// isStoredFile reports whether a descriptor's name is that of a file in which the program can store data.
+func isStoredFile(name string) bool {
+	for _, prefix := range []string{"/dev/", "/proc/", "/sys/"} {
+		if strings.HasPrefix(name, prefix) {
 			return false
 		}
 	}
 	return strings.HasPrefix(name, "/")
 }
 
-// path is the name of the file that a call is about, "" where it is about none.
+// path returns the name of the file that a call refers to, or "" if there is none.
 func (t *tracer) path(tid int, call Call, regs *syscall.PtraceRegs) string {
 	switch call {
 	case Open:
-		name := make([]byte, mostPath)
+		name := make([]byte, maxPathBytes)
 		n, err := syscall.PtracePeekData(tid, uintptr(regs.Rsi), name)
 		if err != nil && n == 0 {
 			return ""
@@ -125,62 +125,63 @@
 	return ""
 }
 
-const mostPath = 256 // bytes of a path that are read
+const maxPathBytes = 256 // longer paths are truncated
 
-// call lets one system call fail, if a rule says so.
-func (t *tracer) call(tid int) {
+// interceptCall makes the system call at which a thread has stopped fail, if a rule applies.
+func (t *tracer) interceptCall(tid int) {
 	var regs syscall.PtraceRegs
 	if syscall.PtraceGetRegs(tid, &regs) != nil {
 		return // the thread has ended
 	}
 	if regs.Orig_rax == unix.SYS_CLOCK_GETTIME {
-		t.clock(tid, &regs)
+		t.interceptClock(tid, &regs)
 		return
 	}
-	handler := handlers[int(regs.Orig_rax)]
-	if handler == nil {
+	classify := classifiers[int(regs.Orig_rax)]
+	if classify == nil {
 		return
 	}
-	call := handler(t, &regs)
+	call := classify(t, &regs)
 	if call == "" {
 		return
 	}
 	onSocket := call == ReadBackend || call == WriteBackend || call == ReadClient || call == WriteClient
 	if onSocket {
 		if d := t.descriptor(int(regs.Rdi)); d.broken != 0 {
-			fail(tid, &regs, d.broken)
+			skipCall(tid, &regs, d.broken)
 			return
 		}
 	}
-	rule, any := t.rules.draw(call, t.path(tid, call, &regs))
-	if !any {
+	rule, matched := t.rules.match(call, t.path(tid, call, &regs))
+	if !matched {
 		return
 	}
 	if rule.Fault == Short {
-		regs.Rdx = t.rules.shorter(rule, regs.Rdx)
+		regs.Rdx = t.rules.shortLength(rule, regs.Rdx)
 		_ = syscall.PtraceSetRegs(tid, &regs)
 		return
 	}
-	errno, known := errorNumbers[rule.Fault]
+	errno, known := errnoByName[rule.Fault]
 	if !known {
-		fmt.Fprintf(os.Stderr, "faultinject: no error is called %q\n", rule.Fault)
+		fmt.Fprintf(os.Stderr, "faultinject: unknown error name %q\n", rule.Fault)
 		return
 	}
 	if rule.Broken && onSocket {
 		t.descriptor(int(regs.Rdi)).broken = errno
 	}
-	fail(tid, &regs, errno)
+	skipCall(tid, &regs, errno)
 }
 
-// fail has the call return an error, or 0, in place of being carried out.
-func fail(tid int, regs *syscall.PtraceRegs, errno syscall.Errno) {
+// skipCall makes the call return an error, or 0 for success, without being executed: the call number
+// -1 makes the kernel skip it.
+func skipCall(tid int, regs *syscall.PtraceRegs, errno syscall.Errno) {
 	regs.Orig_rax = ^uint64(0)
 	regs.Rax = -uint64(errno)
 	_ = syscall.PtraceSetRegs(tid, regs)
 }
 
-// errorNumbers are the errors that rules may name.
-var errorNumbers = map[string]syscall.Errno{
+// errnoByName holds the errors that rules can name.
+var errnoByName = map[string]syscall.Errno{
 	"EADDRNOTAVAIL": syscall.EADDRNOTAVAIL, "EAGAIN": syscall.EAGAIN, "ECONNABORTED": syscall.ECONNABORTED,
 	"ECONNREFUSED": syscall.ECONNREFUSED, "ECONNRESET": syscall.ECONNRESET, "EHOSTUNREACH": syscall.EHOSTUNREACH,
 	"EINTR": syscall.EINTR, "EIO": syscall.EIO, "ENOLCK": syscall.ENOLCK, "EMFILE": syscall.EMFILE, "ENETDOWN": syscall.ENETDOWN,
--- a/internal/faultinject/clock.go
+++ b/internal/faultinject/clock.go
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// The wall clock is read through the page of code that the kernel maps into each process (vdso(7)), with no
-// system call. At its start the program's copy of that code is changed to make the call, which the filter stops
-// for the wall clock alone; the monotonic clock goes on untouched.
+// Programs read clocks through code that the kernel maps into each process (vdso(7)), without a system call that
+// the tracer could intercept. When the program starts, its copy of that code is replaced by one that makes the
+// system call. The seccomp filter stops it only for the wall clock; the monotonic clock is unaffected.
 
-// realCall is "mov $228, %eax; syscall; ret": clock_gettime as a system call.
-var realCall = []byte{0xb8, 0xe4, 0x00, 0x00, 0x00, 0x0f, 0x05, 0xc3}
+// clockGettimeCode is "mov $228, %eax; syscall; ret": clock_gettime as a system call.
+var clockGettimeCode = []byte{0xb8, 0xe4, 0x00, 0x00, 0x00, 0x0f, 0x05, 0xc3}
 
-const clockFunction = "__vdso_clock_gettime"
+const clockSymbol = "__vdso_clock_gettime"
 
-var errNoClock = errors.New("the kernel maps no code for the clock")
+var errNoClockCode = errors.New("the process has no vDSO with clock_gettime")
 
-// leadClock changes the code for the clock in a process that has just become the program.
-func leadClock(pid int) error {
-	base, size, err := vdsoOf(pid)
+// patchClock replaces the clock code of a process that has just executed the program.
+func patchClock(pid int) error {
+	base, size, err := findVDSO(pid)
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 	if err != nil {
 		return fmt.Errorf("clock: %w", err)
 	}
-	defer func() { _ = memory.Close() }() // read alone
+	defer func() { _ = memory.Close() }() // opened read-only
 	image := make([]byte, size)
 	if _, err = memory.ReadAt(image, int64(base)); err != nil {
 		return fmt.Errorf("clock: %w", err)
@@ -49,16 +49,16 @@
 		return fmt.Errorf("clock: %w", err)
 	}
 	for _, s := range symbols {
-		if s.Name == clockFunction {
-			_, err = syscall.PtracePokeText(pid, uintptr(base+s.Value), realCall)
+		if s.Name == clockSymbol {
+			_, err = syscall.PtracePokeText(pid, uintptr(base+s.Value), clockGettimeCode)
 			return err
 		}
 	}
-	return errNoClock
+	return errNoClockCode
 }
 
-// vdsoOf finds the mapping.
-func vdsoOf(pid int) (base, size uint64, err error) {
+// findVDSO returns the address and size of the process's vDSO mapping.
+func findVDSO(pid int) (base, size uint64, err error) {
 	maps, err := os.ReadFile(fmt.Sprintf("/proc/%d/maps", pid))
 	if err != nil {
 		return 0, 0, fmt.Errorf("clock: %w", err)
@@ -73,12 +73,12 @@
 		}
 		return base, end - base, nil
 	}
-	return 0, 0, errNoClock
+	return 0, 0, errNoClockCode
 }
 
-// clock answers a reading of the wall clock where that is stepped.
-func (t *tracer) clock(tid int, regs *syscall.PtraceRegs) {
-	step := t.rules.clockStep()
+// interceptClock returns the stepped time to a call that reads the wall clock, if a step is set.
+func (t *tracer) interceptClock(tid int, regs *syscall.PtraceRegs) {
+	step := t.rules.currentClockStep()
 	if step == 0 {
 		return
 	}
@@ -86,7 +86,7 @@
 	value := binary.LittleEndian.AppendUint64(nil, uint64(now.Unix()))
 	value = binary.LittleEndian.AppendUint64(value, uint64(now.Nanosecond()))
 	if _, err := syscall.PtracePokeData(tid, uintptr(regs.Rsi), value); err != nil {
-		return // the call itself will tell
+		return // the call is executed and returns the error for a bad address itself
 	}
-	fail(tid, regs, 0)
+	skipCall(tid, regs, 0)
 }
--- a/internal/faultinject/control.go
+++ b/internal/faultinject/control.go
@@ -16,29 +16,29 @@
 	"time"
 )
 
-// Control sets the rules of one tracer.
+// Control sends rules to one tracer.
 type Control struct {
 	mu  sync.Mutex
 	in  io.WriteCloser
 	out *bufio.Scanner
 
-	seen map[string]int // by the last call of Since
+	lastCounts map[string]int // as of the last call of Delta
 }
 
-// TracerEnv is what makes a command that runs a test binary, or another binary that
-// calls [RunRole], a tracer. program is what it runs; "" for the binary itself.
-// The rules are in force from the program's first moment, until others are set.
+// TracerEnv returns the environment variables that make a command a tracer; the command runs
+// a test binary or another binary that calls [RunRole]. program is the program to be traced,
+// "" for the binary itself. The rules apply from the start of the program until others are set.
 func TracerEnv(program string, seed uint64, rules ...Rule) ([]string, error) {
-	first, err := json.Marshal(Rules{Rules: rules})
+	initial, err := json.Marshal(Rules{Rules: rules})
 	if err != nil {
 		return nil, fmt.Errorf("faultinject: %w", err)
 	}
 	return []string{RoleVariable + "=" + RoleTracer, ProgramVariable + "=" + program, SeedVariable + "=" + strconv.FormatUint(seed, 10),
-		rulesVariable + "=" + string(first)}, nil
+		rulesVariable + "=" + string(initial)}, nil
 }
 
-// Command is one that runs this binary again under a tracer, with more variables in its environment and
-// rules in force from its first moment.
+// Command returns a command that runs this binary again under a tracer, with additional environment
+// variables. The rules apply from the start of the program.
 func Command(ctx context.Context, seed uint64, env []string, rules ...Rule) (*exec.Cmd, error) {
 	traced, err := TracerEnv("", seed, rules...)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return cmd, nil
 }
 
-// NewControl connects to the tracer that cmd will run. It is called before the start.
+// NewControl connects to the tracer that cmd will run. It must be called before cmd is started.
 func NewControl(cmd *exec.Cmd) (*Control, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -62,33 +62,33 @@
 	return &Control{in: in, out: bufio.NewScanner(out)}, nil
 }
 
-// Delta takes counts that Set has returned, and tells what has been added since it was last called.
-func (c *Control) Delta(applied map[string]int) map[string]int {
+// Delta returns by how much counts that Set has returned exceed those of the previous call.
+func (c *Control) Delta(counts map[string]int) map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	added := map[string]int{}
-	for what, n := range applied {
-		if more := n - c.seen[what]; more > 0 {
-			added[what] = more
+	for name, n := range counts {
+		if increase := n - c.lastCounts[name]; increase > 0 {
+			added[name] = increase
 		}
 	}
-	c.seen = applied
+	c.lastCounts = counts
 	return added
 }
 
-// Set puts rules in force in place of those before, and waits until they are. It returns
-// how often each fault has been applied so far, by call and fault.
-func (c *Control) Set(rules ...Rule) (applied map[string]int, err error) {
+// Set replaces the rules and waits until the new ones are in force. It returns how often
+// each fault has been applied since the start, by call and fault.
+func (c *Control) Set(rules ...Rule) (counts map[string]int, err error) {
 	return c.send(Rules{Rules: rules})
 }
 
-// StepClock puts the wall clock that the program reads off the true one, and no rules in force.
-func (c *Control) StepClock(off time.Duration) error {
-	_, err := c.send(Rules{ClockStep: &off})
+// StepClock shifts the wall clock that the program reads by offset from the true one, and removes all rules.
+func (c *Control) StepClock(offset time.Duration) error {
+	_, err := c.send(Rules{ClockStep: &offset})
 	return err
 }
 
-func (c *Control) send(rules Rules) (applied map[string]int, err error) {
+func (c *Control) send(rules Rules) (counts map[string]int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	line, err := json.Marshal(rules)
@@ -101,8 +101,8 @@
 	if !c.out.Scan() {
 		return nil, fmt.Errorf("faultinject: the tracer has ended: %w", c.out.Err())
 	}
-	if err = json.Unmarshal(c.out.Bytes(), &applied); err != nil {
+	if err = json.Unmarshal(c.out.Bytes(), &counts); err != nil {
 		return nil, fmt.Errorf("faultinject: %w", err)
 	}
-	return applied, nil
+	return counts, nil
 }
--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -1,16 +1,16 @@
 //go:build linux && amd64
 
-// Package faultinject runs a program so that chosen system calls of it fail, as Linux
-// documents that they may: with an error, with fewer bytes than were asked for, or
-// interrupted. Tests and soak runs use it; no production code does.
+// Package faultinject runs a program whose system calls can be made to fail in ways that
+// Linux documents: with an error, with fewer bytes than requested, or interrupted. It is
+// used by tests and soak runs only, never by production code.
 //
-// A tracer process starts the program under ptrace, behind a seccomp filter that stops
-// it at the calls listed in calls.go alone. The program itself is unchanged, so that
-// the calls of the Go runtime and of package net fail too. The owner of the tracer
-// writes rules to its standard input, a JSON line each (see [Rules]), and the tracer
-// answers each line on its standard output once it is in force.
+// A tracer process starts the program under ptrace, with a seccomp filter that stops it
+// only at the calls listed in calls.go and where it reads the wall clock. The program
+// itself is unmodified, so calls of the Go runtime and of package net fail too. The parent
+// of the tracer writes rules to its standard input, one JSON value per line (see [Rules]).
+// The tracer acknowledges each line on its standard output once the rules are in force.
 //
-// A test binary takes both roles itself: its TestMain calls [RunRole] first.
+// A test binary acts as tracer and as traced program: its TestMain calls [RunRole] first.
 package faultinject
 
 import (
@@ -22,110 +22,111 @@
 	"time"
 )
 
-// RoleVariable names the environment variable that makes a program a tracer, or the
-// step between the tracer and the traced program.
+// RoleVariable names the environment variable that makes a process a tracer, or the
+// launcher, which installs the seccomp filter and then executes the traced program.
 const RoleVariable = "WICKARCH_FAULTINJECT"
 
-// The roles.
+// Values of RoleVariable.
 const (
 	RoleTracer   = "tracer"
 	roleLauncher = "launcher"
 )
 
-// ProgramVariable names the program to be traced, with the arguments of the tracer.
-// Without it the tracer runs its own binary.
+// ProgramVariable names the environment variable with the path of the program to be traced,
+// which gets the arguments of the tracer. If it is empty, the tracer runs its own binary.
 const ProgramVariable = "WICKARCH_FAULTINJECT_PROGRAM"
 
-// RunRole acts out the role that the environment names, and does not return then.
+// RunRole runs the role that the environment names and then exits. Without a role it returns.
 func RunRole() {
 	switch os.Getenv(RoleVariable) {
 	case RoleTracer:
-		os.Exit(traceMain())
+		os.Exit(runTracer())
 	case roleLauncher:
 		fmt.Fprintln(os.Stderr, "faultinject:", launch())
 		os.Exit(1)
 	}
 }
 
-// Call is a kind of system call, or of use of one, that rules name.
+// Call is a kind of system call, or a certain use of one, to which rules apply.
 type Call string
 
-// The calls that can be made to fail.
+// Calls that can be made to fail.
 const (
 	Accept       Call = "accept"
 	Socket       Call = "socket"
 	Connect      Call = "connect"
-	Poll         Call = "poll"         // epoll_wait, epoll_pwait, ppoll
-	Watch        Call = "watch"        // epoll_ctl, where it adds
-	ReadClient   Call = "read-client"  // on sockets that were accepted
-	WriteClient  Call = "write-client" // likewise
-	ReadBackend  Call = "read-backend" // on sockets that were connected
-	WriteBackend Call = "write-backend"
-	Open         Call = "open"       // of files
-	ReadFile     Call = "read-file"  // regular ones
-	WriteFile    Call = "write-file" // regular ones
-	Sync         Call = "sync"       // fsync, fdatasync
-	Lock         Call = "lock"       // flock
-	CreatePoller Call = "create-poller"
+	Poll         Call = "poll"          // epoll_wait, epoll_pwait, ppoll
+	Watch        Call = "watch"         // epoll_ctl with EPOLL_CTL_ADD
+	ReadClient   Call = "read-client"   // on accepted sockets
+	WriteClient  Call = "write-client"  // on accepted sockets
+	ReadBackend  Call = "read-backend"  // on sockets connected by the program
+	WriteBackend Call = "write-backend" // on sockets connected by the program
+	Open         Call = "open"          // openat
+	ReadFile     Call = "read-file"     // on regular files
+	WriteFile    Call = "write-file"    // on regular files
+	Sync         Call = "sync"          // fsync, fdatasync
+	Lock         Call = "lock"          // flock
+	CreatePoller Call = "create-poller" // epoll_create1
 )
 
-// Short is the fault that lets a read or write take fewer bytes than it could.
+// Short is the fault that makes a read or write transfer fewer bytes than requested.
 const Short = "short"
 
-// Rule makes a share of one kind of call fail.
+// Rule makes a share of the calls of one kind fail.
 type Rule struct {
 	Call      Call    `json:"call"`
 	Fault     string  `json:"fault"`           // Short, or the name of an error such as ENFILE
-	Share     float64 `json:"share"`           // of these calls
-	Skip      int     `json:"skip,omitempty"`  // the first so many calls that the rule would fit pass
-	MaxFaults int     `json:"most,omitempty"`  // at most so many fail; 0: no bound
-	Path      string  `json:"path,omitempty"`  // for files: the end of their name; "" for any
-	MaxBytes  int     `json:"bytes,omitempty"` // for Short: the most bytes that one call takes; 0: one to half of them
-	// Broken keeps a connection failing from its first fault on, as one that is broken does.
+	Share     float64 `json:"share"`           // probability that a matching call fails
+	Skip      int     `json:"skip,omitempty"`  // number of matching calls that the rule lets pass first
+	MaxFaults int     `json:"most,omitempty"`  // max number of calls that the rule makes fail; 0: no limit
+	Path      string  `json:"path,omitempty"`  // for files: suffix of the name; "" for any file
+	MaxBytes  int     `json:"bytes,omitempty"` // for Short: max bytes per call; 0: random, up to half of the request and maxShortBytes
+	// Broken makes all further reads and writes on a connection fail after its first fault, as on a broken connection.
 	Broken bool `json:"broken,omitempty"`
 }
 
-// Rules are those in force from now on, in place of all before. The first that fits
-// a call and is drawn decides.
+// Rules replaces all rules in force. The first rule that matches a call and is drawn by its
+// share is applied.
 type Rules struct {
 	Rules []Rule `json:"rules"`
-	// ClockStep is by how much the wall clock that the program reads is off the true one; nil: as it was.
+	// ClockStep is the offset of the wall clock that the program reads from the true one; nil: unchanged.
 	ClockStep *time.Duration `json:"clock_step,omitempty"`
 }
 
-// table holds the rules in force and how often each has been applied.
-type table struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	rules   []Rule
-	skipped []int
-	applied []int
-	counts  map[string]int // by call and fault, over all rules that were in force
-	step    time.Duration  // of the wall clock
+// ruleTable holds the rules in force and how often each has been applied.
+type ruleTable struct {
+	mu        sync.Mutex
+	rng       *rand.Rand
+	rules     []Rule
+	skipped   []int
+	applied   []int
+	counts    map[string]int // by call and fault, over all rules since the start
+	clockStep time.Duration  // offset of the wall clock
 }
 
-func newTable(seed uint64) *table {
-	return &table{rng: rand.New(rand.NewPCG(seed, seed)), counts: map[string]int{}}
+func newRuleTable(seed uint64) *ruleTable {
+	return &ruleTable{rng: rand.New(rand.NewPCG(seed, seed)), counts: map[string]int{}}
 }
 
-func (t *table) set(r Rules) {
+func (t *ruleTable) set(r Rules) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r.ClockStep != nil {
-		t.step = *r.ClockStep
+		t.clockStep = *r.ClockStep
 	}
 	t.rules, t.skipped, t.applied = r.Rules, make([]int, len(r.Rules)), make([]int, len(r.Rules))
 }
 
-// clockStep is by how much the wall clock is off.
-func (t *table) clockStep() time.Duration {
+// currentClockStep returns the offset of the wall clock.
+func (t *ruleTable) currentClockStep() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.step
+	return t.clockStep
 }
 
-// draw tells which rule makes this call fail, if any. path is the file's name, where it is on one.
-func (t *table) draw(call Call, path string) (rule Rule, any bool) {
+// match returns the rule that makes this call fail, if any, and counts it as applied. path is the
+// name of the file for calls on files.
+func (t *ruleTable) match(call Call, path string) (rule Rule, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, r := range t.rules {
@@ -146,8 +147,8 @@
 	return Rule{}, false
 }
 
-// shorter draws how many of n bytes one call takes.
-func (t *table) shorter(r Rule, n uint64) uint64 {
+// shortLength returns how many of the n requested bytes a call with fault Short transfers.
+func (t *ruleTable) shortLength(r Rule, n uint64) uint64 {
 	if n <= 1 {
 		return n
 	}
@@ -156,19 +157,20 @@
 	if r.MaxBytes > 0 {
 		return min(n, uint64(r.MaxBytes))
 	}
-	return 1 + t.rng.Uint64N(min(n/2, mostShort))
+	return 1 + t.rng.Uint64N(min(n/2, maxShortBytes))
 }
 
-// mostShort bounds what a short call takes, in bytes: buffers are far larger than messages.
-const mostShort = 64
+// maxShortBytes limits the random length of a short transfer. Buffers are far larger than messages, so that
+// half a buffer would often hold a whole message.
+const maxShortBytes = 64
 
-// report copies the counts.
-func (t *table) report() map[string]int {
+// snapshot returns a copy of the counts.
+func (t *ruleTable) snapshot() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make(map[string]int, len(t.counts))
-	for k, n := range t.counts {
-		all[k] = n
+	result := make(map[string]int, len(t.counts))
+	for name, n := range t.counts {
+		result[name] = n
 	}
-	return all
+	return result
 }
--- a/internal/faultinject/faultinject_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -14,22 +14,22 @@
 	"testing"
 )
 
-// asEcho makes the test's own binary a program that answers lines on a connection.
-const asEcho = "FAULTINJECT_TEST_ECHO"
+// echoProgramVariable makes the test binary run echo in place of the tests.
+const echoProgramVariable = "FAULTINJECT_TEST_ECHO"
 
 func TestMain(m *testing.M) {
 	RunRole()
-	if os.Getenv(asClock) != "" {
-		tellClocks()
+	if os.Getenv(clockProgramVariable) != "" {
+		printClocks()
 	}
-	if os.Getenv(asEcho) != "" {
+	if os.Getenv(echoProgramVariable) != "" {
 		echo()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// echo accepts connections and answers each line with what the read of it gave.
+// echo accepts connections and prints the result of each accept and read to standard error.
 func echo() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,10 +58,10 @@
 	}
 }
 
-// Guards against a tool that tells of faults which the program never met: errors and short
-// reads reach a real process, by rules that change while it runs.
-func TestRulesReachTheProgram(t *testing.T) {
-	cmd, err := Command(t.Context(), 1, []string{asEcho + "=1"})
+// Guards against faults that are counted but never reach the program: errors and short reads must
+// occur in a real process, by rules that change while it runs.
+func TestRulesApplyToRunningProgram(t *testing.T) {
+	cmd, err := Command(t.Context(), 1, []string{echoProgramVariable + "=1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	next := func() string {
 		t.Helper()
 		if !lines.Scan() {
-			t.Fatal("the program says no more")
+			t.Fatal("the program has closed its standard error")
 		}
 		return lines.Text()
 	}
@@ -117,7 +117,7 @@
 	}
 	defer second.Close()
 	if got := next(); !strings.Contains(got, "accept") || !strings.Contains(got, syscall.ENFILE.Error()) {
-		t.Errorf("the program said %q, want a failed accept", got)
+		t.Errorf("the program printed %q, want a failed accept", got)
 	}
 	applied, err := control.Set()
 	if err != nil {
@@ -133,6 +133,6 @@
 	}
 	var ended *exec.ExitError
 	if err = cmd.Wait(); !errors.As(err, &ended) || ended.ExitCode() != exitSignal+int(syscall.SIGTERM) {
-		t.Errorf("ended with %v, want the program's end by SIGTERM", err)
+		t.Errorf("tracer ended with %v, want the exit code of a program ended by SIGTERM", err)
 	}
 }
--- a/internal/faultinject/trace.go
+++ b/internal/faultinject/trace.go
@@ -19,31 +19,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// SeedVariable names the seed by which a tracer draws the calls that fail.
+// SeedVariable names the environment variable with the seed for choosing the calls that fail.
 const SeedVariable = "WICKARCH_FAULTINJECT_SEED"
 
-// rulesVariable holds the rules in force at the start.
+// rulesVariable names the environment variable with the initial rules.
 const rulesVariable = "WICKARCH_FAULTINJECT_RULES"
 
-// Exit codes of the tracer where the program gave none.
+// Exit codes of the tracer if the program has not returned one.
 const (
 	exitFailed = 125 // the tracer itself failed
-	exitSignal = 128 // and the number of the signal that ended the program
+	exitSignal = 128 // plus the number of the signal that ended the program
 )
 
-// traceMain runs the tracer and returns its exit code: that of the program.
-func traceMain() int {
+// runTracer runs the tracer and returns its exit code, which is that of the program.
+func runTracer() int {
 	seed, err := strconv.ParseUint(os.Getenv(SeedVariable), 10, 64)
 	if err != nil {
 		seed = 1
 	}
-	t := &tracer{rules: newTable(seed), threads: map[int]bool{}, sockets: map[int]*descriptor{}}
-	var first Rules
-	if err = json.Unmarshal([]byte(os.Getenv(rulesVariable)), &first); err != nil {
+	t := &tracer{rules: newRuleTable(seed), threads: map[int]bool{}, descriptors: map[int]*descriptor{}}
+	var initial Rules
+	if err = json.Unmarshal([]byte(os.Getenv(rulesVariable)), &initial); err != nil {
 		fmt.Fprintln(os.Stderr, "faultinject: rules:", err)
 		return exitFailed
 	}
-	t.rules.set(first)
+	t.rules.set(initial)
 	code, err := t.run()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "faultinject:", err)
@@ -54,15 +54,15 @@
 
 // tracer is the state of one traced program.
 type tracer struct {
-	rules   *table
-	pid     int
-	threads map[int]bool        // known by their first stop
-	sockets map[int]*descriptor // of the program
+	rules       *ruleTable
+	pid         int
+	threads     map[int]bool        // threads that have stopped at least once
+	descriptors map[int]*descriptor // of the program, by number
 }
 
-// run starts the program and follows it to its end.
+// run starts the program and traces it until it ends.
 func (t *tracer) run() (code int, err error) {
-	runtime.LockOSThread() // ptrace belongs to one thread
+	runtime.LockOSThread() // only the thread that started the program may trace it
 	program := os.Getenv(ProgramVariable)
 	if program == "" {
 		program = os.Args[0]
@@ -78,21 +78,21 @@
 	t.pid = cmd.Process.Pid
 	go t.forwardSignals()
 	if _, err := syscall.Wait4(t.pid, nil, 0, nil); err != nil {
-		return 0, fmt.Errorf("first stop: %w", err)
+		return 0, fmt.Errorf("wait for the first stop: %w", err)
 	}
 	options := unix.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_EXITKILL | unix.PTRACE_O_TRACEEXEC
 	if err := syscall.PtraceSetOptions(t.pid, options); err != nil {
-		return 0, fmt.Errorf("options: %w", err)
+		return 0, fmt.Errorf("set ptrace options: %w", err)
 	}
 	t.threads[t.pid] = true
-	go t.takeRules()
+	go t.readRules()
 	if err := syscall.PtraceCont(t.pid, 0); err != nil {
 		return 0, fmt.Errorf("continue: %w", err)
 	}
-	return t.follow()
+	return t.handleStops()
 }
 
-// forwardSignals hands the signals that a platform sends on to the program.
+// forwardSignals passes signals from the platform to the program.
 func (t *tracer) forwardSignals() {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT)
@@ -101,8 +101,8 @@
 	}
 }
 
-// takeRules reads rules and answers each line with the counts so far.
-func (t *tracer) takeRules() {
+// readRules reads rules from standard input and responds to each line with the current counts.
+func (t *tracer) readRules() {
 	lines := bufio.NewScanner(os.Stdin)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -112,17 +112,17 @@
 			continue
 		}
 		t.rules.set(r)
-		answer, err := json.Marshal(t.rules.report())
+		response, err := json.Marshal(t.rules.snapshot())
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "faultinject:", err)
 			continue
 		}
-		fmt.Println(string(answer))
+		fmt.Println(string(response))
 	}
 }
 
-// follow handles all stops until the program ends.
-func (t *tracer) follow() (code int, err error) {
+// handleStops handles all stops of threads until the program ends.
+func (t *tracer) handleStops() (code int, err error) {
 	for {
 		var status syscall.WaitStatus
 		tid, err := syscall.Wait4(-1, &status, syscall.WALL, nil)
@@ -138,28 +138,28 @@
 		case status.Signaled() && tid == t.pid:
 			return exitSignal + int(status.Signal()), nil
 		case status.Stopped():
-			// A thread that has ended meanwhile can't be continued: its end is told next.
-			_ = syscall.PtraceCont(tid, t.stopped(tid, status))
+			// This fails if the thread has ended in the meantime; a later Wait4 reports its end.
+			_ = syscall.PtraceCont(tid, t.handleStop(tid, status))
 		}
 	}
 }
 
-// stopped handles one stop and returns the signal to be delivered, 0 for none.
-func (t *tracer) stopped(tid int, status syscall.WaitStatus) (deliver int) {
+// handleStop handles one stop of a thread and returns the signal to deliver, 0 for none.
+func (t *tracer) handleStop(tid int, status syscall.WaitStatus) (deliver int) {
 	known := t.threads[tid]
 	t.threads[tid] = true
 	switch s := status.StopSignal(); {
 	case s == syscall.SIGTRAP && status.TrapCause() == unix.PTRACE_EVENT_SECCOMP:
-		t.call(tid)
+		t.interceptCall(tid)
 		return 0
 	case s == syscall.SIGTRAP && status.TrapCause() == unix.PTRACE_EVENT_EXEC:
-		if err := leadClock(tid); err != nil {
+		if err := patchClock(tid); err != nil {
 			fmt.Fprintln(os.Stderr, "faultinject:", err)
 		}
 		return 0
 	case s == syscall.SIGTRAP && status.TrapCause() > 0:
 		return 0
-	case s == syscall.SIGSTOP && !known: // the first stop of a new thread
+	case s == syscall.SIGSTOP && !known: // a new thread starts with this stop; it is not delivered
 		return 0
 	default:
 		return int(s)
