--- a/internal/coordinator/diskfaults_test.go
+++ b/internal/coordinator/diskfaults_test.go
@@ -68,7 +68,7 @@
 			faultinject.Rule{Call: faultinject.WriteFile, Path: logFile, Fault: "ENOSPC", Share: 0.1, Skip: 40},
 			faultinject.Rule{Call: faultinject.Sync, Path: logFile, Fault: "EIO", Share: 0.1, Skip: 10},
 			faultinject.Rule{Call: faultinject.WriteFile, Path: countFile, Fault: "EIO", Share: 0.2},
-			faultinject.Rule{Call: faultinject.WriteFile, Path: countFile, Fault: faultinject.Short, Share: 0.5, Bytes: 5},
+			faultinject.Rule{Call: faultinject.WriteFile, Path: countFile, Fault: faultinject.Short, Share: 0.5, MaxBytes: 5},
 			faultinject.Rule{Call: faultinject.Sync, Path: countFile, Fault: "EIO", Share: 0.2})
 		if err != nil {
 			t.Fatal(err)
