--- a/rollout/errors.go
+++ b/rollout/errors.go
@@ -231,13 +231,13 @@
 }
 
 func (e *LogWentBack) Error() string {
-	return fmt.Sprintf("the log is at index %d, but %s was notified of index %d: a coordinator runs on an older disk",
+	return fmt.Sprintf("the log is at %d, and %s was told of %d: a coordinator runs on an older disk",
 		e.LogIndex, e.Member, e.NotifiedIndex)
 }
 
 // Remedy implements Fault.
 func (e *LogWentBack) Remedy() string {
-	return "find the coordinator that was given an older disk and replace it by a new one; check in status whether rollouts and halts are as you left them, order again what is missing, then lift the stop"
+	return "find the coordinator that was given an older disk and replace it by a new one; look at status whether rollouts and halts are as you left them, order again what is missing, then lift the stop"
 }
 
 // StaleOrder reports that the state that an order refers to has changed.
@@ -247,7 +247,7 @@
 
 // Remedy implements Fault.
 func (e *StaleOrder) Remedy() string {
-	return "check status: the state changed before the order arrived; send the order again if it is still wanted"
+	return "look at status: somebody or something else was faster; order again if you still want it"
 }
 
 // Unknown reports a name that does not exist.
@@ -256,7 +256,7 @@
 func (e *Unknown) Error() string { return fmt.Sprintf("there is no %s %q", e.Kind, e.Name) }
 
 // Remedy implements Fault.
-func (e *Unknown) Remedy() string { return "look up the names in status" }
+func (e *Unknown) Remedy() string { return "look at status for the names" }
 
 // Overlap reports that a rollout would change members that another one changes.
 type Overlap struct{ With string }
@@ -267,16 +267,16 @@
 
 // Remedy implements Fault.
 func (e *Overlap) Remedy() string {
-	return "start it with --after and the other rollout's name, or end the other one by rolling it back or letting it finish"
+	return "start it with --after and the other's name, or end the other by going back or by letting it finish"
 }
 
 // BadRequest reports an invalid request.
 type BadRequest struct{ What string }
 
-func (e *BadRequest) Error() string { return "invalid request: " + e.What }
+func (e *BadRequest) Error() string { return "what was sent is wrong: " + e.What }
 
 // Remedy implements Fault.
-func (e *BadRequest) Remedy() string { return "correct what the message names and send it again" }
+func (e *BadRequest) Remedy() string { return "mend what is named and send it again" }
 
 // NotFresh reports that a member's last report is too old, or that the leader has had too few reports yet.
 type NotFresh struct {
@@ -303,11 +303,11 @@
 }
 
 func (e *Full) Error() string {
-	return fmt.Sprintf("there are %d %s already, which is the limit", e.Max, e.What)
+	return fmt.Sprintf("there are %d %s, and no more are kept", e.Max, e.What)
 }
 
 // Remedy implements Fault.
-func (e *Full) Remedy() string { return "forget members that will not return, or end open rollouts" }
+func (e *Full) Remedy() string { return "forget members that are gone, or end rollouts that are open" }
 
 // EndedAlready reports that a rollout has already ended.
 type EndedAlready struct{ Rollout, Phase string }
@@ -318,5 +318,5 @@
 
 // Remedy implements Fault.
 func (e *EndedAlready) Remedy() string {
-	return "start a new rollout, with the earlier version to return to it"
+	return "start a new rollout, to the earlier version if you want that back"
 }
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -28,9 +28,9 @@
 func (g Gate) check() error {
 	switch {
 	case g.Soak <= 0 || g.StallTimeout <= g.Soak:
-		return &BadRequest{"a gate's soak must be above 0, and its patience above the soak"}
+		return &BadRequest{"a gate's soak is above 0, and its patience above the soak"}
 	case !(g.Alpha > 0 && g.Alpha < 0.5) || !(g.Margin > 0 && g.Margin < 1) || !(g.MaxLatencyFactor > 1):
-		return &BadRequest{"a gate's alpha must be above 0 and below 0.5, margin between 0 and 1, slower above 1"}
+		return &BadRequest{"a gate's alpha is above 0 and below 0.5, margin between 0 and 1, slower above 1"}
 	}
 	return nil
 }
--- a/rollout/member.go
+++ b/rollout/member.go
@@ -202,11 +202,11 @@
 func (m Member) check() error {
 	for what, v := range map[string]string{"name": m.Name, "role": m.Role} {
 		if v == "" || len(v) > maxNameLength {
-			return &BadRequest{fmt.Sprintf("a member's %s must have 1 to %d characters, not %d", what, maxNameLength, len(v))}
+			return &BadRequest{fmt.Sprintf("a member's %s has 1 to %d characters, not %d", what, maxNameLength, len(v))}
 		}
 	}
 	if len(m.Zone) > maxNameLength || len(m.Cell) > maxNameLength || !(m.Weight > 0 && m.Weight < 1e12) {
-		return &BadRequest{fmt.Sprintf("member %s: zone and cell must have up to %d characters, and weight must be above 0",
+		return &BadRequest{fmt.Sprintf("member %s: zone and cell have up to %d characters, and weight is above 0",
 			m.Name, maxNameLength)}
 	}
 	return nil
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -331,7 +331,7 @@
 	case e.Stage != nil:
 		record := s.Members[e.Stage.Member]
 		if record == nil || record.Grant == nil || record.Grant.Fence != e.Stage.Fence {
-			return &StaleOrder{"the grant of the member has changed"}
+			return &StaleOrder{"the grant is another one by now"}
 		}
 		record.Grant.Stage, record.Failed = e.Stage.Stage, e.Stage.Failed
 	case e.Release != nil:
@@ -357,7 +357,7 @@
 	case e.RolledBack != "":
 		r := s.Rollout(e.RolledBack)
 		if !s.Active(r) || r.Phase != RollingBack {
-			return &StaleOrder{"the rollout is not rolling back"}
+			return &StaleOrder{"the rollout is not going back"}
 		}
 		r.Phase = RolledBack
 		s.trimEnded()
@@ -405,17 +405,17 @@
 	case record == nil:
 		return &Unknown{"member", g.Member}
 	case record.Grant != nil:
-		return &StaleOrder{"the member already holds a grant"}
+		return &StaleOrder{"the member holds a grant already"}
 	case s.Stop != nil:
 		return &StaleOrder{"everything is stopped: " + s.Stop.Text}
 	case g.Kind == Drain && record.Drain == "":
-		return &StaleOrder{"the member is no longer to be drained"}
+		return &StaleOrder{"nobody wants the member out any more"}
 	}
 	if g.Kind == Release {
 		// A halt or a rollback that was logged before the grant takes precedence.
 		r := s.Rollout(g.Rollout)
 		if !s.Active(r) || r.targetVersion(g.Member) != g.Version {
-			return &StaleOrder{"the rollout is halted, has ended or is rolling back"}
+			return &StaleOrder{"the rollout has been halted, has ended or has turned"}
 		}
 		if r.Phase == InProgress {
 			if _, touched := r.Prior[g.Member]; !touched {
@@ -432,7 +432,7 @@
 func (s *State) release(e ReleaseEntry) error {
 	record := s.Members[e.Member]
 	if record == nil || record.Grant == nil || record.Grant.Fence != e.Fence {
-		return &StaleOrder{"the grant of the member has changed"}
+		return &StaleOrder{"the grant is another one by now"}
 	}
 	if r := s.Rollout(record.Grant.Rollout); r != nil {
 		r.Idle = 0
@@ -468,7 +468,7 @@
 		return err
 	}
 	if s.Rollout(spec.ID) != nil {
-		return &BadRequest{fmt.Sprintf("there is already a rollout %s", spec.ID)}
+		return &BadRequest{fmt.Sprintf("there is a rollout %s already", spec.ID)}
 	}
 	r := &Rollout{Spec: spec, Phase: InProgress, Prior: map[string]string{}}
 	openCount := 0
@@ -521,7 +521,7 @@
 func (s *State) advance(w AdvanceEntry) error {
 	r := s.Rollout(w.Rollout)
 	if !s.Active(r) || r.Phase != InProgress || r.Wave != w.Wave {
-		return &StaleOrder{"the rollout is in another wave"}
+		return &StaleOrder{"the wave is another one by now"}
 	}
 	r.Idle = 0
 	if r.Wave++; r.Wave < len(r.Waves) {
@@ -582,7 +582,7 @@
 	}
 	// An operator lifts the halt that they have seen. One that was set since stays.
 	if *halt != nil && e.Number != 0 && (*halt).Number != e.Number {
-		return &StaleOrder{fmt.Sprintf("the current halt is number %d: %s", (*halt).Number, (*halt).Text)}
+		return &StaleOrder{fmt.Sprintf("the halt is number %d by now: %s", (*halt).Number, (*halt).Text)}
 	}
 	*halt = nil
 	if r := s.Rollout(e.Rollout); r != nil {
@@ -639,21 +639,21 @@
 	invalid := func(format string, args ...any) error { return &BadRequest{fmt.Sprintf(format, args...)} }
 	switch {
 	case s.ID == "" || len(s.ID) > maxNameLength || strings.ContainsAny(s.ID, " /\n"):
-		return invalid("a rollout's name must have 1 to %d characters, without blanks and slashes", maxNameLength)
+		return invalid("a rollout's name has 1 to %d characters, no blanks and no slash", maxNameLength)
 	case s.Role == "" || len(s.Role) > maxNameLength:
-		return invalid("a rollout must name one role")
+		return invalid("a rollout is for one role")
 	case s.Version == "" || len(s.Version) > maxNameLength:
-		return invalid("a version must have 1 to %d characters", maxNameLength)
+		return invalid("a version has 1 to %d characters", maxNameLength)
 	case len(s.Waves) == 0 || len(s.Waves) > 50:
-		return invalid("a rollout must have 1 to 50 waves")
+		return invalid("a rollout has 1 to 50 waves")
 	case len(s.Zones) > 100:
-		return invalid("a rollout must not name more than 100 zones")
+		return invalid("a rollout names up to 100 zones")
 	case s.Waves[len(s.Waves)-1] != AllMembers:
-		return invalid("the last wave must be %q", "100%")
+		return invalid("the last wave is %q", "100%")
 	}
 	for _, wave := range s.Waves[:len(s.Waves)-1] {
 		if !(wave > 0) || wave > MaxMembers {
-			return invalid("a wave must be a number of members or a share of them, above 0")
+			return invalid("a wave is a number of members or a share of them above 0")
 		}
 	}
 	return s.Gate.check()
@@ -678,12 +678,12 @@
 func (e Entry) CheckOrder() error {
 	switch {
 	case e.Request == "" || len(e.Request) > maxNameLength || e.By == "" || len(e.By) > maxNameLength:
-		return &BadRequest{fmt.Sprintf("an order must have a request and a by of 1 to %d characters", maxNameLength)}
+		return &BadRequest{fmt.Sprintf("an order has a request and a by of 1 to %d characters", maxNameLength)}
 	case e.Join != nil || e.Grant != nil || e.Stage != nil || e.Release != nil || e.Adopt != nil || e.Advance != nil ||
 		e.RolledBack != "" || e.Watch != nil:
-		return &BadRequest{"only coordinators may write such entries"}
+		return &BadRequest{"only coordinators write such entries"}
 	case e.Halt != nil && (len(e.Halt.Text) > 1000 || len(e.Halt.Remedy) > 1000 || len(e.Halt.Kind) > maxNameLength):
-		return &BadRequest{"a halt's text and remedy must not have more than 1000 characters"}
+		return &BadRequest{"a halt's words have up to 1000 characters"}
 	}
 	count := 0
 	for _, set := range []bool{e.Forget != "", e.Start != nil, e.Halt != nil, e.Resume != nil, e.Rollback != "", e.Drain != "",
@@ -693,7 +693,7 @@
 		}
 	}
 	if count != 1 {
-		return &BadRequest{"an order must contain one action"}
+		return &BadRequest{"an order orders one thing"}
 	}
 	return nil
 }
