--- a/cmd/wickarch/cold_test.go
+++ b/cmd/wickarch/cold_test.go
@@ -13,84 +13,85 @@
 	"wickarch/internal/standin"
 )
 
-// What the settings of the test say of cold backends.
+// Settings for cold backends: one starts with a warmth of coldFrom, is warm after coldDuration, and is overloaded by
+// overloadMultiple times the requests that it can serve within overloadWindow.
 const (
-	coldFrom     = 0.15
-	coldFor      = 17 * time.Second
-	fallMultiple = 3.0
-	fallFor      = 1500 * time.Millisecond
+	coldFrom         = 0.15
+	coldDuration     = 17 * time.Second
+	overloadMultiple = 3.0
+	overloadWindow   = 1500 * time.Millisecond
 )
 
-// crowd is many processes before stand-in backends of which each counts what it gets while it is cold.
-type crowd struct {
+// coldFleet is a fleet of ingress processes with stand-in backends that count the requests they get while cold.
+type coldFleet struct {
 	*testing.T
-	registry *standin.Registry
-	nodes    []*standin.Process
-	capacity float64      // requests a second that a warm backend does
-	all      atomic.Int64 // requests that came to backends
-	toCold   atomic.Int64
-	more     chan struct{} // a token when one has come
-	lost     atomic.Int64
-	served   atomic.Int64
+	registry  *standin.Registry
+	processes []*standin.Process
+	warmRate  float64      // requests per second that a warm backend can serve
+	received  atomic.Int64 // requests that backends received
+	toCold    atomic.Int64
+	arrived   chan struct{} // signalled when a backend has received a request
+	lost      atomic.Int64
+	served    atomic.Int64
 }
 
-// coldBackend is a stand-in backend that counts what comes to it.
+// coldBackend is a stand-in backend that counts the requests it gets while cold.
 type coldBackend struct {
 	*standin.Backend
 	member standin.Member
-	start  time.Time // zero: it was up long before
+	start  time.Time // zero for a warm backend
 
-	mu   sync.Mutex
-	came []time.Time // within the window
-	most float64     // that came, over what it bears
-	fell string      // how, the first time
+	mu       sync.Mutex
+	arrivals []time.Time // of requests within the last overloadWindow
+	maxLoad  float64     // highest number of requests in a window, as a share of the limit
+	overload string      // describes the first overload; empty without one
 }
 
-// warmth is the part of its capacity that it has, at least.
+// warmth returns a lower bound of the share of its capacity that the backend has.
 func (b *coldBackend) warmth(now time.Time) float64 {
-	if age := now.Sub(b.start); !b.start.IsZero() && age < coldFor {
-		return coldFrom + (1-coldFrom)*age.Seconds()/coldFor.Seconds()
+	if age := now.Sub(b.start); !b.start.IsZero() && age < coldDuration {
+		return coldFrom + (1-coldFrom)*age.Seconds()/coldDuration.Seconds()
 	}
 	return 1
 }
 
-// count counts a request. All are of the same work, and no ingress knows of a cold backend but by its list, which
-// tells of its start: so each that comes is from one that had been told.
-func (b *coldBackend) count(capacity float64) (warmth float64) {
+// count counts a request and returns the backend's warmth. All requests cost the same work. An ingress knows a cold
+// backend only from discovery's list, which contains its start time, so each sender knows that it is cold.
+func (b *coldBackend) count(warmRate float64) (warmth float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	if warmth = b.warmth(now); warmth >= 1 {
 		return warmth
 	}
-	b.came = append(b.came, now)
-	for now.Sub(b.came[0]) > fallFor {
-		b.came = b.came[1:]
+	b.arrivals = append(b.arrivals, now)
+	for now.Sub(b.arrivals[0]) > overloadWindow {
+		b.arrivals = b.arrivals[1:]
 	}
-	n := fallMultiple * warmth * capacity * fallFor.Seconds()
-	most := n + 2*math.Sqrt(n)
-	b.most = max(b.most, float64(len(b.came))/most)
-	if float64(len(b.came)) > most && b.fell == "" {
-		b.fell = fmt.Sprintf("%s, up for %v, falls: it gets %d requests within %v and bears %.1f", b.member.ID,
-			now.Sub(b.start).Round(time.Millisecond), len(b.came), fallFor, most)
+	expected := overloadMultiple * warmth * warmRate * overloadWindow.Seconds()
+	limit := expected + 2*math.Sqrt(expected)
+	b.maxLoad = max(b.maxLoad, float64(len(b.arrivals))/limit)
+	if float64(len(b.arrivals)) > limit && b.overload == "" {
+		b.overload = fmt.Sprintf("%s, up for %v, is overloaded: it gets %d requests within %v, limit %.1f", b.member.ID,
+			now.Sub(b.start).Round(time.Millisecond), len(b.arrivals), overloadWindow, limit)
 	}
 	return warmth
 }
 
-// backend starts one and has discovery tell of it.
-func (c *crowd) backend(id string, cold bool) *coldBackend {
+// startBackend starts a backend and adds it to discovery's list.
+func (c *coldFleet) startBackend(id string, cold bool) *coldBackend {
 	c.Helper()
 	const work = 10 * time.Millisecond
 	b := &coldBackend{}
 	var err error
 	b.Backend, err = standin.NewBackend(func(r standin.Received) {
-		warmth := b.count(c.capacity)
-		c.all.Add(1)
+		warmth := b.count(c.warmRate)
+		c.received.Add(1)
 		if warmth < 1 {
 			c.toCold.Add(1)
 		}
 		select {
-		case c.more <- struct{}{}:
+		case c.arrived <- struct{}{}:
 		default:
 		}
 		time.Sleep(time.Duration(float64(work) / warmth))
@@ -109,28 +110,28 @@
 	return b
 }
 
-// told has discovery tell of another phase of a backend.
-func (c *crowd) told(b *coldBackend, phase string) {
+// setPhase changes a backend's phase in discovery's list.
+func (c *coldFleet) setPhase(b *coldBackend, phase string) {
 	b.member.Phase = phase
 	c.registry.Set(b.member)
 }
 
-// wait waits until so many more requests have come to backends.
-func (c *crowd) wait(more int64) {
+// waitForRequests waits until backends have received that many more requests.
+func (c *coldFleet) waitForRequests(more int64) {
 	c.Helper()
-	after := time.After(patience)
-	for want := c.all.Load() + more; c.all.Load() < want; {
+	after := time.After(waitTimeout)
+	for want := c.received.Load() + more; c.received.Load() < want; {
 		select {
-		case <-c.more:
+		case <-c.arrived:
 		case <-after:
-			c.Fatalf("%d of %d requests have come within %v", c.all.Load(), want, patience)
+			c.Fatalf("backends received %d of %d requests within %v", c.received.Load(), want, waitTimeout)
 		}
 	}
 }
 
-// ask has a client ask a process, one request after the other with a pause between, until stop is closed. So a
-// machine that is kept busy makes it slower, and never quicker.
-func (c *crowd) ask(node int, pause time.Duration, stop <-chan struct{}) {
+// runClient sends requests to a process one after the other, with a delay before each, until stop is closed. The
+// load is closed-loop: a busy machine makes the client slower, never faster.
+func (c *coldFleet) runClient(node int, interval time.Duration, stop <-chan struct{}) {
 	var conn *standin.Client
 	defer func() {
 		if conn != nil {
@@ -141,18 +142,18 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 		var err error
 		if conn == nil {
-			if conn, err = standin.Dial(c.nodes[node].Addr, patience); err != nil {
+			if conn, err = standin.Dial(c.processes[node].Addr, waitTimeout); err != nil {
 				c.Error(err)
 				return
 			}
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(waitTimeout))
 		id := standin.NewID()
-		switch conn.Ask(id, standin.Lookup(uint64(node+1), id, int(deadline.Milliseconds()))...) {
+		switch conn.Ask(id, standin.Lookup(uint64(node+1), id, int(clientDeadline.Milliseconds()))...) {
 		case standin.Served:
 			c.served.Add(1)
 		case standin.Lost, standin.Wrong:
@@ -164,56 +165,57 @@
 	}
 }
 
-// Twenty-five processes at near full load, unevenly asked: some backends join cold, then a burst comes, and the old
-// ones are replaced under it. No cold one gets more than N + 2 x root of N requests in the time that the settings
-// name, N being what the settings allow it then; counted at the backends.
-func TestColdBackendsBeforeACrowd(t *testing.T) {
+// Guards against cold backends that 25 ingresses overload together, under uneven load near capacity: some backends
+// join cold, then a burst of clients starts, and all old backends are replaced during it. No cold backend may get
+// more than N + 2*sqrt(N) requests in overloadWindow, N being what the settings allow at its warmth; counted at the
+// backends.
+func TestManyIngressesDoNotOverloadColdBackends(t *testing.T) {
 	const (
-		size, warm, joining = 25, 12, 4
-		pause               = 200 * time.Millisecond // of a client, between requests
-		load                = 0.9                    // of what the warm ones do, before the burst
+		processCount, warm, joining = 25, 12, 4
+		interval                    = 200 * time.Millisecond // of a client, before each request
+		load                        = 0.9                    // share of the warm backends' capacity before the burst
 	)
-	c := &crowd{T: t, registry: standin.NewRegistry(), nodes: make([]*standin.Process, size), more: make(chan struct{}, 1)}
+	c := &coldFleet{T: t, registry: standin.NewRegistry(), processes: make([]*standin.Process, processCount), arrived: make(chan struct{}, 1)}
 	t.Cleanup(c.registry.Stop)
 	clients := func(node int) int { return [...]int{1, 1, 1, 2, 4}[node%5] }
-	further := func(node int) int { return [...]int{0, 0, 1, 1, 2}[node%5] } // of the burst
+	burstClients := func(node int) int { return [...]int{0, 0, 1, 1, 2}[node%5] } // started for the burst
 	total := 0
-	for i := range size {
+	for i := range processCount {
 		total += clients(i)
 	}
-	c.capacity = float64(total) / pause.Seconds() / warm / load // clients ask no more often, and seldom less
-	var old, fresh []*coldBackend
+	c.warmRate = float64(total) / interval.Seconds() / warm / load // clients send at most this often, and seldom less
+	var old, coldBackends []*coldBackend
 	for i := range warm {
-		old = append(old, c.backend(fmt.Sprint("old-", i), false))
+		old = append(old, c.startBackend(fmt.Sprint("old-", i), false))
 	}
-	program, dir := binary(t), t.TempDir()
+	program, dir := deployedBinary(t), t.TempDir()
 	var starts sync.WaitGroup
-	for i := range c.nodes {
+	for i := range c.processes {
 		starts.Go(func() {
 			settings := fmt.Sprintf(standin.Settings, 60_000, 1e6, 1e6)
-			for was, is := range map[string]string{
-				`"balancers":1,"self_index":0`: fmt.Sprintf(`"balancers":%d,"self_index":%d`, size, i),
+			for from, to := range map[string]string{
+				`"balancers":1,"self_index":0`: fmt.Sprintf(`"balancers":%d,"self_index":%d`, processCount, i),
 				`"cold_from":0.2`:              fmt.Sprintf(`"cold_from":%g`, coldFrom),
-				`"cold_ms":1000`:               fmt.Sprintf(`"cold_ms":%d`, coldFor.Milliseconds()),
-				`"fall_ms":1500`:               fmt.Sprintf(`"fall_ms":%d`, fallFor.Milliseconds()),
-				`"tip_multiple":3`:             fmt.Sprintf(`"tip_multiple":%g`, fallMultiple),
+				`"cold_ms":1000`:               fmt.Sprintf(`"cold_ms":%d`, coldDuration.Milliseconds()),
+				`"fall_ms":1500`:               fmt.Sprintf(`"fall_ms":%d`, overloadWindow.Milliseconds()),
+				`"tip_multiple":3`:             fmt.Sprintf(`"tip_multiple":%g`, overloadMultiple),
 			} {
-				if !strings.Contains(settings, was) {
-					t.Errorf("the settings hold no %s", was)
+				if !strings.Contains(settings, from) {
+					t.Errorf("the settings do not contain %s", from)
 				}
-				settings = strings.Replace(settings, was, is, 1)
+				settings = strings.Replace(settings, from, to, 1)
 			}
 			n := standin.Node{Name: fmt.Sprint("n", i), Listen: "127.0.0.1:0", Discovery: c.registry.Addr(), Seed: fmt.Sprintf("%x", i+1),
-				Limits: limits, Settings: json.RawMessage(settings)}
+				Limits: defaultLimits, Settings: json.RawMessage(settings)}
 			p, err := n.Start(t.Context(), []string{program}, dir)
 			if err == nil {
-				err = standin.WaitReady(p.Addr, patience)
+				err = standin.WaitReady(p.Addr, waitTimeout)
 			}
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			c.nodes[i] = p
+			c.processes[i] = p
 		})
 	}
 	starts.Wait()
@@ -221,49 +223,49 @@
 		t.FailNow()
 	}
 	stop := make(chan struct{})
-	var asking sync.WaitGroup
-	begin := func(clients func(node int) int) {
-		for i := range c.nodes {
+	var clientsRunning sync.WaitGroup
+	startClients := func(clients func(node int) int) {
+		for i := range c.processes {
 			for range clients(i) {
-				asking.Go(func() { c.ask(i, pause, stop) })
+				clientsRunning.Go(func() { c.runClient(i, interval, stop) })
 			}
 		}
 	}
-	end := sync.OnceFunc(func() { close(stop); asking.Wait() })
-	defer end()
-	begin(clients)
-	c.wait(300)
+	stopClients := sync.OnceFunc(func() { close(stop); clientsRunning.Wait() })
+	defer stopClients()
+	startClients(clients)
+	c.waitForRequests(300)
 	for i := range joining {
-		fresh = append(fresh, c.backend(fmt.Sprint("joined-", i), true))
-		c.wait(5)
+		coldBackends = append(coldBackends, c.startBackend(fmt.Sprint("joined-", i), true))
+		c.waitForRequests(5)
 	}
-	c.wait(200)
-	begin(further)
+	c.waitForRequests(200)
+	startClients(burstClients)
 	for i, b := range old {
-		fresh = append(fresh, c.backend(fmt.Sprint("new-", i), true))
-		c.told(b, "DRAINING")
-		c.wait(20)
+		coldBackends = append(coldBackends, c.startBackend(fmt.Sprint("new-", i), true))
+		c.setPhase(b, "DRAINING")
+		c.waitForRequests(20)
 	}
 	for _, b := range old {
-		c.told(b, "DELETED")
+		c.setPhase(b, "DELETED")
 	}
-	c.wait(400)
-	end()
+	c.waitForRequests(400)
+	stopClients()
 	if n := c.lost.Load(); n > 0 {
-		t.Errorf("%d requests have no answer, or another's", n)
+		t.Errorf("%d requests were lost or got the response of another request", n)
 	}
-	most := 0.0
-	for _, b := range fresh {
+	maxLoad := 0.0
+	for _, b := range coldBackends {
 		b.mu.Lock()
-		most = max(most, b.most)
-		if b.fell != "" {
-			t.Error(b.fell)
+		maxLoad = max(maxLoad, b.maxLoad)
+		if b.overload != "" {
+			t.Error(b.overload)
 		}
 		b.mu.Unlock()
 	}
 	if c.toCold.Load() < 200 {
-		t.Errorf("cold backends got %d requests: too few to show anything", c.toCold.Load())
+		t.Errorf("cold backends got %d requests: too few for the test to be conclusive", c.toCold.Load())
 	}
-	t.Logf("%d requests came to backends, %d of them to cold ones, %d were served; at most %.2f of what a cold one bears",
-		c.all.Load(), c.toCold.Load(), c.served.Load(), most)
+	t.Logf("backends received %d requests, cold ones %d of them; %d were served; a cold backend got at most %.2f of its limit",
+		c.received.Load(), c.toCold.Load(), c.served.Load(), maxLoad)
 }
--- a/cmd/wickarch/descriptors_test.go
+++ b/cmd/wickarch/descriptors_test.go
@@ -17,11 +17,12 @@
 	"wickarch/internal/standin"
 )
 
-// asLimited makes the test's own binary run the program with so many descriptors.
-const asLimited = "WICKARCH_TEST_AS_LIMITED"
+// limitedRoleEnv names the environment variable that makes the test binary run the program with a limit on file
+// descriptors, the variable's value.
+const limitedRoleEnv = "WICKARCH_TEST_AS_LIMITED"
 
 func init() {
-	roles[asLimited] = func(files string) {
+	roles[limitedRoleEnv] = func(files string) {
 		n, err := strconv.ParseUint(files, 10, 32)
 		if err == nil {
 			err = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
@@ -34,9 +35,9 @@
 	}
 }
 
-// reserve finds an address that nothing else uses: its port is the system's choice, and
-// its host this test's own.
-func reserve(t *testing.T, host string) string {
+// reserveAddress returns an address that nothing else uses: no other test uses the host, and the system chooses
+// the port.
+func reserveAddress(t *testing.T, host string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -46,21 +47,21 @@
 	return ln.Addr().String()
 }
 
-// besiege has clients take all the places that they can get, until the function is
-// called: each rests, every other one after a request, and comes back when it is let go.
-func (s *site) besiege(clients int) (leave func()) {
+// occupyConnections has clients open as many connections as the ingress accepts and keep them idle, every other
+// one after a request. They reconnect when the ingress closes the connection, until the returned function is called.
+func (s *testEnv) occupyConnections(clients int) (leave func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for n := range clients {
-		all.Go(func() {
+		running.Go(func() {
 			for ; ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
-				c, err := standin.Dial(s.Addr, patience)
+				c, err := standin.Dial(s.Addr, waitTimeout)
 				if err != nil {
-					continue // it has ended
+					continue // the ingress has exited
 				}
 				free := context.AfterFunc(ctx, func() { c.Close() })
 				if n%2 == 0 {
-					s.asked(c)
+					s.lookup(c)
 				}
 				_, _ = io.Copy(io.Discard, c.In)
 				free()
@@ -68,28 +69,28 @@
 			}
 		})
 	}
-	return func() { cancel(); all.Wait() }
+	return func() { cancel(); running.Wait() }
 }
 
-// Clients that rest take all the descriptors they can get while discovery is down. What
-// else needs one gets it: the second address, a backend that is connected to for the
-// first time, discovery at its return, and each client's end at the drain.
-func TestIdleCrowdLeavesDescriptorsForTheRest(t *testing.T) {
-	const crowd = 300
+// Guards against idle clients that use up all file descriptors while discovery is down. The admin address, a first
+// connection to a new backend, discovery once it is back, and the clean close of clients at the drain must
+// still get a descriptor.
+func TestIdleClientsLeaveDescriptorsForOtherUses(t *testing.T) {
+	const idleClients = 300
 	for n, c := range []struct {
-		name         string
-		told, starts int  // descriptors
-		lowered      int  // while it runs; 0: not
-		refuses      bool // while it is down discovery refuses; else it takes calls and says nothing
+		name               string
+		configured, rlimit int  // file descriptors: in the configuration, and the process's limit at its start
+		loweredTo          int  // the process's limit while it runs; 0: not lowered
+		refuses            bool // discovery refuses connections while it is down; otherwise it accepts them and never responds
 	}{
-		{"as many as told", 160, 160, 0, false},
-		{"as many as told, discovery refuses", 160, 160, 0, true},
-		{"fewer than told, discovery refuses", 1024, 120, 0, true},
-		{"lowered while it runs, discovery refuses", 1024, 1024, 100, true},
+		{"limit as configured", 160, 160, 0, false},
+		{"limit as configured, discovery refuses", 160, 160, 0, true},
+		{"limit below the configured one, discovery refuses", 1024, 120, 0, true},
+		{"limit lowered while running, discovery refuses", 1024, 1024, 100, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := around(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: c.told})
+			s := newTestEnv(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: c.configured})
 			registry := standin.NewRegistry()
 			t.Cleanup(registry.Stop)
 			registry.Set(s.member)
@@ -100,73 +101,75 @@
 			t.Cleanup(func() { link.Close() })
 			s.node.Discovery = link.Addr
 			if c.refuses {
-				s.node.Discovery = reserve(t, fmt.Sprintf("127.41.9.%d", n+1))
-				if s.node.Known, err = json.Marshal(map[string]any{"revision": 0, "complete": true, "members": []standin.Member{s.member}}); err != nil {
+				s.node.Discovery = reserveAddress(t, fmt.Sprintf("127.41.9.%d", n+1))
+				if s.node.Known, err = json.Marshal(map[string]any{"revision": 0, "complete": true,
+					"members": []standin.Member{s.member}}); err != nil {
 					t.Fatal(err)
 				}
 			}
-			second := reserve(t, fmt.Sprintf("127.41.7.%d", n+1))
-			if s.Process, err = s.node.Start(t.Context(), []string{os.Args[0]}, s.dir, fmt.Sprintf("%s=%d", asLimited, c.starts), "NODE_MGMT="+second); err != nil {
+			adminAddr := reserveAddress(t, fmt.Sprintf("127.41.7.%d", n+1))
+			if s.Process, err = s.node.Start(t.Context(), []string{os.Args[0]}, s.dir,
+				fmt.Sprintf("%s=%d", limitedRoleEnv, c.rlimit), "NODE_MGMT="+adminAddr); err != nil {
 				t.Fatal(err)
 			}
-			if err = standin.WaitReady(s.Addr, patience); err != nil {
+			if err = standin.WaitReady(s.Addr, waitTimeout); err != nil {
 				t.Fatal(err)
 			}
 			if !c.refuses {
-				link.Silence() // a watch that is open says nothing more, and calls are taken and not answered
+				link.Silence() // the open watch stalls, and new requests are accepted and not answered
 			}
-			if c.lowered > 0 {
-				setFiles(t, s.Cmd.Process.Pid, uint64(c.lowered))
+			if c.loweredTo > 0 {
+				setDescriptorLimit(t, s.Cmd.Process.Pid, uint64(c.loweredTo))
 			}
-			leave := s.besiege(crowd)
+			leave := s.occupyConnections(idleClients)
 			defer leave()
-			full, times := min(c.starts, c.told), 0
-			if c.lowered > 0 {
-				full = c.lowered
+			descriptorLimit, filledCalls := min(c.rlimit, c.configured), 0
+			if c.loweredTo > 0 {
+				descriptorLimit = c.loweredTo
 			}
-			fills := func() bool { // a moment before it there may have been none left
-				u, unread := s.Usage()
-				return unread == nil && u.Files >= full*55/100
+			filled := func() bool { // 55%: the ingress closes idle connections, so all may have been in use a moment earlier
+				u, usageErr := s.Usage()
+				return usageErr == nil && u.Files >= descriptorLimit*55/100
 			}
-			for end := time.Now().Add(patience); !fills(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(waitTimeout); !filled(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("the crowd does not fill the descriptors: nothing is shown")
+					t.Fatal("the idle clients do not fill the descriptors: the test is inconclusive")
 				}
 			}
-			judge := s.load(50)
-			call := func(path string) {
+			stopLoad := s.startLoad(50)
+			get := func(path string) {
 				t.Helper()
-				client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
-				resp, failed := client.Get("http://" + second + path)
-				if failed != nil {
-					t.Errorf("the second address: %v", failed)
+				client := http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+				resp, getErr := client.Get("http://" + adminAddr + path)
+				if getErr != nil {
+					t.Errorf("admin address: %v", getErr)
 					return
 				}
 				defer resp.Body.Close()
-				if _, broken := io.Copy(io.Discard, resp.Body); broken != nil || resp.StatusCode != http.StatusOK {
-					t.Errorf("the second address answers %s, %v", resp.Status, broken)
+				if _, copyErr := io.Copy(io.Discard, resp.Body); copyErr != nil || resp.StatusCode != http.StatusOK {
+					t.Errorf("the admin address responded %s, %v", resp.Status, copyErr)
 				}
 			}
 			for range 20 {
-				if call("/status/metrics"); fills() {
-					times++
+				if get("/status/metrics"); filled() {
+					filledCalls++
 				}
 			}
-			if times == 0 {
-				t.Error("the crowd does not keep the descriptors filled: nothing is shown")
+			if filledCalls == 0 {
+				t.Error("the idle clients do not keep the descriptors filled: the test is inconclusive")
 			}
 
-			// While it was down another backend came in place of the one that serves.
-			var ran standin.Effects
-			other, err := standin.NewBackend(ran.Work(func() time.Duration { return 0 }, nil))
+			// While discovery was down, another backend replaced the one that serves.
+			var effects standin.Effects
+			other, err := standin.NewBackend(effects.Work(func() time.Duration { return 0 }, nil))
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(other.Close)
-			gone := s.member
-			gone.Phase = "DELETED"
+			deleted := s.member
+			deleted.Phase = "DELETED"
 			registry.Set(other.Member("c"))
-			registry.Set(gone)
+			registry.Set(deleted)
 			if c.refuses {
 				if link, err = standin.NewLinkAt(s.node.Discovery, registry.Addr()); err != nil {
 					t.Fatal(err)
@@ -174,25 +177,25 @@
 			} else {
 				link.Heal()
 			}
-			for end := time.Now().Add(patience); ran.Total() == 0; {
+			for end := time.Now().Add(waitTimeout); effects.Total() == 0; {
 				if time.Sleep(time.Millisecond); time.Now().After(end) {
-					t.Fatal("the list is not followed at discovery's return: the new backend gets nothing")
+					t.Fatal("the list is not updated once discovery is back: the new backend gets no requests")
 				}
 			}
-			judge()
+			stopLoad()
 
 			var ended = make(chan error, 5)
 			for range cap(ended) {
 				c := s.dial()
-				s.asked(c)
+				s.lookup(c)
 				go func() { ended <- c.Ended() }()
 			}
-			if err := s.Stop(patience); err != nil {
-				t.Errorf("the drain: %v", err)
+			if err := s.Stop(waitTimeout); err != nil {
+				t.Errorf("process exit after the drain: %v", err)
 			}
 			for range cap(ended) {
 				if err := <-ended; err != nil {
-					t.Errorf("at the drain: %v", err)
+					t.Errorf("client connection at the drain: %v", err)
 				}
 			}
 		})
--- a/cmd/wickarch/idle_test.go
+++ b/cmd/wickarch/idle_test.go
@@ -20,85 +20,87 @@
 	"wickarch/internal/standin"
 )
 
-// The tests here run the real program on loopback with some thousand
-// connections, and judge by what its stand-in clients and backends count.
+// These tests run the real program on loopback with thousands of connections, and check what stand-in clients and
+// backends count.
 
 const (
-	patience = 30 * time.Second
-	deadline = 10 * time.Second // of usual clients; generous, since no speed is judged
-	// prompt is the least time that the admission controller gives a new connection to ask, by
-	// default. Held back for longer by a busy machine, a client is owed nothing.
-	prompt = 50 * time.Millisecond
+	waitTimeout    = 30 * time.Second
+	clientDeadline = 10 * time.Second // of well-behaved clients; generous, since these tests do not measure latency
+	// minFirstRequestTime is the shortest time within which the admission controller, by default, lets a new
+	// connection send its first request. A client that a busy machine delays for longer may be disconnected.
+	minFirstRequestTime = 50 * time.Millisecond
 )
 
-// site is the program between stand-ins.
-type site struct {
+// testEnv is the program with stand-in discovery and backend.
+type testEnv struct {
 	*testing.T
 	*standin.Process
-	effects   standin.Effects
-	discovery *standin.Discovery
-	member    standin.Member
-	node      standin.Node
-	dir       string
-	told      sync.Map // by request id, a toldTime
+	effects       standin.Effects
+	discovery     *standin.Discovery
+	member        standin.Member
+	node          standin.Node
+	dir           string
+	sentDeadlines sync.Map // by request id, a sentDeadline
 }
 
-// toldTime is the time that an attempt told its backend, and when it came.
-type toldTime struct {
+// sentDeadline is the time limit that an attempt sent to the backend, and when it arrived.
+type sentDeadline struct {
 	at    time.Time
 	limit time.Duration
 }
 
-// hole is the customer whose requests backends never answer.
-const hole = 666
+// unansweredCustomer is the customer whose requests run and are never answered by the backend.
+const unansweredCustomer = 666
 
-// large is the customer whose values are of 60 KB.
-const large = 777
+// largeValueCustomer is the customer whose responses are 60 KB long.
+const largeValueCustomer = 777
 
-// unclear is the customer whose requests run and are answered by a refusal with a value behind it.
-const unclear = 778
+// ambiguousRefusalCustomer is the customer whose requests run and get a refusal followed by a value.
+const ambiguousRefusalCustomer = 778
 
-func start(t *testing.T, limits standin.Limits, own string) *site {
+// startTestEnv starts the program with its surroundings, and with an options file unless options is empty.
+func startTestEnv(t *testing.T, limits standin.Limits, options string) *testEnv {
 	t.Helper()
-	s := around(t, limits)
+	s := newTestEnv(t, limits)
 	var program []string
-	if own != "" {
+	if options != "" {
 		path := s.dir + "/own.toml"
-		if err := os.WriteFile(path, []byte(own), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(options), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		program = append(program, "-config", path)
 	}
-	s.begin(program)
+	s.startProcess(program)
 	return s
 }
 
-// begin starts the program, as the site's ingress from then on.
-func (s *site) begin(arguments []string, env ...string) {
+// startProcess starts the program, which becomes the process that s refers to.
+func (s *testEnv) startProcess(arguments []string, env ...string) {
 	s.Helper()
 	var err error
-	if s.Process, err = s.node.Start(s.Context(), append([]string{os.Args[0]}, arguments...), s.dir, append(env, asProgram+"=1")...); err != nil {
+	if s.Process, err = s.node.Start(s.Context(), append([]string{os.Args[0]}, arguments...), s.dir,
+		append(env, programRoleEnv+"=1")...); err != nil {
 		s.Fatal(err)
 	}
-	if err := standin.WaitReady(s.Addr, patience); err != nil {
+	if err := standin.WaitReady(s.Addr, waitTimeout); err != nil {
 		s.Fatal(err)
 	}
 }
 
-// around makes all that stands round an ingress.
-func around(t *testing.T, limits standin.Limits) *site {
+// newTestEnv starts discovery and a backend, and prepares the configuration of an ingress.
+func newTestEnv(t *testing.T, limits standin.Limits) *testEnv {
 	t.Helper()
-	s := &site{T: t, dir: t.TempDir()}
+	s := &testEnv{T: t, dir: t.TempDir()}
 	work := s.effects.Work(func() time.Duration { return time.Duration(rand.IntN(5)) * time.Millisecond }, nil)
 	backend, err := standin.NewBackend(func(r standin.Received) {
-		s.note(r)
+		s.recordDeadline(r)
 		switch r.Args[1] {
-		case fmt.Sprintf("%016x", hole):
+		case fmt.Sprintf("%016x", unansweredCustomer):
 			s.effects.Run(r.ID())
-		case fmt.Sprintf("%016x", large):
+		case fmt.Sprintf("%016x", largeValueCustomer):
 			s.effects.Run(r.ID())
 			r.Answer(strings.Repeat("x", 60_000))
-		case fmt.Sprintf("%016x", unclear):
+		case fmt.Sprintf("%016x", ambiguousRefusalCustomer):
 			s.effects.Run(r.ID())
 			r.Line("-BUSY\r\n*3\r\n$2\r\nok\r\n$-1\r\n$-1")
 		default:
@@ -118,8 +120,8 @@
 	return s
 }
 
-// note keeps the time that an attempt tells.
-func (s *site) note(r standin.Received) {
+// recordDeadline records the time limit that an attempt sends.
+func (s *testEnv) recordDeadline(r standin.Received) {
 	if len(r.Args) < 4 {
 		return
 	}
@@ -127,43 +129,43 @@
 		if ms, ok := strings.CutPrefix(option, "d="); ok {
 			limit, err := time.ParseDuration(ms + "ms")
 			if err != nil {
-				s.Errorf("an attempt tells d=%q", ms)
+				s.Errorf("an attempt sends d=%q", ms)
 			}
-			s.told.Store(r.ID(), toldTime{time.Now(), limit})
+			s.sentDeadlines.Store(r.ID(), sentDeadline{time.Now(), limit})
 		}
 	}
 }
 
-// load begins a steady load of usual clients; the function ends it and judges it.
-func (s *site) load(perSecond float64, change ...func(*standin.Load)) func() *standin.Load {
-	l := &standin.Load{Addr: s.Addr, PerSecond: perSecond, Payments: 0.3, Deadline: deadline, Prompt: prompt}
-	for _, c := range change {
-		c(l)
+// startLoad starts a steady load of well-behaved clients. The returned function stops it and checks the outcomes.
+func (s *testEnv) startLoad(perSecond float64, change ...func(*standin.Load)) func() *standin.Load {
+	load := &standin.Load{Addr: s.Addr, PerSecond: perSecond, Payments: 0.3, Deadline: clientDeadline, Prompt: minFirstRequestTime}
+	for _, apply := range change {
+		apply(load)
 	}
 	ctx, stop := context.WithCancel(s.Context())
 	done := make(chan struct{})
-	go func() { l.Run(ctx); close(done) }()
+	go func() { load.Run(ctx); close(done) }()
 	return func() *standin.Load {
 		s.Helper()
-		for end := time.Now().Add(patience); l.Tally().Served < 20 && time.Now().Before(end); { // so that there is something to judge
+		for end := time.Now().Add(waitTimeout); load.Tally().Served < 20 && time.Now().Before(end); { // for the check to be conclusive
 			time.Sleep(time.Millisecond)
 		}
 		stop()
 		<-done
-		t := l.Tally()
+		t := load.Tally()
 		if err := t.Sound(); err != nil {
-			s.Errorf("usual clients: %v", err)
+			s.Errorf("well-behaved clients: %v", err)
 		}
 		if t.Unreached > 0 || t.Failed > 0 {
-			s.Errorf("usual clients: %d found no connection, %d failed, of %d", t.Unreached, t.Failed, t.Asked)
+			s.Errorf("well-behaved clients: %d got no connection and %d failed, of %d requests", t.Unreached, t.Failed, t.Asked)
 		}
-		s.once()
-		return l
+		s.expectNoPaymentTwice()
+		return load
 	}
 }
 
-// once checks that no payment ran twice.
-func (s *site) once() {
+// expectNoPaymentTwice checks that no payment ran more than once.
+func (s *testEnv) expectNoPaymentTwice() {
 	s.Helper()
 	for _, id := range s.effects.Twice() {
 		if standin.PaymentID(id) {
@@ -172,9 +174,9 @@
 	}
 }
 
-func (s *site) dial() *standin.Client {
+func (s *testEnv) dial() *standin.Client {
 	s.Helper()
-	c, err := standin.Dial(s.Addr, patience)
+	c, err := standin.Dial(s.Addr, waitTimeout)
 	if err != nil {
 		s.Fatal(err)
 	}
@@ -182,19 +184,19 @@
 	return c
 }
 
-// crowd opens connections at the same time; each is handed to use.
-func (s *site) crowd(n int, use func(*standin.Client)) (wait func()) {
+// openConnections opens n connections concurrently and passes each to use. The returned function waits for all.
+func (s *testEnv) openConnections(n int, use func(*standin.Client)) (wait func()) {
 	var all sync.WaitGroup
-	places := make(chan struct{}, 200) // dials at a time
+	dialSlots := make(chan struct{}, 200) // limits concurrent dials
 	for range n {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			places <- struct{}{}
-			c, err := standin.Dial(s.Addr, patience)
-			<-places
+			dialSlots <- struct{}{}
+			c, err := standin.Dial(s.Addr, waitTimeout)
+			<-dialSlots
 			if err != nil {
-				return // it does not matter to this client
+				return // connections that are refused are ignored
 			}
 			s.Cleanup(func() { c.Close() })
 			use(c)
@@ -203,66 +205,67 @@
 	return all.Wait
 }
 
-// asked makes a connection one that has asked.
-func (s *site) asked(c *standin.Client) standin.Outcome {
-	id := "0" + standin.NewID()[1:] // no payment's, by standin.PaymentID
-	return c.Ask(id, standin.Lookup(1, id, int(deadline.Milliseconds()))...)
+// lookup sends a lookup on a connection, which then is no longer new to the ingress, and returns the outcome.
+func (s *testEnv) lookup(c *standin.Client) standin.Outcome {
+	id := "0" + standin.NewID()[1:] // not a payment by standin.PaymentID
+	return c.Ask(id, standin.Lookup(1, id, int(clientDeadline.Milliseconds()))...)
 }
 
-var limits = standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 1024}
+var defaultLimits = standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 1024}
 
-func TestSilentCrowdDoesNotKeepUsualClientsOut(t *testing.T) {
-	s := start(t, limits, "")
-	judge := s.load(100)
-	s.crowd(5000, func(*standin.Client) {})()
-	judge()
+// Guards against connections that never send a request and take all connection slots.
+func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
+	s := startTestEnv(t, defaultLimits, "")
+	stopLoad := s.startLoad(100)
+	s.openConnections(5000, func(*standin.Client) {})()
+	stopLoad()
 }
 
-// The program does not run for a moment, while the time for the first request
-// ends on connections whose requests lie in their sockets, more than the poller
-// tells in one round. Its own delay is not put down to these clients.
-func TestRequestsThatCameInTimeAreReadAfterAStall(t *testing.T) {
+// Guards against connections that are closed although their request arrived in time: the program is suspended until
+// the timeout for the first request has passed, while requests wait in more sockets than one poll returns. The
+// ingress's own delay must not count against clients.
+func TestRequestsReceivedDuringAStallAreRead(t *testing.T) {
 	for _, c := range []struct {
-		name, own string
-		stall     time.Duration
+		name, options string
+		stall         time.Duration
 	}{
-		{"places run short", "[door]\nplaces = 620\nspare = 619\nsilent_most_ms = 1500\nsilent_least_ms = 1500\n", 1600 * time.Millisecond},
-		{"the first command's time is over", "", 2300 * time.Millisecond},
+		{"slots run short", "[door]\nplaces = 620\nspare = 619\nsilent_most_ms = 1500\nsilent_least_ms = 1500\n", 1600 * time.Millisecond},
+		{"timeout for the first command has passed", "", 2300 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := start(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 1600}, c.own)
+			s := startTestEnv(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 1600}, c.options)
 			clients := make([]*standin.Client, 600)
 			began := time.Now()
 			for i := range clients {
 				clients[i] = s.dial()
 			}
 			ids := make([]string, len(clients))
-			for i, cl := range clients {
+			for i, client := range clients {
 				ids[i] = standin.NewID()
-				if i == 0 { // by the answer to the last one all have been accepted
+				if i == 0 { // once the last connection gets its response, all have been accepted
 					last := clients[len(clients)-1]
 					if err := last.Send("PING"); err != nil {
 						t.Fatal(err)
 					}
 					if line, err := last.Line(); err != nil || line != "+PONG" {
-						t.Fatalf("a ping is answered %q, %v", line, err)
+						t.Fatalf("PING got the response %q, %v", line, err)
 					}
 					if err := s.Cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 						t.Error(err)
 					}
 				}
-				if err := cl.Send(standin.Lookup(1, ids[i], int(deadline.Milliseconds()))...); err != nil {
+				if err := client.Send(standin.Lookup(1, ids[i], int(clientDeadline.Milliseconds()))...); err != nil {
 					t.Fatal(err)
 				}
 			}
 			sent := time.Since(began)
-			time.Sleep(c.stall) // the fault itself: a process that does not run
+			time.Sleep(c.stall) // the injected fault: the process is suspended
 			if err := s.Cmd.Process.Signal(syscall.SIGCONT); err != nil {
 				t.Error(err)
 			}
 			if sent > time.Second {
-				t.Skipf("sent within %v: the machine is too slow to judge", sent)
+				t.Skipf("sending took %v: the machine is too slow for this test", sent)
 			}
 			unread := 0
 			for i, cl := range clients {
@@ -271,83 +274,85 @@
 				}
 			}
 			if unread > 0 {
-				t.Errorf("%d of %d requests that came in time were not read", unread, len(clients))
+				t.Errorf("%d of %d requests that arrived in time were not read", unread, len(clients))
 			}
 		})
 	}
 }
 
-// All places are taken by connections at rest when a fleet reconnects.
-func TestFleetThatReconnectsFindsPlaces(t *testing.T) {
-	s := start(t, limits, "")
-	s.crowd(700, func(c *standin.Client) { s.asked(c) })()
+// Guards against a fleet of clients that cannot reconnect because idle connections hold all connection slots.
+func TestReconnectingClientsReplaceIdleConnections(t *testing.T) {
+	s := startTestEnv(t, defaultLimits, "")
+	s.openConnections(700, func(c *standin.Client) { s.lookup(c) })()
 	var answered, other atomic.Int32
-	s.crowd(300, func(c *standin.Client) {
-		// Refused as pressed is an answer too: so many at once is not admission's matter.
-		if got := s.asked(c); got == standin.Served || got == standin.Refused {
+	s.openConnections(300, func(c *standin.Client) {
+		// A refusal for overload is a response too: this test covers connections, not the load of that many requests.
+		if got := s.lookup(c); got == standin.Served || got == standin.Refused {
 			answered.Add(1)
 		} else {
 			other.Add(1)
 		}
 	})()
 	if answered.Load() != 300 {
-		t.Errorf("%d of 300 are answered, %d are not", answered.Load(), other.Load())
+		t.Errorf("%d of 300 clients got a response, %d did not", answered.Load(), other.Load())
 	}
-	s.once()
+	s.expectNoPaymentTwice()
 }
 
-func TestClientsThatAnswerACloseWithTwoMore(t *testing.T) {
-	s := start(t, limits, "")
-	judge := s.load(100)
-	var left atomic.Int32
-	left.Store(2000) // bounded: the hydra would never end
-	var heads sync.WaitGroup
-	var grow func()
-	grow = func() {
-		defer heads.Done()
-		if left.Add(-1) < 0 {
+// Guards against clients that open two connections for each one that the ingress closes, and so keep others out.
+func TestClientsThatReconnectTwicePerCloseDoNotBlockOthers(t *testing.T) {
+	s := startTestEnv(t, defaultLimits, "")
+	stopLoad := s.startLoad(100)
+	var remaining atomic.Int32
+	remaining.Store(2000) // bounds the reconnects, which would never end
+	var connections sync.WaitGroup
+	var connect func()
+	connect = func() {
+		defer connections.Done()
+		if remaining.Add(-1) < 0 {
 			return
 		}
-		c, err := standin.Dial(s.Addr, patience)
+		c, err := standin.Dial(s.Addr, waitTimeout)
 		if err != nil {
 			return
 		}
-		_, _ = io.Copy(io.Discard, c.In) // until the ingress ends it
+		_, _ = io.Copy(io.Discard, c.In) // until the ingress closes it
 		c.Close()
-		heads.Add(2)
-		go grow()
-		go grow()
+		connections.Add(2)
+		go connect()
+		go connect()
 	}
 	for range 50 {
-		heads.Add(1)
-		go grow()
+		connections.Add(1)
+		go connect()
 	}
-	heads.Wait()
-	judge()
+	connections.Wait()
+	stopLoad()
 }
 
-// Clients keep connections and do not notice that the ingress has closed them
-// until they send: each asks once more on a new one, and payments run once.
-func TestRequestThatCrossesACloseIsServedOnce(t *testing.T) {
-	s := start(t, limits, "[door]\nplaces = 200\nuseful = 60\nhigh = 20\nlow = 4\nfloor = 2\nrest_most_ms = 20\nrest_least_ms = 1\n")
-	judge := s.load(400, func(l *standin.Load) { l.Payments = 1 })
-	for end := time.Now().Add(patience); s.effects.Total() < 1500 && time.Now().Before(end); {
-		s.crowd(40, func(c *standin.Client) { s.asked(c) })() // above the high mark, time and again
-	}
-	l := judge()
-	if tally := l.Tally(); tally.Resent == 0 {
-		t.Errorf("no request crossed a close: nothing is shown: %+v", tally)
+// Guards against payments that run twice or get no outcome when a client sends on a kept connection that the ingress
+// has just closed, and resends once on a new one.
+func TestRequestSentAsConnectionClosesIsServedOnce(t *testing.T) {
+	s := startTestEnv(t, defaultLimits,
+		"[door]\nplaces = 200\nuseful = 60\nhigh = 20\nlow = 4\nfloor = 2\nrest_most_ms = 20\nrest_least_ms = 1\n")
+	stopLoad := s.startLoad(400, func(l *standin.Load) { l.Payments = 1 })
+	for end := time.Now().Add(waitTimeout); s.effects.Total() < 1500 && time.Now().Before(end); {
+		s.openConnections(40, func(c *standin.Client) { s.lookup(c) })() // repeatedly above the high watermark
+	}
+	load := stopLoad()
+	if tally := load.Tally(); tally.Resent == 0 {
+		t.Errorf("no request was sent on a closing connection, the test is inconclusive: %+v", tally)
 	} else if tally.Served+tally.Refused != tally.Asked {
-		t.Errorf("of %d, %d are served and %d refused", tally.Asked, tally.Served, tally.Refused)
+		t.Errorf("of %d requests %d were served and %d refused, want all", tally.Asked, tally.Served, tally.Refused)
 	}
 }
 
-// Half a command is not idle, though places are short; a byte now and then does
-// not make a connection busy for ever.
-func TestHalfACommandIsNotIdleAndATrickleIsNotBusy(t *testing.T) {
-	s := start(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 100}, "") // 55 places
+// Guards against a connection that is closed as idle in the middle of a command while connection slots are short,
+// and against one that stays open for ever by sending a byte now and then.
+func TestPartialCommandIsNotIdleAndSlowSenderIsClosed(t *testing.T) {
+	s := startTestEnv(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 100}, "") // leaves 55 connection slots
 	id := standin.NewID()
-	command := standin.Encode(standin.Lookup(1, id, int(deadline.Milliseconds()))...)
+	command := standin.Encode(standin.Lookup(1, id, int(clientDeadline.Milliseconds()))...)
 	half, trickle := s.dial(), s.dial()
 	if _, err := half.Write(command[:len(command)/2]); err != nil {
 		t.Error(err)
@@ -365,46 +370,46 @@
 				return
 			}
 		}
-		_ = trickle.SetReadDeadline(time.Now().Add(patience))
+		_ = trickle.SetReadDeadline(time.Now().Add(waitTimeout))
 		_, _ = trickle.In.ReadByte()
 	}()
-	s.crowd(300, func(c *standin.Client) { s.asked(c) })() // past all places, within the half one's time
-	_, _ = half.Write(command[len(command)/2:])            // it may be closed by then, on a late machine
+	s.openConnections(300, func(c *standin.Client) { s.lookup(c) })() // more than there are slots, within the partial command's timeout
+	_, _ = half.Write(command[len(command)/2:])                       // may fail: on a slow machine it may be closed by then
 	if time.Since(start) < 2*time.Second {
 		if line, err := half.Line(); err != nil || !strings.HasSuffix(line, id) {
-			t.Errorf("the command in two halves is answered %q, %v", line, err)
+			t.Errorf("the command sent in two halves got the response %q, %v", line, err)
 		}
 	}
 	if took := <-ended; took > 20*time.Second {
-		t.Errorf("the trickle was ended after %v", took)
+		t.Errorf("the slow sender's connection was closed after %v, want 20s at most", took)
 	}
 }
 
-// open sends a payment that no backend answers, and waits until it is out.
-func (s *site) open(c *standin.Client, ms int) {
+// sendHangingPayment sends a payment that the backend never answers, and waits until the backend has received it.
+func (s *testEnv) sendHangingPayment(c *standin.Client, ms int) {
 	s.Helper()
-	for end := time.Now().Add(patience); ; { // refused as pressed, it is asked again
+	for end := time.Now().Add(waitTimeout); ; { // retried while it is refused for overload
 		id := "f" + standin.NewID()[1:]
-		if err := c.Send(standin.Payment(hole, id, ms)...); err != nil {
+		if err := c.Send(standin.Payment(unansweredCustomer, id, ms)...); err != nil {
 			s.Fatal(err)
 		}
 		for s.effects.Of(id) == 0 && c.In.Buffered() == 0 {
 			_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 			if _, err := c.In.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) || time.Now().After(end) {
-				s.Fatalf("a payment is not sent on: %v", err)
+				s.Fatalf("the payment was not forwarded to a backend: %v", err)
 			}
 		}
-		_ = c.SetReadDeadline(time.Now().Add(patience))
+		_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 		if s.effects.Of(id) == 1 {
 			return
 		}
 		if line, err := c.Line(); err != nil || time.Now().After(end) {
-			s.Fatalf("a payment is answered %q, %v, and never sent on", line, err)
+			s.Fatalf("the payment got the response %q, %v, and was never forwarded", line, err)
 		}
 	}
 }
 
-func setFiles(t *testing.T, pid int, n uint64) {
+func setDescriptorLimit(t *testing.T, pid int, n uint64) {
 	t.Helper()
 	lim := syscall.Rlimit{Cur: n, Max: 1 << 20}
 	var old syscall.Rlimit
@@ -425,13 +430,13 @@
 	return nil
 }
 
-// Descriptors run out far below what the configuration tells: in accept, in
-// dials, and when the configuration is read again.
-func TestDescriptorsRunOut(t *testing.T) {
-	s := start(t, limits, "")
-	setFiles(t, s.Cmd.Process.Pid, 60)
-	judge := s.load(100, func(l *standin.Load) { l.NoKeep = true })
-	s.crowd(400, func(c *standin.Client) { s.asked(c) })()
+// Guards against requests or a reload that are lost when file descriptors run out far below the configured number:
+// in accept, in dials to backends, and when the configuration is reloaded.
+func TestDescriptorExhaustion(t *testing.T) {
+	s := startTestEnv(t, defaultLimits, "")
+	setDescriptorLimit(t, s.Cmd.Process.Pid, 60)
+	stopLoad := s.startLoad(100, func(l *standin.Load) { l.NoKeep = true })
+	s.openConnections(400, func(c *standin.Client) { s.lookup(c) })()
 	second := standin.NewDiscovery(s.member)
 	t.Cleanup(second.Stop)
 	second.Open()
@@ -444,19 +449,19 @@
 	}
 	select {
 	case <-second.Watched:
-	case <-time.After(patience):
-		t.Error("the reload was lost")
+	case <-time.After(waitTimeout):
+		t.Error("the reload had no effect: the new discovery address was not watched")
 	}
-	judge()
-	if err := s.Stop(patience); err != nil {
+	stopLoad()
+	if err := s.Stop(waitTimeout); err != nil {
 		t.Error(err)
 	}
 }
 
-// More connect at once than the listener's queue holds, while the program does
-// not run at all for a moment.
-func TestListenerQueueOverflows(t *testing.T) {
-	s := start(t, limits, "")
+// Guards against an ingress that does not recover when more clients connect at once than the listen queue holds,
+// while the program is suspended.
+func TestListenQueueOverflow(t *testing.T) {
+	s := startTestEnv(t, defaultLimits, "")
 	if err := s.Cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Error(err)
 	}
@@ -474,12 +479,13 @@
 	if err := s.Cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Error(err)
 	}
-	s.load(100)()
+	s.startLoad(100)()
 }
 
-// Peers that have vanished say nothing and never end their connections.
-func TestPeersThatVanished(t *testing.T) {
-	s := start(t, limits, "")
+// Guards against connections of unreachable peers, which send nothing and are never closed, that keep other clients
+// out.
+func TestUnreachablePeers(t *testing.T) {
+	s := startTestEnv(t, defaultLimits, "")
 	link, err := standin.NewLink(s.Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -487,43 +493,43 @@
 	defer link.Close()
 	var clients []*standin.Client
 	for n := range 300 {
-		c, err := standin.Dial(link.Addr, patience)
+		c, err := standin.Dial(link.Addr, waitTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if got := s.asked(c); got != standin.Served {
-			t.Fatalf("client %d: %v", n, got)
+		if got := s.lookup(c); got != standin.Served {
+			t.Fatalf("client %d: request outcome %v, want served", n, got)
 		}
 		clients = append(clients, c)
 	}
 	for n, c := range clients {
 		if n%2 == 0 {
-			_, _ = c.Write([]byte("*4\r\n$5\r\nQ.AS")) // some have been closed by then
+			_, _ = c.Write([]byte("*4\r\n$5\r\nQ.AS")) // the ingress may have closed the connection already
 		}
 	}
 	for range 3 {
-		c, err := standin.Dial(link.Addr, patience)
+		c, err := standin.Dial(link.Addr, waitTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		s.open(c, 500)
+		s.sendHangingPayment(c, 500)
 	}
 	link.Silence()
-	judge := s.load(100)
-	s.crowd(500, func(c *standin.Client) { s.asked(c) })()
-	judge()
+	stopLoad := s.startLoad(100)
+	s.openConnections(500, func(c *standin.Client) { s.lookup(c) })()
+	stopLoad()
 }
 
-// A deadline that falls due while some thousand connections close is kept, and
-// all of them see a clean end or a reset, none hangs.
-func TestDeadlineWhileThousandsClose(t *testing.T) {
-	s := start(t, standin.Limits{Cores: 1, MemoryMB: 192, Sockets: 8000}, "[door]\nplaces = 6000\n")
+// Guards against a deadline that is missed while clients close thousands of connections, and against connections
+// that hang or requests of other clients that fail meanwhile.
+func TestDeadlineIsKeptWhileThousandsClose(t *testing.T) {
+	s := startTestEnv(t, standin.Limits{Cores: 1, MemoryMB: 192, Sockets: 8000}, "[door]\nplaces = 6000\n")
 	closeAll := make(chan struct{})
 	ready := make(chan struct{}, 4000)
-	wait := s.crowd(4000, func(c *standin.Client) {
-		s.asked(c)
+	wait := s.openConnections(4000, func(c *standin.Client) {
+		s.lookup(c)
 		ready <- struct{}{}
 		<-closeAll
 		c.Close()
@@ -531,25 +537,25 @@
 	for range 4000 {
 		<-ready
 	}
-	judge := s.load(50)
+	stopLoad := s.startLoad(50)
 	c := s.dial()
-	s.open(c, 300)
+	s.sendHangingPayment(c, 300)
 	close(closeAll)
 	if line, err := c.Line(); err != nil || line != "-ERR failed" {
-		t.Errorf("at its deadline the answer is %q, %v", line, err)
+		t.Errorf("at its deadline the request got the response %q, %v", line, err)
 	}
 	wait()
-	judge()
+	stopLoad()
 }
 
-// At SIGTERM thousands of connections at rest are closed; what is open is
-// answered, and each of the others sees its end.
-func TestDrainEndsThousandsAndAnswersWhatIsOpen(t *testing.T) {
-	s := start(t, standin.Limits{Cores: 1, MemoryMB: 192, Sockets: 8000}, "[door]\nplaces = 6000\n")
+// Guards against a drain that loses an open request, or does not close each of thousands of idle connections
+// cleanly, after SIGTERM.
+func TestDrainClosesIdleConnectionsAndAnswersOpenRequests(t *testing.T) {
+	s := startTestEnv(t, standin.Limits{Cores: 1, MemoryMB: 192, Sockets: 8000}, "[door]\nplaces = 6000\n")
 	var clean, other atomic.Int32
 	ready := make(chan struct{}, 3000)
-	wait := s.crowd(3000, func(c *standin.Client) {
-		s.asked(c)
+	wait := s.openConnections(3000, func(c *standin.Client) {
+		s.lookup(c)
 		ready <- struct{}{}
 		if c.Ended() == nil {
 			clean.Add(1)
@@ -561,46 +567,46 @@
 		<-ready
 	}
 	open := s.dial()
-	s.open(open, 1000)
+	s.sendHangingPayment(open, 1000)
 	stopped := make(chan error, 1)
-	go func() { stopped <- s.Stop(patience) }()
+	go func() { stopped <- s.Stop(waitTimeout) }()
 	if line, err := open.Line(); err != nil || line != "-ERR failed" {
-		t.Errorf("the open request is answered %q, %v", line, err)
+		t.Errorf("the open request got the response %q, %v", line, err)
 	}
 	wait()
 	if other.Load() > 0 {
-		t.Errorf("%d connections ended cleanly, %d did not", clean.Load(), other.Load())
+		t.Errorf("%d connections were closed cleanly, %d were not", clean.Load(), other.Load())
 	}
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
 }
 
-// Clients that read nothing hold up nobody, and hold a bounded amount of memory.
-func TestSlowReadersHoldUpNobody(t *testing.T) {
-	s := start(t, limits, "")
-	judge := s.load(100)
+// Guards against clients that never read their responses and so delay others or use unbounded memory.
+func TestSlowReadersDoNotDelayOthers(t *testing.T) {
+	s := startTestEnv(t, defaultLimits, "")
+	stopLoad := s.startLoad(100)
 	var ended atomic.Int32
-	s.crowd(5, func(c *standin.Client) {
+	s.openConnections(5, func(c *standin.Client) {
 		if err := c.Conn.(*net.TCPConn).SetReadBuffer(4096); err != nil {
 			t.Error(err)
 		}
-		// Nothing is ever read. Once the ingress has ended the connection a write fails.
+		// Nothing is ever read. Once the ingress has closed the connection, a write fails.
 		for {
-			if err := c.Send(standin.Lookup(large, standin.NewID(), int(deadline.Milliseconds()))...); err != nil {
+			if err := c.Send(standin.Lookup(largeValueCustomer, standin.NewID(), int(clientDeadline.Milliseconds()))...); err != nil {
 				if !errors.Is(err, os.ErrDeadlineExceeded) {
 					ended.Add(1)
 				}
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // slowly: past the pressure that it takes, it would be refused
+			time.Sleep(10 * time.Millisecond) // slowly, so as not to be refused for overload
 		}
 	})()
-	judge()
+	stopLoad()
 	if ended.Load() != 5 {
-		t.Errorf("%d of 5 that read nothing were ended", ended.Load())
+		t.Errorf("%d of 5 connections of clients that read nothing were closed", ended.Load())
 	}
 	if u, err := s.Usage(); err != nil || u.Resident > 64<<20 {
-		t.Errorf("%d MB are resident, %v", u.Resident>>20, err)
+		t.Errorf("resident memory is %d MB, want 64 MB at most (%v)", u.Resident>>20, err)
 	}
 }
--- a/cmd/wickarch/limit_test.go
+++ b/cmd/wickarch/limit_test.go
@@ -8,18 +8,18 @@
 	"wickarch/internal/standin"
 )
 
-// A backend that answers at once, a quota of a million a second, and 64 clients of
-// which each asks as soon as it is answered: nothing is pressed, so nothing may be
-// refused for pressure, neither at the start nor later.
-func TestNothingIsRefusedWhereNothingIsPressed(t *testing.T) {
-	s := start(t, limits, "")
-	var all sync.WaitGroup
+// Guards against requests that are refused as overload although nothing is overloaded, at startup or later: the
+// backend responds within milliseconds, the quota is a million requests per second, and each of 64 clients sends
+// its next request as soon as the last is answered.
+func TestNoRequestIsRefusedWithoutOverload(t *testing.T) {
+	s := startTestEnv(t, defaultLimits, "")
+	var running sync.WaitGroup
 	var refused, served atomic.Int32
 	for range 64 {
 		c := s.dial()
-		all.Go(func() {
+		running.Go(func() {
 			for range 200 {
-				switch s.asked(c) {
+				switch s.lookup(c) {
 				case standin.Served:
 					served.Add(1)
 				case standin.Refused:
@@ -28,7 +28,7 @@
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	if refused.Load() > 0 || served.Load() != 64*200 {
 		t.Errorf("%d refused, %d of %d served", refused.Load(), served.Load(), 64*200)
 	}
--- a/cmd/wickarch/main.go
+++ b/cmd/wickarch/main.go
@@ -1,8 +1,8 @@
-// Command wickarch is one ingress: it takes requests of clients over RESP,
-// decides with package choice and passes them on to backends. It is configured
-// by the file that NODE_CONFIG names, and with -config by a file of our own for
-// what the platform does not tell (deploy/wickarch.toml). With -follow (deploy/follower.toml)
-// it follows the configuration that coordinators give out.
+// Command wickarch is an ingress: it accepts requests of clients over RESP,
+// selects a backend for each with package choice and forwards it. It reads the
+// configuration file named by NODE_CONFIG and, with -config, a file of options that
+// the platform's configuration does not contain (deploy/wickarch.toml). With -follow
+// (deploy/follower.toml) it follows the configuration that coordinators publish.
 package main
 
 import (
@@ -28,65 +28,65 @@
 }
 
 func run() error {
-	file := flag.String("config", "", "a file such as deploy/wickarch.toml, for what the platform's configuration does not tell")
-	follow := flag.String("follow", "", "a file such as deploy/follower.toml, to follow the configuration that coordinators give out")
-	check := flag.Bool("check", false, "check these files, print every fault with its line, and end")
+	optionsFile := flag.String("config", "", "options that the platform's configuration does not contain: a file such as deploy/wickarch.toml")
+	followerFile := flag.String("follow", "", "follow the configuration that coordinators publish: a file such as deploy/follower.toml")
+	check := flag.Bool("check", false, "check these files, print each error with its line, and exit")
 	flag.Parse()
-	var own config.Options
-	if *file != "" {
+	var options config.Options
+	if *optionsFile != "" {
 		var err error
-		if own, err = config.Load(*file); err != nil {
+		if options, err = config.Load(*optionsFile); err != nil {
 			return err
 		}
 	}
-	var followed follower.Config
-	if *follow != "" {
+	var followerConfig follower.Config
+	if *followerFile != "" {
 		var err error
-		if followed, err = follower.LoadConfig(*follow); err != nil {
+		if followerConfig, err = follower.LoadConfig(*followerFile); err != nil {
 			return err
 		}
 	}
 	if *check {
-		if *file == "" && *follow == "" {
+		if *optionsFile == "" && *followerFile == "" {
 			return errors.New("-check needs -config FILE or -follow FILE")
 		}
 		return nil
 	}
-	// Taken from the first moment on: by default SIGHUP ends the process.
+	// Registered before startup begins: the default action of SIGHUP terminates the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	// Until the process has ended: were the signals let go when the last answer is written, a second SIGTERM
-	// would end an ingress that has done all it owes as if it had crashed.
+	// The signals stay caught until the process exits. If they were released once the last response is written,
+	// a second SIGTERM would kill an ingress that has answered every request, which would look like a crash.
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more
-	cfg, err := atStart(ctx, func() (ingress.Config, error) { return ingress.LoadConfig(os.Getenv) })
+	signal.Ignore(syscall.SIGPIPE) // writes to a log pipe without a reader raise it
+	cfg, err := retryAtStart(ctx, func() (ingress.Config, error) { return ingress.LoadConfig(os.Getenv) })
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	cfg.Options = own
+	cfg.Options = options
 	cfg.Limits = cfg.Limits.CapToRlimit()
 	cfg.Limits.Apply()
-	srv, err := atStart(ctx, func() (*ingress.Server, error) { return ingress.Listen(cfg) })
+	srv, err := retryAtStart(ctx, func() (*ingress.Server, error) { return ingress.Listen(cfg) })
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	if *follow != "" {
-		f := follower.New(followed, srv.Ingress, slog.Default())
+	if *followerFile != "" {
+		f := follower.New(followerConfig, srv.Ingress, slog.Default())
 		srv.RunInBackground(func(ctx context.Context) { f.Run(ctx, ingress.Configurable{Server: srv}) })
 	}
 	slog.Info("serving", "name", cfg.Name, "address", srv.Addr())
-	go followSignals(reload, func() error {
+	go reloadOnSignals(reload, func() error {
 		next, err := ingress.LoadConfig(os.Getenv)
 		if err != nil {
 			return err
 		}
-		slog.Info("configuration read again", "discovery", next.Discovery)
+		slog.Info("configuration reloaded", "discovery", next.Discovery)
 		srv.Reload(next)
 		return nil
 	})
--- a/cmd/wickarch/main_test.go
+++ b/cmd/wickarch/main_test.go
@@ -19,14 +19,14 @@
 	"wickarch/internal/standin"
 )
 
-// asProgram makes the test's own binary run the program instead.
-const asProgram = "WICKARCH_TEST_AS_PROGRAM"
+// programRoleEnv names the environment variable that makes the test binary run the program instead of the tests.
+const programRoleEnv = "WICKARCH_TEST_AS_PROGRAM"
 
-// Further things that the test's binary can be started as, each by a variable of
-// the environment, and what is left to do behind the tests.
+// roles holds what the test binary can run instead of the tests, by the environment variable that selects it.
+// cleanups run after all tests.
 var (
-	roles = map[string]func(value string){asProgram: func(string) { main() }}
-	after []func()
+	roles    = map[string]func(value string){programRoleEnv: func(string) { main() }}
+	cleanups []func()
 )
 
 func TestMain(m *testing.M) {
@@ -38,32 +38,33 @@
 		}
 	}
 	code := m.Run()
-	for _, f := range after {
+	for _, f := range cleanups {
 		f()
 	}
 	os.Exit(code)
 }
 
-const nodeConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
+const nodeConfigFormat = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "settings":{"balancers":1,"bounds":{"try_limit":4},
   "request_classes":[{"name":"lookup","aim_ms":600,"give_up_ms":1000,"effect":"free","worth":2}],
   "tiers_of_service":[{"name":"basic","quota_rate":10,"burst":10,"price":1}]}}`
 
-// agent is a discovery that tells each time its list is asked for.
-func agent(t *testing.T) (addr string, asked chan struct{}) {
-	asked = make(chan struct{}, 100)
+// startDiscovery starts a discovery server with an empty list. It sends on requested for each request for the list
+// that does not open a stream.
+func startDiscovery(t *testing.T) (addr string, requested chan struct{}) {
+	requested = make(chan struct{}, 100)
 	s := standin.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprintln(w, `{"revision":1,"complete":true,"members":[]}`)
 		if r.URL.Query().Get("stream") == "" {
-			asked <- struct{}{}
+			requested <- struct{}{}
 		}
 	}))
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	return s.Listener.Addr().String(), asked
+	return s.Listener.Addr().String(), requested
 }
 
-// configure replaces the file of the configuration.
-func configure(t *testing.T, path, text string) {
+// replaceConfig replaces the configuration file atomically.
+func replaceConfig(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -73,16 +74,17 @@
 	}
 }
 
-// SIGHUP must move discovery and, by itself, would end the program.
-func TestProgramRereadsItsConfigurationAndEndsWithSigterm(t *testing.T) {
-	first, atFirst := agent(t)
-	second, atSecond := agent(t)
+// Guards against a SIGHUP that terminates the program, as its default action does, or that does not switch to the
+// new discovery address.
+func TestProgramReloadsOnSIGHUPAndExitsOnSIGTERM(t *testing.T) {
+	first, firstRequested := startDiscovery(t)
+	second, secondRequested := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	configure(t, path, fmt.Sprintf(nodeConfig, first))
+	replaceConfig(t, path, fmt.Sprintf(nodeConfigFormat, first))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", "NODE_CONFIG="+path)
+	cmd.Env = append(os.Environ(), programRoleEnv+"=1", "NODE_CONFIG="+path)
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -97,47 +99,47 @@
 			t.Fatal(err)
 		}
 	}
-	wait := func(what string, asked chan struct{}) {
+	waitForRequest := func(what string, requested chan struct{}) {
 		t.Helper()
 		select {
-		case <-asked:
+		case <-requested:
 		case <-ctx.Done():
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for discovery to be asked: %s", what)
 		}
 	}
-	logged := func(text string) {
+	waitForLog := func(text string) {
 		t.Helper()
 		for lines.Scan() {
 			if strings.Contains(lines.Text(), text) {
 				return
 			}
 		}
-		t.Fatalf("the log never says %q", text)
+		t.Fatalf("no log line contains %q", text)
 	}
-	wait("the start", atFirst)
-	configure(t, path, "{")
+	waitForRequest("startup", firstRequested)
+	replaceConfig(t, path, "{")
 	signal(syscall.SIGHUP)
-	logged("the configuration stays as it was")
+	waitForLog("cannot read the configuration; keeping the previous one")
 	for range 3 {
-		configure(t, path, fmt.Sprintf(nodeConfig, second))
+		replaceConfig(t, path, fmt.Sprintf(nodeConfigFormat, second))
 		signal(syscall.SIGHUP)
-		wait("the move", atSecond)
-		configure(t, path, fmt.Sprintf(nodeConfig, first))
+		waitForRequest("move to the second address", secondRequested)
+		replaceConfig(t, path, fmt.Sprintf(nodeConfigFormat, first))
 		signal(syscall.SIGHUP)
-		wait("the move back", atFirst)
+		waitForRequest("move back to the first address", firstRequested)
 	}
 	go func() { _, _ = io.Copy(io.Discard, log) }()
 	signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 }
 
 func TestProgramFailsWithoutConfiguration(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", "NODE_CONFIG=")
+	cmd.Env = append(os.Environ(), programRoleEnv+"=1", "NODE_CONFIG=")
 	var exit *exec.ExitError
 	if err := cmd.Run(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
-		t.Errorf("ended with %v, want exit code 1", err)
+		t.Errorf("the program exited with %v, want exit code 1", err)
 	}
 }
--- a/cmd/wickarch/replace_test.go
+++ b/cmd/wickarch/replace_test.go
@@ -9,77 +9,76 @@
 	"wickarch/internal/standin"
 )
 
-// The process is replaced again and again under load, on a listening socket that
-// stays, and every third new one ends at its start. No request may be lost,
-// find nobody, or run twice for it.
+// Guards against requests that are lost, refused a connection or run twice when the process is replaced under load
+// on a shared listening socket. Every third replacement fails at startup.
 func TestProcessIsReplacedUnderLoad(t *testing.T) {
-	s := around(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 384})
-	s.hold()
+	s := newTestEnv(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 384})
+	s.shareListener()
 	shared := t.TempDir()
 	env := []string{"NODE_PASSED_SOCKET=3", "TMPDIR=" + shared}
-	s.begin(nil, env...)
-	judge := s.load(100)
+	s.startProcess(nil, env...)
+	stopLoad := s.startLoad(100)
 	for n := range 9 {
 		before := s.Process
 		if n%3 == 2 {
-			// It joins those that share the socket, and fails behind that.
-			if p, err := s.node.Start(t.Context(), []string{os.Args[0], "-config", shared}, s.dir, append(env, asProgram+"=1")...); err == nil {
+			// It inherits the shared socket and fails after that: -config names a directory.
+			if p, err := s.node.Start(t.Context(), []string{os.Args[0], "-config", shared}, s.dir, append(env, programRoleEnv+"=1")...); err == nil {
 				p.Cmd.Process.Kill()
-				t.Fatal("a start that fails was expected")
+				t.Fatal("the process started, want a failure at startup")
 			}
 			continue
 		}
 		if n%3 == 1 {
-			if err := before.Cmd.Process.Signal(os.Interrupt); err != nil { // the old one is told before the new one is there
+			if err := before.Cmd.Process.Signal(os.Interrupt); err != nil { // signalled before the new process starts
 				t.Error(err)
 			}
 		}
-		s.begin(nil, env...)
-		if err := before.Stop(patience); err != nil {
-			t.Fatalf("the process before ended with %v", err)
+		s.startProcess(nil, env...)
+		if err := before.Stop(waitTimeout); err != nil {
+			t.Fatalf("the previous process exited with %v", err)
 		}
 	}
-	judge()
+	stopLoad()
 }
 
-// A start that fails leaves the shared socket blocking (os/exec hands it over so), and
-// nobody sets that right. Clients that come then, and no other behind them, are served.
-func TestStartThatFailsHoldsUpNobody(t *testing.T) {
-	s := around(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 384})
-	s.hold()
+// Guards against accept calls that block the ingress: os/exec passes the shared socket on in blocking mode, and a
+// process that fails at startup leaves it so. Clients must be served even when no other connects after them.
+func TestFailedStartDoesNotDelayClients(t *testing.T) {
+	s := newTestEnv(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 384})
+	s.shareListener()
 	shared := t.TempDir()
 	env := []string{"NODE_PASSED_SOCKET=3", "TMPDIR=" + shared}
-	s.begin(nil, env...)
-	if p, err := s.node.Start(t.Context(), []string{os.Args[0], "-config", shared}, s.dir, append(env, asProgram+"=1")...); err == nil {
+	s.startProcess(nil, env...)
+	if p, err := s.node.Start(t.Context(), []string{os.Args[0], "-config", shared}, s.dir, append(env, programRoleEnv+"=1")...); err == nil {
 		p.Cmd.Process.Kill()
-		t.Fatal("a start that fails was expected")
+		t.Fatal("the process started, want a failure at startup")
 	}
 	for range 3 {
-		if got := s.asked(s.dial()); got != standin.Served {
-			t.Fatalf("a request ends as %v", got)
+		if got := s.lookup(s.dial()); got != standin.Served {
+			t.Fatalf("request outcome %v, want served", got)
 		}
 	}
-	if err := s.Stop(patience); err != nil {
+	if err := s.Stop(waitTimeout); err != nil {
 		t.Error(err)
 	}
 }
 
-// A process that is stopped (SIGSTOP) keeps the right to take clients; killed, it
-// gives it up at once, and who waited meanwhile is served by the next one.
-func TestStoppedProcessGivesUpItsClientsWhenKilled(t *testing.T) {
-	s := around(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 384})
-	address := s.hold()
+// Guards against a killed process that keeps the right to take clients: one suspended by SIGSTOP holds it, and the
+// kernel must release it at SIGKILL, so that the next process serves the clients that wait.
+func TestSuspendedProcessReleasesListenerWhenKilled(t *testing.T) {
+	s := newTestEnv(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 384})
+	address := s.shareListener()
 	env := []string{"NODE_PASSED_SOCKET=3", "TMPDIR=" + t.TempDir()}
-	s.begin(nil, env...)
+	s.startProcess(nil, env...)
 	before := s.Process
 	if err := before.Cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	next, err := s.node.Start(t.Context(), []string{os.Args[0]}, s.dir, append(env, asProgram+"=1")...)
+	next, err := s.node.Start(t.Context(), []string{os.Args[0]}, s.dir, append(env, programRoleEnv+"=1")...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := standin.Dial(address, patience)
+	c, err := standin.Dial(address, waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,29 +88,29 @@
 		t.Fatal(err)
 	}
 	before.Cmd.Process.Kill()
-	// It may not have heard of a backend yet, and then says so.
+	// The next process may not know a backend yet, and then refuses the request.
 	got := c.Outcome(id)
 	if ran := s.effects.Of(id); got != standin.Served && got != standin.Refused || (got == standin.Served) != (ran == 1) {
-		t.Errorf("the outcome is %v, and it ran %d times", got, ran)
+		t.Errorf("request outcome %v after %d runs, want served after one or refused after none", got, ran)
 	}
-	if err := next.Stop(patience); err != nil {
+	if err := next.Stop(waitTimeout); err != nil {
 		t.Error(err)
 	}
 }
 
-// hold opens a listening socket that stays, as a platform does, for processes to inherit.
-func (s *site) hold() (address string) {
+// shareListener opens a listening socket for processes to inherit, as a platform does, and keeps it open.
+func (s *testEnv) shareListener() (address string) {
 	s.Helper()
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.Fatal(err)
 	}
-	s.Cleanup(func() { held.Close() })
-	file, err := held.(*net.TCPListener).File()
+	s.Cleanup(func() { listener.Close() })
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		s.Fatal(err)
 	}
 	s.Cleanup(func() { _ = file.Close() })
-	s.node.Listen, s.node.Files = held.Addr().String(), []*os.File{file}
+	s.node.Listen, s.node.Files = listener.Addr().String(), []*os.File{file}
 	return s.node.Listen
 }
--- a/cmd/wickarch/retry.go
+++ b/cmd/wickarch/retry.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	startPatience = 10 * time.Second // with system calls that fail at the start
-	firstPause    = 20 * time.Millisecond
-	longestPause  = time.Second
+	startTimeout   = 10 * time.Second // how long startup retries failed system calls
+	minReloadDelay = 20 * time.Millisecond
+	maxReloadDelay = time.Second
 )
 
-// atStart repeats a step of the start while it fails by a passing error, until ctx ends.
-func atStart[T any](ctx context.Context, step func() (T, error)) (T, error) {
-	failed := func(err error) { slog.Warn("the start waits for a system call that fails", "error", err) }
-	return retry.For(startPatience, failed, func() (v T, err error) {
+// retryAtStart retries a startup step after transient errors, until it succeeds, startTimeout has passed or ctx is
+// cancelled.
+func retryAtStart[T any](ctx context.Context, step func() (T, error)) (T, error) {
+	onFirstFailure := func(err error) { slog.Warn("startup waits for a system call that failed and is retried", "error", err) }
+	return retry.For(startTimeout, onFirstFailure, func() (v T, err error) {
 		if err = ctx.Err(); err != nil {
 			return v, err
 		}
@@ -26,24 +27,25 @@
 	})
 }
 
-// followSignals takes over the configuration at each signal. One that can't be read is read again until it
-// can, at growing pauses: it may be half written, or the system short of something.
-func followSignals(signals <-chan os.Signal, read func() error) {
+// reloadOnSignals reloads the configuration on each signal. A reload that fails is retried with exponential
+// backoff until it succeeds: the file may be partly written, or the system short of a resource. A further signal
+// retries at once and resets the backoff.
+func reloadOnSignals(signals <-chan os.Signal, reload func() error) {
 	for range signals {
-		pause := firstPause
-		for told := false; ; told = true {
-			err := read()
+		delay := minReloadDelay
+		for reported := false; ; reported = true {
+			err := reload()
 			if err == nil {
 				break
 			}
-			if !told {
-				slog.Error("the configuration stays as it was until it can be read", "error", err)
+			if !reported {
+				slog.Error("cannot read the configuration; keeping the previous one and retrying", "error", err)
 			}
 			select {
 			case <-signals:
-				pause = firstPause
-			case <-time.After(pause):
-				pause = min(2*pause, longestPause)
+				delay = minReloadDelay
+			case <-time.After(delay):
+				delay = min(2*delay, maxReloadDelay)
 			}
 		}
 	}
--- a/cmd/wickarch/soak_test.go
+++ b/cmd/wickarch/soak_test.go
@@ -9,16 +9,16 @@
 	"wickarch/internal/soak"
 )
 
-// soakSeeds are those that CI plays; cmd/bench/soak plays others.
+// soakSeeds are the seeds that CI runs; cmd/bench/soak runs others.
 var soakSeeds = []uint64{1, 2, 3, 4, 5}
 
-// Guards against any break of the rules under faults that overlap: two dozen real processes, system calls
-// that fail, signals in series, backends and discovery that fail, and in one run a crowd.
-func TestSoakKeepsTheRules(t *testing.T) {
+// Guards against violations of the ingress's invariants under overlapping faults: two dozen real processes, failing
+// system calls, series of signals, failing backends and discovery, and in one run a crowd of clients.
+func TestSoakFindsNoViolations(t *testing.T) {
 	for _, seed := range soakSeeds {
 		cfg := soak.Defaults(seed)
-		// A binary with the race detector sleeps for a second at its end, unless told not to.
-		cfg.Env = []string{asProgram + "=1", "GORACE=atexit_sleep_ms=0"}
+		// By default a binary built with the race detector sleeps for a second at exit.
+		cfg.Env = []string{programRoleEnv + "=1", "GORACE=atexit_sleep_ms=0"}
 		cfg.Tracer, cfg.Dir = []string{os.Args[0]}, t.TempDir()
 		report, err := soak.Run(t.Context(), cfg)
 		if err != nil {
--- a/cmd/wickarch/starts_test.go
+++ b/cmd/wickarch/starts_test.go
@@ -14,11 +14,11 @@
 	"wickarch/internal/standin"
 )
 
-// answersLate is a discovery that tells each call the list, late.
-func answersLate(t *testing.T, late time.Duration, list []byte) (addr string) {
+// startSlowDiscovery starts a discovery server that responds to each request with the list, after a delay.
+func startSlowDiscovery(t *testing.T, delay time.Duration, list []byte) (addr string) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-time.After(late):
+		case <-time.After(delay):
 		case <-r.Context().Done():
 			return
 		}
@@ -32,9 +32,9 @@
 	return s.Listener.Addr().String()
 }
 
-// neverUp is an address at which connections never come up: nobody takes those that
-// fill the listener's queue.
-func neverUp(t *testing.T) (addr string) {
+// unreachableAddress returns an address at which connects time out: the listener never accepts, and its queue is
+// full.
+func unreachableAddress(t *testing.T) (addr string) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -60,33 +60,33 @@
 	}
 }
 
-// readyAfter asks with PING until an ingress takes clients, and tells when that was.
-func readyAfter(addr string, begun time.Time, within time.Duration) (time.Duration, error) {
+// timeUntilReady sends PING until an ingress responds or timeout has passed, and returns the time since started.
+func timeUntilReady(addr string, started time.Time, timeout time.Duration) (time.Duration, error) {
 	for {
 		line := ""
-		c, err := standin.Dial(addr, within)
+		c, err := standin.Dial(addr, timeout)
 		if err == nil {
 			if err = c.Send("PING"); err == nil {
 				line, err = c.Line()
 			}
 			c.Close()
 		}
-		if took := time.Since(begun); line == "+PONG" || took > within {
+		if took := time.Since(started); line == "+PONG" || took > timeout {
 			return took, err
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// All processes are killed and start again at once, from nothing but their
-// configuration, while discovery is slow or down. Nine in ten are ready, with the list
-// as they last had it, within 10 s, and serve.
+// Guards against restarts that wait for discovery: all processes are killed and started again together, with no
+// state but their configuration, while discovery is slow or down. Nine in ten must be ready within 10 s, with the
+// last known list, and serve.
 func TestRestartedProcessesAreReadyWhileDiscoveryIsDown(t *testing.T) {
 	const (
 		processes = 10
 		within    = 10 * time.Second
 	)
-	s := around(t, limits)
+	s := newTestEnv(t, defaultLimits)
 	list, err := json.Marshal(map[string]any{"revision": 1, "complete": true, "members": []standin.Member{s.member}})
 	if err != nil {
 		t.Fatal(err)
@@ -94,18 +94,18 @@
 	start := func(n int, listen, discovery string, known []byte) (*standin.Process, error) {
 		node := s.node
 		node.Name, node.Listen, node.Discovery, node.Known = fmt.Sprint("n", n), listen, discovery, known
-		return node.Start(t.Context(), []string{os.Args[0]}, s.dir, asProgram+"=1")
+		return node.Start(t.Context(), []string{os.Args[0]}, s.dir, programRoleEnv+"=1")
 	}
-	var nodes []*standin.Process
+	var running []*standin.Process
 	for n := range processes {
 		var p *standin.Process
 		if p, err = start(n, "127.0.0.1:0", s.discovery.Addr(), nil); err == nil {
-			err = standin.WaitReady(p.Addr, patience)
+			err = standin.WaitReady(p.Addr, waitTimeout)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		nodes = append(nodes, p)
+		running = append(running, p)
 	}
 	silent, err := standin.NewLink(s.discovery.Addr())
 	if err != nil {
@@ -117,17 +117,17 @@
 		name, discovery string
 		known           []byte
 	}{
-		{"says nothing", silent.Addr, list},
-		{"refuses", reserve(t, "127.41.8.1"), list},
-		{"connections never come up", neverUp(t), list},
-		{"late", answersLate(t, 700*time.Millisecond, list), list},
-		{"late, and nothing is known before", answersLate(t, 700*time.Millisecond, list), nil},
-		{"later than a call waits", answersLate(t, 1500*time.Millisecond, list), list},
+		{"discovery does not respond", silent.Addr, list},
+		{"discovery refuses connections", reserveAddress(t, "127.41.8.1"), list},
+		{"connects to discovery time out", unreachableAddress(t), list},
+		{"discovery responds late", startSlowDiscovery(t, 700*time.Millisecond, list), list},
+		{"discovery responds late, no known list", startSlowDiscovery(t, 700*time.Millisecond, list), nil},
+		{"discovery responds after the request timeout", startSlowDiscovery(t, 1500*time.Millisecond, list), list},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for _, p := range nodes {
+			for _, p := range running {
 				p.Cmd.Process.Kill()
-				_ = p.Stop(patience) // its end is awaited, so that its address is free
+				_ = p.Stop(waitTimeout) // waits for the exit, so that the address is free
 			}
 			type ready struct {
 				took time.Duration
@@ -135,21 +135,21 @@
 			}
 			all := make([]ready, processes)
 			var waits sync.WaitGroup
-			for n := range nodes {
+			for n := range running {
 				waits.Go(func() {
-					begun := time.Now()
-					p, err := start(n, nodes[n].Addr, c.discovery, c.known)
+					started := time.Now()
+					p, err := start(n, running[n].Addr, c.discovery, c.known)
 					if err != nil {
 						all[n].err = err
 						return
 					}
-					nodes[n] = p
-					all[n].took, all[n].err = readyAfter(p.Addr, begun, within)
+					running[n] = p
+					all[n].took, all[n].err = timeUntilReady(p.Addr, started, within)
 				})
 			}
 			waits.Wait()
 			inTime, longest := 0, time.Duration(0)
-			for n := range nodes {
+			for n := range running {
 				got := all[n]
 				if got.err != nil {
 					t.Fatalf("process %d: %v", n, got.err)
@@ -158,19 +158,19 @@
 					continue
 				}
 				inTime++
-				c, err := standin.Dial(nodes[n].Addr, patience)
+				c, err := standin.Dial(running[n].Addr, waitTimeout)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if got := s.asked(c); got != standin.Served {
-					t.Errorf("process %d is ready, and a request ends as %v", n, got)
+				if got := s.lookup(c); got != standin.Served {
+					t.Errorf("process %d is ready; request outcome %v, want served", n, got)
 				}
 				c.Close()
 			}
 			if inTime*10 < processes*9 {
-				t.Errorf("%d of %d are ready within %v", inTime, processes, within)
+				t.Errorf("%d of %d processes were ready within %v", inTime, processes, within)
 			}
-			t.Logf("all are ready within %v", longest.Round(time.Millisecond))
+			t.Logf("all processes were ready within %v", longest.Round(time.Millisecond))
 		})
 	}
 }
--- a/cmd/wickarch/stop_test.go
+++ b/cmd/wickarch/stop_test.go
@@ -14,28 +14,28 @@
 	"wickarch/internal/standin"
 )
 
-// Three processes are told to end, twice each, while half of the work hangs at its
-// backend and clients go on sending on the connections that they have, more than
-// one request at a time. What ran has its answer: none is lost. Each process ends
-// in order, before a platform would kill it.
-func TestStopsWhileBackendsHangLoseNothing(t *testing.T) {
-	const longest = 900 * time.Millisecond
-	s := around(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 384})
-	s.node.Settings = json.RawMessage(strings.ReplaceAll(string(s.node.Settings), `"give_up_ms":20000`, fmt.Sprintf(`"give_up_ms":%d`, longest.Milliseconds())))
+// Guards against responses that are lost at shutdown, and against a process that the platform has to kill.
+// Three processes get SIGINT and then SIGTERM repeatedly, while the backend leaves half of the requests unanswered
+// and clients keep pipelining requests on their connections. Each request that ran must be answered.
+func TestShutdownWithHangingBackendsLosesNoRequest(t *testing.T) {
+	const giveUpTimeout = 900 * time.Millisecond
+	s := newTestEnv(t, standin.Limits{Cores: 1, MemoryMB: 64, Sockets: 384})
+	s.node.Settings = json.RawMessage(strings.ReplaceAll(string(s.node.Settings), `"give_up_ms":20000`,
+		fmt.Sprintf(`"give_up_ms":%d`, giveUpTimeout.Milliseconds())))
 	for range 3 {
-		s.begin(nil)
+		s.startProcess(nil)
 		p, ended := s.Process, make(chan struct{})
 		var clients sync.WaitGroup
 		for n := range 4 {
 			c := s.dial()
 			clients.Add(1)
 			sent := make(chan string, 10_000)
-			go func() { // until the connection has ended
+			go func() { // until the connection is closed
 				defer close(sent)
 				for i := 0; ; i++ {
-					id, customer := "f"+standin.NewID()[1:], uint64(1000+n) // a payment's
+					id, customer := "f"+standin.NewID()[1:], uint64(1000+n) // an id of a payment
 					if i%2 == 1 {
-						customer = hole
+						customer = unansweredCustomer
 					}
 					if c.Send(standin.Payment(customer, id, 20_000)...) != nil {
 						return
@@ -47,40 +47,40 @@
 			go func() {
 				defer clients.Done()
 				for id := range sent {
-					// The answers come in the order of the requests; behind the last there is none.
+					// Responses come in the order of the requests, so after the first error none follows.
 					if _, err := c.Line(); err != nil {
-						c.Close() // ends the sender
+						c.Close() // stops the sender
 						<-ended
 						for ok := true; ok; id, ok = <-sent {
 							if s.effects.Of(id) > 0 {
-								t.Errorf("request %s has run and has no answer", id)
+								t.Errorf("request %s has run and got no response", id)
 							}
 						}
 					}
 				}
 			}()
 		}
-		for end := time.Now().Add(patience); s.effects.Total() < 20 && time.Now().Before(end); {
+		for end := time.Now().Add(waitTimeout); s.effects.Total() < 20 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		told := time.Now()
+		signalled := time.Now()
 		if err := p.Cmd.Process.Signal(os.Interrupt); err != nil {
 			t.Error(err)
 		}
 		go func() {
-			for errors.Is(p.Cmd.Process.Signal(syscall.SIGTERM), nil) { // to its end
+			for errors.Is(p.Cmd.Process.Signal(syscall.SIGTERM), nil) { // until it exits
 				time.Sleep(10 * time.Millisecond)
 			}
 		}()
-		if err := p.Stop(patience); err != nil {
-			t.Errorf("the process ended with %v", err)
+		if err := p.Stop(waitTimeout); err != nil {
+			t.Errorf("the process exited with %v", err)
 		}
-		// No figure of speed: a process that waits for those who go on would never end.
-		if took := time.Since(told); took > longest+patience/2 {
-			t.Errorf("it took %v to end", took)
+		// Not a limit on speed: a process that waits for clients that keep sending would never exit.
+		if took := time.Since(signalled); took > giveUpTimeout+waitTimeout/2 {
+			t.Errorf("shutdown took %v", took)
 		}
 		close(ended)
 		clients.Wait()
 	}
-	s.once()
+	s.expectNoPaymentTwice()
 }
--- a/cmd/wickarch/trial_test.go
+++ b/cmd/wickarch/trial_test.go
@@ -23,18 +23,17 @@
 	"wickarch/internal/standin/confine"
 )
 
-// The standing trial on the full fleet starts bin/wickarch with a library loaded
-// into it and a filter on its system calls. Here the binary that the deploy
-// file's build line makes runs under such a filter of our own.
+// The standing trial on the full fleet starts bin/wickarch with a preloaded library and a filter on its system
+// calls. These tests run the binary that the deploy file's build line makes under an equivalent seccomp filter.
 
 const (
-	asConfined = "WICKARCH_TEST_CONFINED" // "trap" or "refuse": run the arguments under the filter; "/" and a probe may follow
-	asProbe    = "WICKARCH_TEST_PROBE"    // make one refused call instead
+	confinedRoleEnv = "WICKARCH_TEST_CONFINED" // "trap" or "refuse", optionally with "/" and a probe: run the arguments under the filter
+	probeRoleEnv    = "WICKARCH_TEST_PROBE"    // name of a probe: make its system call instead of running the tests
 )
 
 func init() {
-	roles[asConfined] = confined
-	roles[asProbe] = func(name string) {
+	roles[confinedRoleEnv] = execConfined
+	roles[probeRoleEnv] = func(name string) {
 		if err := probes[name](); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -42,36 +41,36 @@
 	}
 }
 
-// confined replaces this process by its arguments, under the filter.
-func confined(how string) {
-	mode, probe, _ := strings.Cut(how, "/")
+// execConfined replaces this process by the program in its arguments, under the filter.
+func execConfined(spec string) {
+	mode, probe, _ := strings.Cut(spec, "/")
 	m := confine.Trap
 	if mode == "refuse" {
 		m = confine.Refuse
 	}
-	env := slices.DeleteFunc(os.Environ(), func(v string) bool { return strings.HasPrefix(v, asConfined+"=") })
+	env := slices.DeleteFunc(os.Environ(), func(v string) bool { return strings.HasPrefix(v, confinedRoleEnv+"=") })
 	if probe != "" {
-		env = append(env, asProbe+"="+probe)
+		env = append(env, probeRoleEnv+"="+probe)
 	}
 	fmt.Fprintln(os.Stderr, confine.Exec(m, os.Args[1], os.Args[1:], env))
 	os.Exit(3)
 }
 
-// deployed builds the program as the deploy file says, once, and returns its path.
-var deployed = sync.OnceValues(func() (string, error) {
+// buildDeployed builds the program once, with the deploy file's build line, and returns its path.
+var buildDeployed = sync.OnceValues(func() (string, error) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		return "", err
 	}
 	line := regexp.MustCompile(`(?m)^build = ".*\b((?:CGO_ENABLED=\S+ )?go build .*)-o bin/ \./cmd/\.\.\."`).FindSubmatch(text)
 	if line == nil {
-		return "", errors.New("deploy/balancer.toml: the build line has another form than this test knows")
+		return "", errors.New("deploy/balancer.toml: the build line does not have the expected form")
 	}
 	dir, err := os.MkdirTemp("", "wickarch")
 	if err != nil {
 		return "", err
 	}
-	after = append(after, func() { os.RemoveAll(dir) })
+	cleanups = append(cleanups, func() { os.RemoveAll(dir) })
 	path := filepath.Join(dir, "wickarch")
 	out, err := exec.Command("sh", "-c", string(line[1])+"-o "+path+" .").CombinedOutput()
 	if err != nil {
@@ -80,38 +79,38 @@
 	return path, nil
 })
 
-func binary(t *testing.T) string {
+func deployedBinary(t *testing.T) string {
 	t.Helper()
-	path, err := deployed()
+	path, err := buildDeployed()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-// dynamic tells whether a binary names an interpreter and the C library, so that
-// a library can be loaded into it.
-func dynamic(path string) error {
+// checkDynamic returns an error unless the binary has an ELF interpreter and is linked against the C library, so
+// that a library can be preloaded into it.
+func checkDynamic(path string) error {
 	f, err := elf.Open(path)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = f.Close() }()
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		return errors.New("it names no interpreter")
+		return errors.New("the binary has no ELF interpreter")
 	}
 	libs, err := f.ImportedLibraries()
 	if err != nil {
 		return err
 	}
 	if !slices.ContainsFunc(libs, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		return fmt.Errorf("it names the libraries %q, none of them the C library", libs)
+		return fmt.Errorf("the binary is linked against %q, without the C library", libs)
 	}
 	return nil
 }
 
-func TestDeployedBinaryIsLinkedAgainstTheCLibrary(t *testing.T) {
-	if err := dynamic(binary(t)); err != nil {
+func TestDeployedBinaryIsDynamicallyLinked(t *testing.T) {
+	if err := checkDynamic(deployedBinary(t)); err != nil {
 		t.Error(err)
 	}
 	static := filepath.Join(t.TempDir(), "static")
@@ -120,42 +119,42 @@
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	if dynamic(static) == nil {
-		t.Error("a static binary passes for a dynamic one")
+	if checkDynamic(static) == nil {
+		t.Error("checkDynamic accepts a static binary")
 	}
 }
 
-// With everything off the program makes none of the calls, under load, in a
-// reload and at its end: each would end it by SIGSYS.
-func TestDeployedBinaryMakesNoCallThatTheTrialRefuses(t *testing.T) {
+// Guards against system calls that the standing trial refuses, under load, at a reload and at exit: in mode trap
+// each would kill the program by SIGSYS. All optional features are off.
+func TestDeployedBinaryMakesNoRefusedSystemCall(t *testing.T) {
 	for _, mode := range []string{"trap", "refuse"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			s := around(t, limits)
+			s := newTestEnv(t, defaultLimits)
 			var err error
-			s.Process, err = s.node.Start(t.Context(), []string{os.Args[0], binary(t)}, s.dir, asConfined+"="+mode)
+			s.Process, err = s.node.Start(t.Context(), []string{os.Args[0], deployedBinary(t)}, s.dir, confinedRoleEnv+"="+mode)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := standin.WaitReady(s.Addr, patience); err != nil {
+			if err := standin.WaitReady(s.Addr, waitTimeout); err != nil {
 				t.Fatal(err)
 			}
-			judge := s.load(200)
+			stopLoad := s.startLoad(200)
 			if err := s.Cmd.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Error(err)
 			}
-			if got := s.asked(s.dial()); got != standin.Served {
-				t.Errorf("a lookup ends as %v", got)
+			if got := s.lookup(s.dial()); got != standin.Served {
+				t.Errorf("lookup outcome %v, want served", got)
 			}
-			judge()
-			if err := s.Stop(patience); err != nil {
-				t.Errorf("it ended with %v", err)
+			stopLoad()
+			if err := s.Stop(waitTimeout); err != nil {
+				t.Errorf("the program exited with %v", err)
 			}
 		})
 	}
 }
 
-// probes make the calls, through the standard library as a program would.
+// probes make the refused calls, through the standard library where it offers them, as a program would.
 var probes = map[string]func() error{
 	"a program":     func() error { return exec.Command("/bin/true").Run() },
 	"io_uring":      func() error { _, _, e := syscall.RawSyscall(425, 1, 0, 0); return e },
@@ -165,10 +164,10 @@
 		if err != nil {
 			return err
 		}
-		return pour(io.LimitReader(f, 100))
+		return copyToConn(io.LimitReader(f, 100))
 	},
 	"splice": func() error {
-		from, to, err := pair()
+		from, to, err := tcpPair()
 		if err != nil {
 			return err
 		}
@@ -176,12 +175,12 @@
 			return err
 		}
 		to.Close()
-		return pour(from)
+		return copyToConn(from)
 	},
 }
 
-// pair is a connection of TCP, both ends of it.
-func pair() (a, b net.Conn, err error) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair() (a, b net.Conn, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
@@ -194,37 +193,37 @@
 	return a, b, err
 }
 
-// pour copies r to a connection.
-func pour(r io.Reader) error {
-	a, b, err := pair()
+// copyToConn copies r to a TCP connection.
+func copyToConn(r io.Reader) error {
+	a, b, err := tcpPair()
 	if err != nil {
 		return err
 	}
 	go func() { _, _ = io.Copy(io.Discard, b) }()
 	n, err := io.Copy(a, r)
 	if err == nil && n == 0 {
-		err = errors.New("nothing was copied")
+		err = errors.New("copied no bytes")
 	}
 	return err
 }
 
-// The filter sees each call that it is there for. Where they are refused only,
-// Go's copies to a connection go on without splice and sendfile.
-func TestFilterSeesEachCall(t *testing.T) {
+// Guards against a filter that misses one of the calls, which would make the tests above pass wrongly. In mode
+// refuse, Go's copies to a connection must succeed without splice and sendfile.
+func TestFilterCatchesEachRefusedCall(t *testing.T) {
 	for name := range probes {
 		for _, mode := range []string{"trap", "refuse"} {
 			t.Run(name+", "+mode, func(t *testing.T) {
 				t.Parallel()
 				cmd := exec.CommandContext(t.Context(), os.Args[0], os.Args[0])
-				cmd.Env = append(os.Environ(), asConfined+"="+mode+"/"+name)
+				cmd.Env = append(os.Environ(), confinedRoleEnv+"="+mode+"/"+name)
 				cmd.WaitDelay = 10 * time.Second
 				out, err := cmd.CombinedOutput()
 				copies := name == "splice" || name == "sendfile"
 				switch {
 				case mode == "trap" && !strings.Contains(string(out), "SIGSYS"):
-					t.Errorf("it ends with %v, and no SIGSYS: %.300s", err, out)
+					t.Errorf("the probe exited with %v, without SIGSYS: %.300s", err, out)
 				case mode == "refuse" && copies != (err == nil):
-					t.Errorf("it ends with %v: %.300s", err, out)
+					t.Errorf("the probe exited with %v: %.300s", err, out)
 				}
 			})
 		}
