--- a/choice/export_test.go
+++ b/choice/export_test.go
@@ -1,14 +1,14 @@
 package choice
 
-// Known tells how many backends a gateway keeps.
-func Known(g *Gateway) int { return len(g.backends) }
+// KnownBackends returns the number of backends that a gateway knows.
+func KnownBackends(g *Gateway) int { return len(g.backends) }
 
-// KnownCustomers is the number of customers' records kept.
+// KnownCustomers returns the number of customer records.
 func KnownCustomers(g *Gateway) int { return len(g.customers) }
 
-// HeldCustomers is the number of records that the row holds on to, those behind its end among them.
-func HeldCustomers(g *Gateway) (n int) {
-	for _, c := range g.kept[:cap(g.kept)] {
+// RetainedCustomers returns the number of records that the slice's array references, also beyond its length.
+func RetainedCustomers(g *Gateway) (n int) {
+	for _, c := range g.records[:cap(g.records)] {
 		if c != nil {
 			n++
 		}
