--- a/cmd/bench/distribution/main.go
+++ b/cmd/bench/distribution/main.go
@@ -37,7 +37,7 @@
 // Run plays them.
 func (s *schedules) Run() error {
 	if s.Seed > 0 {
-		r := sweep.Alone(os.Stdout, s.Flags, func(seed uint64, tell func(time.Duration, string)) distsim.Report {
+		r := sweep.RunOne(os.Stdout, s.Flags, func(seed uint64, tell func(time.Duration, string)) distsim.Report {
 			return distsim.Run(s.draw(seed), tell)
 		})
 		if len(r.Faults) > 0 {
--- a/cmd/bench/rollouts/schedules.go
+++ b/cmd/bench/rollouts/schedules.go
@@ -25,7 +25,7 @@
 // Run plays them.
 func (s *schedules) Run() error {
 	if s.Seed > 0 {
-		r := sweep.Alone(os.Stdout, s.Flags, func(seed uint64, tell func(time.Duration, string)) fleetsim.Report {
+		r := sweep.RunOne(os.Stdout, s.Flags, func(seed uint64, tell func(time.Duration, string)) fleetsim.Report {
 			return fleetsim.Run(s.draw(seed), tell)
 		})
 		if len(r.Faults) > 0 {
--- a/cmd/bench/soak/main.go
+++ b/cmd/bench/soak/main.go
@@ -45,7 +45,7 @@
 		seed := *from + uint64(n)
 		violations, err := play(ctx, seed, path, *logs, func(c *soak.Config) {
 			if *duration > 0 {
-				c.For = *duration
+				c.FaultDuration = *duration
 			}
 		})
 		if err != nil {
@@ -64,7 +64,7 @@
 
 // play plays one seed and tells how often the rules were broken.
 func play(ctx context.Context, seed uint64, program, logs string, change func(*soak.Config)) (int, error) {
-	cfg := soak.Defaults(seed)
+	cfg := soak.DefaultConfig(seed)
 	change(&cfg)
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -76,7 +76,7 @@
 			return 0, err
 		}
 	}
-	cfg.Tracer, cfg.Program, cfg.Dir, cfg.Logs = []string{os.Args[0]}, program, dir, logs
+	cfg.Tracer, cfg.Program, cfg.ConfigDir, cfg.LogDir = []string{os.Args[0]}, program, dir, logs
 	report, err := soak.Run(ctx, cfg)
 	if err != nil {
 		return 0, err
--- a/cmd/wickarch/soak_test.go
+++ b/cmd/wickarch/soak_test.go
@@ -16,10 +16,10 @@
 // that fail, signals in series, backends and discovery that fail, and in one run a crowd.
 func TestSoakKeepsTheRules(t *testing.T) {
 	for _, seed := range soakSeeds {
-		cfg := soak.Defaults(seed)
+		cfg := soak.DefaultConfig(seed)
 		// A binary with the race detector sleeps for a second at its end, unless told not to.
 		cfg.Env = []string{asProgram + "=1", "GORACE=atexit_sleep_ms=0"}
-		cfg.Tracer, cfg.Dir = []string{os.Args[0]}, t.TempDir()
+		cfg.Tracer, cfg.ConfigDir = []string{os.Args[0]}, t.TempDir()
 		report, err := soak.Run(t.Context(), cfg)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		s := &session{run: r, in: in, life: n, nc: nc, answers: bufio.NewReader(nc), begun: begun}
-		if rand.Float64() < r.cfg.Rude {
+		if rand.Float64() < r.cfg.PartialCommandShare {
 			s.rude()
 		} else {
 			s.converse(ctx)
@@ -82,7 +82,7 @@
 		if !s.send(batch) {
 			return
 		}
-		if rand.Float64() < s.run.cfg.Leave {
+		if rand.Float64() < s.run.cfg.DisconnectShare {
 			s.leave(batch)
 			return
 		}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -72,14 +72,14 @@
 
 // trouble plays all faults until the run's time is over, and waits for what it has begun.
 func (r *run) trouble(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, r.cfg.For)
+	ctx, stop := context.WithTimeout(ctx, r.cfg.FaultDuration)
 	defer stop()
 	var all sync.WaitGroup
 	start := func(n uint64, play func(context.Context, *rand.Rand)) {
 		all.Go(func() { play(ctx, rand.New(rand.NewPCG(r.cfg.Seed, n))) })
 	}
 	for n, in := range r.ingresses {
-		if !r.cfg.NoCalls {
+		if !r.cfg.NoSyscallFaults {
 			start(uint64(100+n), in.callsFail)
 		}
 	}
@@ -152,7 +152,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for what, n := range of.Since(counts) {
-		r.report.Faults[what] += n
+		r.report.SyscallFaults[what] += n
 	}
 }
 
@@ -168,7 +168,7 @@
 		}
 		again := faultinject.Rule{Call: faultinject.Socket, Fault: "ENOBUFS", Share: 0.5, Most: rng.IntN(4)}
 		if what < 0.1 {
-			r.count(func(p *Report) { p.Steps++ })
+			r.count(func(p *Report) { p.ClockSteps++ })
 			in.stepClock(clockSteps[rng.IntN(len(clockSteps))])
 			in.change(false)
 			continue
@@ -280,7 +280,7 @@
 		b := r.backends[n]
 		r.backends[n] = r.backends[len(r.backends)-1]
 		r.backends = r.backends[:len(r.backends)-1]
-		r.report.Replaced++
+		r.report.BackendsReplaced++
 		r.mu.Unlock()
 		if rng.IntN(3) == 0 {
 			b.close() // it dies, and discovery hears of it
--- a/internal/soak/ingress.go
+++ b/internal/soak/ingress.go
@@ -110,7 +110,7 @@
 	}
 	begun := time.Now()
 	tracer := i.run.cfg.Tracer
-	if i.run.cfg.Logs != "" {
+	if i.run.cfg.LogDir != "" {
 		var config string
 		var log *os.File
 		if config, log, err = i.logs(); err != nil {
@@ -118,7 +118,7 @@
 		}
 		node.Log, tracer = log, append(slices.Clone(tracer), "-config", config)
 	}
-	process, err := node.Start(ctx, tracer, i.run.cfg.Dir, append(env, i.run.cfg.Env...)...)
+	process, err := node.Start(ctx, tracer, i.run.cfg.ConfigDir, append(env, i.run.cfg.Env...)...)
 	if err != nil {
 		return fmt.Errorf("%s: %w", node.Name, err)
 	}
@@ -134,14 +134,14 @@
 
 // logs opens the log of the next process, and writes the file of our own that has each request logged.
 func (i *ingress) logs() (config string, log *os.File, err error) {
-	config = filepath.Join(i.run.cfg.Logs, "own.toml")
+	config = filepath.Join(i.run.cfg.LogDir, "own.toml")
 	if err = os.WriteFile(config, []byte("[log]\nrequests = true\n"), 0o600); err != nil {
 		return "", nil, err
 	}
 	i.mu.Lock()
 	name := fmt.Sprintf("%s-%d.log", i.node.Name, len(i.lives))
 	i.mu.Unlock()
-	log, err = os.Create(filepath.Join(i.run.cfg.Logs, name))
+	log, err = os.Create(filepath.Join(i.run.cfg.LogDir, name))
 	return config, log, err
 }
 
@@ -233,7 +233,7 @@
 	node, process := i.node, i.process
 	i.hups = append(i.hups, time.Now())
 	i.mu.Unlock()
-	if _, err := node.Write(i.run.cfg.Dir); err != nil {
+	if _, err := node.Write(i.run.cfg.ConfigDir); err != nil {
 		return err
 	}
 	for range signals {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -28,7 +28,7 @@
 	r.judgeCeiling(requests)
 	for _, q := range requests {
 		r.report.Requests++
-		r.report.Ends[q.answer]++
+		r.report.Outcomes[q.answer]++
 		r.judgeAnswer(q)
 		r.judgeAttempts(q)
 	}
@@ -59,7 +59,7 @@
 			r.violate(nil, "ceiling: passed by %.1f units at %v", over, at.Sub(r.begun).Round(time.Millisecond))
 		}
 	}
-	r.report.Capped = len(taken)
+	r.report.CappedRequests = len(taken)
 }
 
 // judgeAnswer wants one final answer in time.
@@ -75,15 +75,15 @@
 			r.violate(q, "lost: its answer came %v too late", late)
 		}
 	case q.ingress.wasKilled(q):
-		r.report.Killed++
+		r.report.ProcessKilled++
 	case !q.cut.IsZero() && len(q.attempts) > 0:
 		r.violate(q, "lost: its connection was ended with no answer, and it was sent on")
-	case !q.cut.IsZero() && q.first && !q.ingress.wasStopping(q) && !r.cfg.Crowd:
+	case !q.cut.IsZero() && q.first && !q.ingress.wasStopping(q) && !r.cfg.FillDescriptors:
 		r.violate(q, "lost: a new connection was ended with no answer")
 	case !q.cut.IsZero():
-		r.report.Crossed++ // unread: its client sends it again on a new one
+		r.report.ClosedUnread++ // unread: its client sends it again on a new one
 	case !q.left.IsZero() && q.left.Sub(q.sent) < q.inOrder+answerGrace:
-		r.report.Left++
+		r.report.ClientClosed++
 	default:
 		r.violate(q, "lost: no answer came")
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -20,25 +20,25 @@
 
 // Config is one run.
 type Config struct {
-	Seed      uint64
-	Tracer    []string // the command that runs the tracer of package faultinject
-	Program   string   // what it traces; "" for its own binary
-	Env       []string // for it
-	Dir       string   // for configurations
-	Ingresses int
-	Backends  int
-	Clients   int
-	For       time.Duration // under faults
-	Crowd     bool          // idle clients fill the descriptors
-	Leave     float64       // share of requests whose client leaves
-	Rude      float64       // share of connections that stop in the middle of a command
-	NoCalls   bool          // no system call fails
-	Logs      string        // a folder for the logs of all processes, with each request; "" for none
+	Seed                uint64
+	Tracer              []string // the command that runs the tracer of package faultinject
+	Program             string   // what it traces; "" for its own binary
+	Env                 []string // for it
+	ConfigDir           string   // for configurations
+	Ingresses           int
+	Backends            int
+	Clients             int
+	FaultDuration       time.Duration // under faults
+	FillDescriptors     bool          // idle clients fill the descriptors
+	DisconnectShare     float64       // share of requests whose client leaves
+	PartialCommandShare float64       // share of connections that stop in the middle of a command
+	NoSyscallFaults     bool          // no system call fails
+	LogDir              string        // a folder for the logs of all processes, with each request; "" for none
 }
 
 // Defaults are the usual sizes for a seed; one in five has a crowd.
-func Defaults(seed uint64) Config {
-	return Config{Seed: seed, Ingresses: 12, Backends: 8, Clients: 60, For: 6 * time.Second, Crowd: seed%5 == 0, Leave: 0.05, Rude: 0.01}
+func DefaultConfig(seed uint64) Config {
+	return Config{Seed: seed, Ingresses: 12, Backends: 8, Clients: 60, FaultDuration: 6 * time.Second, FillDescriptors: seed%5 == 0, DisconnectShare: 0.05, PartialCommandShare: 0.01}
 }
 
 // longest is the longest time of a request.
@@ -46,7 +46,7 @@
 
 // sockets is how many descriptors an ingress has.
 func (c Config) sockets() int {
-	if c.Crowd {
+	if c.FillDescriptors {
 		return 160
 	}
 	return 512
@@ -54,24 +54,24 @@
 
 // Report is what came of a run.
 type Report struct {
-	Requests, Attempts, Crossed, Left, Killed int
-	Capped                                    int              // tries under the hard ceiling that were sent on
-	HeldUp                                    float64          // share of the time in which the machine held something up
-	Ends                                      [partial + 1]int // by answerKind
-	Stops, Kills, Reloads, Steps, Replaced    int
-	Faults                                    map[string]int // system calls that failed, by call and error
-	Violations                                []string
+	Requests, Attempts, ClosedUnread, ClientClosed, ProcessKilled int
+	CappedRequests                                                int              // tries under the hard ceiling that were sent on
+	StallShare                                                    float64          // share of the time in which the machine held something up
+	Outcomes                                                      [partial + 1]int // by answerKind
+	Stops, Kills, Reloads, ClockSteps, BackendsReplaced           int
+	SyscallFaults                                                 map[string]int // system calls that failed, by call and error
+	Violations                                                    []string
 }
 
 // String sums it up on a line.
 func (r Report) String() string {
 	calls := 0
-	for _, n := range r.Faults {
+	for _, n := range r.SyscallFaults {
 		calls += n
 	}
 	return fmt.Sprintf("%d requests (%d served, %d refused, %d failed, %d left, %d crossed an end, %d killed), %d attempts, %d calls failed in %d ways, "+
-		"%d tries under the ceiling, %d stops, %d kills, %d reloads, %d steps of the clock, %d backends replaced, the machine held up %.0f%%: %d violations", r.Requests, r.Ends[served], r.Ends[refused], r.Ends[failed], r.Left, r.Crossed,
-		r.Killed, r.Attempts, calls, len(r.Faults), r.Capped, r.Stops, r.Kills, r.Reloads, r.Steps, r.Replaced, 100*r.HeldUp, len(r.Violations))
+		"%d tries under the ceiling, %d stops, %d kills, %d reloads, %d steps of the clock, %d backends replaced, the machine held up %.0f%%: %d violations", r.Requests, r.Outcomes[served], r.Outcomes[refused], r.Outcomes[failed], r.ClientClosed, r.ClosedUnread,
+		r.ProcessKilled, r.Attempts, calls, len(r.SyscallFaults), r.CappedRequests, r.Stops, r.Kills, r.Reloads, r.ClockSteps, r.BackendsReplaced, 100*r.StallShare, len(r.Violations))
 }
 
 // run is one run under way.
@@ -95,7 +95,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	r := &run{cfg: cfg, begun: time.Now(), rng: newSharedRand(cfg.Seed), registry: standin.NewRegistry(), record: record{requests: map[string]*request{}},
-		report: Report{Faults: map[string]int{}}}
+		report: Report{SyscallFaults: map[string]int{}}}
 	defer r.registry.Stop()
 	go r.stalls.watch(ctx)
 	for range cfg.Backends {
@@ -113,7 +113,7 @@
 	for range cfg.Clients {
 		asking.Go(func() { r.client(clients) })
 	}
-	if cfg.Crowd {
+	if cfg.FillDescriptors {
 		asking.Go(func() { r.crowd(clients) })
 	}
 	r.trouble(ctx)
@@ -122,7 +122,7 @@
 	leave()
 	asking.Wait()
 	r.judge()
-	r.report.HeldUp = float64(r.stalls.within(r.begun, time.Now())) / float64(time.Since(r.begun))
+	r.report.StallShare = float64(r.stalls.within(r.begun, time.Now())) / float64(time.Since(r.begun))
 	return r.report, nil
 }
 
--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -25,7 +25,7 @@
 // Alone plays the seed that the flags name, and prints what comes of it; before it, if the
 // flags ask for a trace, all that happens. The caller has the result also where it can't be
 // printed.
-func Alone[R any](w io.Writer, flags Flags, play func(seed uint64, tell func(time.Duration, string)) R) R {
+func RunOne[R any](w io.Writer, flags Flags, play func(seed uint64, tell func(time.Duration, string)) R) R {
 	var tell func(time.Duration, string)
 	if flags.Trace {
 		tell = func(at time.Duration, line string) { _, _ = fmt.Fprintf(w, "%10.3f %s\n", at.Seconds(), line) }
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -79,7 +79,7 @@
 	type report struct{ Seed uint64 }
 	for trace, want := range map[bool]string{false: "{Seed:7}\n", true: "     1.500 begins\n{Seed:7}\n"} {
 		var out strings.Builder
-		got := Alone(&out, Flags{Seed: 7, Trace: trace}, func(seed uint64, tell func(time.Duration, string)) report {
+		got := RunOne(&out, Flags{Seed: 7, Trace: trace}, func(seed uint64, tell func(time.Duration, string)) report {
 			if tell != nil {
 				tell(1500*time.Millisecond, "begins")
 			}
