--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -1,4 +1,4 @@
-// Package sweep plays a simulation over a range of seeds, several at a time.
+// Package sweep runs a simulation for each seed of a range, several at a time.
 package sweep
 
 import (
@@ -11,48 +11,47 @@
 
 // Flags are the command-line flags of a sweep, for package kong.
 type Flags struct {
-	From  uint64 `help:"The first seed." default:"1"`
-	Count uint64 `help:"How many seeds." default:"100"`
-	Seed  uint64 `help:"Play this one alone."`
-	Trace bool   `help:"With --seed: print all that happens."`
-	First bool   `help:"Stop at the first fault."`
-	Jobs  int    `help:"How many at a time; 0 for one a core."`
+	From  uint64 `help:"First seed." default:"1"`
+	Count uint64 `help:"Number of seeds." default:"100"`
+	Seed  uint64 `help:"Run only this seed."`
+	Trace bool   `help:"With --seed: print every event."`
+	First bool   `help:"Stop at the first seed with a fault."`
+	Jobs  int    `help:"Number of seeds to run at a time; 0 for one per core."`
 }
 
-// Seeds is the range that the flags name.
+// Seeds returns the range that the flags specify.
 func (f Flags) Seeds() Seeds { return Seeds{From: f.From, Count: f.Count, Jobs: f.Jobs} }
 
-// Alone plays the seed that the flags name, and prints what comes of it; before it, if the
-// flags ask for a trace, all that happens. The caller has the result also where it can't be
-// printed.
-func RunOne[R any](w io.Writer, flags Flags, play func(seed uint64, tell func(time.Duration, string)) R) R {
-	var tell func(time.Duration, string)
+// RunOne runs the seed that the flags specify and prints its result. With Trace set it also prints each
+// event as it occurs. The result is returned even if it can't be printed.
+func RunOne[R any](w io.Writer, flags Flags, run func(seed uint64, trace func(time.Duration, string)) R) R {
+	var trace func(time.Duration, string)
 	if flags.Trace {
-		tell = func(at time.Duration, line string) { _, _ = fmt.Fprintf(w, "%10.3f %s\n", at.Seconds(), line) }
+		trace = func(at time.Duration, line string) { _, _ = fmt.Fprintf(w, "%10.3f %s\n", at.Seconds(), line) }
 	}
-	result := play(flags.Seed, tell)
+	result := run(flags.Seed, trace)
 	_, _ = fmt.Fprintf(w, "%+v\n", result)
 	return result
 }
 
-// Seeds is a range of seeds.
+// Seeds is a range of seeds and how to run it.
 type Seeds struct {
-	From  uint64 // the first
+	From  uint64 // first seed
 	Count uint64
-	Jobs  int // how many are played at a time; 0 for one a core
+	Jobs  int // number of seeds run at a time; 0 for one per core
 }
 
-// Run plays each seed and hands what comes of it to collect, which is called for one seed
-// at a time, in the order in which they end. When collect returns false no further seed is
-// begun; those that have begun are collected. Run returns how many seeds were played.
-func Run[R any](seeds Seeds, play func(seed uint64) R, collect func(seed uint64, result R) (more bool)) (played uint64) {
+// Run runs each seed and passes its result to collect, which is called for one seed at a time, in the
+// order in which they finish. After collect returns false no further seed is started; those already
+// started are still collected. Run returns the number of seeds that were run.
+func Run[R any](seeds Seeds, run func(seed uint64) R, collect func(seed uint64, result R) (proceed bool)) (ran uint64) {
 	jobs := seeds.Jobs
 	if jobs <= 0 {
 		jobs = runtime.GOMAXPROCS(0)
 	}
 	var mu sync.Mutex
 	next, end, stopped := seeds.From, seeds.From+seeds.Count, false
-	draw := func() (seed uint64, drawn bool) {
+	takeNext := func() (seed uint64, ok bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		if stopped || next >= end {
@@ -64,7 +63,7 @@
 	finish := func(seed uint64, result R) {
 		mu.Lock()
 		defer mu.Unlock()
-		played++
+		ran++
 		if !collect(seed, result) {
 			stopped = true
 		}
@@ -72,11 +71,11 @@
 	var workers sync.WaitGroup
 	for range jobs {
 		workers.Go(func() {
-			for seed, drawn := draw(); drawn; seed, drawn = draw() {
-				finish(seed, play(seed))
+			for seed, ok := takeNext(); ok; seed, ok = takeNext() {
+				finish(seed, run(seed))
 			}
 		})
 	}
 	workers.Wait()
-	return played
+	return ran
 }
