--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -16,81 +16,80 @@
 	"wickarch/internal/standin"
 )
 
-// mood is how a backend treats commands for a while.
-type mood struct {
-	latency   time.Duration // at most
-	hang      float64       // share that gets no answer
-	reset     float64       // share whose connection is reset, having run
-	refuse    float64       // share turned away
-	fail      float64       // share answered as failed
-	spoilt    float64       // share answered by what can't be read
-	twice     float64       // share answered twice
-	pieces    float64       // share answered a few bytes at a time
-	idleClose time.Duration // a connection at rest is closed after it; 0: it is not
+// faultProfile is how a backend responds to commands for a while. Shares are probabilities per command.
+type faultProfile struct {
+	maxLatency     time.Duration // upper bound of the random delay before an answer
+	hangShare      float64       // no answer; the connection stays open
+	resetShare     float64       // connection reset after the command was executed
+	refuseShare    float64       // refused with -BUSY, not executed
+	errorShare     float64       // answered with an error
+	malformedShare float64       // answered with invalid RESP
+	duplicateShare float64       // answered twice
+	fragmentShare  float64       // answer written a few bytes at a time
+	idleTimeout    time.Duration // idle connections are closed after this time; 0 disables
 }
 
-// backend is one stand-in backend.
+// backend is a test backend.
 type backend struct {
-	id    string
-	run   *run
-	ln    net.Listener
-	since time.Time // when it started; zero: long ago
-	told  time.Time // when discovery was told that it drains or is gone; zero: it does not
+	id        string
+	run       *run
+	ln        net.Listener
+	startedAt time.Time // zero: long before the run, so it is not cold
+	notified  time.Time // when discovery was notified that it drains or is gone; zero: it was not
 
-	mu    sync.Mutex
-	mood  mood
-	conns map[net.Conn]struct{}
-	gone  bool
+	mu      sync.Mutex
+	profile faultProfile
+	conns   map[net.Conn]struct{}
+	closed  bool
 }
 
-// newBackend starts a backend.
-func newBackend(r *run, id string, since time.Time) (*backend, error) {
+func newBackend(r *run, id string, startedAt time.Time) (*backend, error) {
 	ln, err := standin.Listen()
 	if err != nil {
 		return nil, err
 	}
-	b := &backend{id: id, run: r, ln: ln, since: since, conns: map[net.Conn]struct{}{}, mood: calm}
+	b := &backend{id: id, run: r, ln: ln, startedAt: startedAt, conns: map[net.Conn]struct{}{}, profile: healthyProfile}
 	go b.accept()
 	return b, nil
 }
 
-// calm is the mood of a backend that is well.
-var calm = mood{latency: 12 * time.Millisecond}
+// healthyProfile is the profile of a backend without faults.
+var healthyProfile = faultProfile{maxLatency: 12 * time.Millisecond}
 
-// member is the backend as discovery lists it.
+// member returns the entry of the backend in discovery.
 func (b *backend) member(phase string) standin.Member {
 	m := standin.Member{ID: b.id, HostPort: b.ln.Addr().String(), Locality: "a", Flavor: "std", Phase: phase, Size: 1}
-	if !b.since.IsZero() {
-		m.UpSince = b.since.UnixMilli()
+	if !b.startedAt.IsZero() {
+		m.UpSince = b.startedAt.UnixMilli()
 	}
 	return m
 }
 
-// tell notes that discovery is told that nothing new may come.
-func (b *backend) tell() {
+// markNotified records that discovery is being notified that the backend takes no new requests.
+func (b *backend) markNotified() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.told = time.Now()
+	b.notified = time.Now()
 }
 
-func (b *backend) toldAt() time.Time {
+func (b *backend) notifiedAt() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.told
+	return b.notified
 }
 
-func (b *backend) set(m mood) {
+func (b *backend) setProfile(next faultProfile) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.mood = m
+	b.profile = next
 }
 
-// close ends the backend, as a process that dies.
+// close stops the backend and resets its connections, as the death of its process does.
 func (b *backend) close() {
 	b.ln.Close()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.gone = true
+	b.closed = true
 	for nc := range b.conns {
 		_ = nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
@@ -104,7 +103,7 @@
 			return
 		}
 		b.mu.Lock()
-		if b.gone {
+		if b.closed {
 			nc.Close()
 		} else {
 			b.conns[nc] = struct{}{}
@@ -114,32 +113,32 @@
 	}
 }
 
-// arrival is a command with the time at which its last byte was read.
-type arrival struct {
-	args [][]byte
-	at   time.Time
+// receivedCommand is a command with the time at which its last byte was read.
+type receivedCommand struct {
+	args   [][]byte
+	readAt time.Time
 }
 
-// serve reads commands on one goroutine, so that the end of the connection is seen while one is worked
-// on, and answers them on another.
+// serve reads commands on one goroutine and handles them on another, so that the end of the connection is
+// noticed while a command is being handled.
 func (b *backend) serve(nc net.Conn) {
-	arrivals, ended := make(chan arrival, 64), make(chan struct{})
-	var open *attempt
+	received, connEnded := make(chan receivedCommand, 64), make(chan struct{})
+	var current *attempt
 	var mu sync.Mutex
 	go func() {
-		defer close(ended)
-		commands := redcon.NewReader(nc)
+		defer close(connEnded)
+		reader := redcon.NewReader(nc)
 		for {
-			cmd, err := commands.ReadCommand()
+			cmd, err := reader.ReadCommand()
 			if err != nil {
 				mu.Lock()
-				if open != nil {
-					b.run.record.end(open)
+				if current != nil {
+					b.run.record.endAttempt(current)
 				}
 				mu.Unlock()
 				return
 			}
-			arrivals <- arrival{cmd.Args, time.Now()}
+			received <- receivedCommand{cmd.Args, time.Now()}
 		}
 	}()
 	defer func() {
@@ -150,38 +149,38 @@
 	}()
 	for {
 		b.mu.Lock()
-		m := b.mood
+		active := b.profile
 		b.mu.Unlock()
-		var rest <-chan time.Time
-		if m.idleClose > 0 {
-			rest = time.After(m.idleClose)
+		var idle <-chan time.Time
+		if active.idleTimeout > 0 {
+			idle = time.After(active.idleTimeout)
 		}
 		select {
-		case <-ended:
+		case <-connEnded:
 			return
-		case <-rest:
+		case <-idle:
 			return
-		case c := <-arrivals:
-			if string(c.args[0]) == "INFO" {
+		case command := <-received:
+			if string(command.args[0]) == "INFO" {
 				_, _ = fmt.Fprintf(nc, "$%d\r\n%s\r\n", len(standin.LoadReport), standin.LoadReport)
 				continue
 			}
-			a := &attempt{backend: b, begun: c.at, limit: limitOf(c.args)}
+			a := &attempt{backend: b, receivedAt: command.readAt, timeout: timeoutOf(command.args)}
 			mu.Lock()
-			open = a
+			current = a
 			mu.Unlock()
-			if !b.answer(nc, c, a, m, ended) {
+			if !b.handle(nc, command, a, active, connEnded) {
 				return
 			}
 			mu.Lock()
-			open = nil
+			current = nil
 			mu.Unlock()
 		}
 	}
 }
 
-// limitOf is the time that a command tells, 0 for none.
-func limitOf(args [][]byte) time.Duration {
+// timeoutOf returns the timeout in the options of a command, 0 if it has none.
+func timeoutOf(args [][]byte) time.Duration {
 	if len(args) < 4 {
 		return 0
 	}
@@ -195,71 +194,72 @@
 	return 0
 }
 
-// answer works on one command, and tells whether the connection goes on.
-func (b *backend) answer(nc net.Conn, c arrival, a *attempt, m mood, ended <-chan struct{}) bool {
+// handle executes one command and reports whether the connection stays open.
+func (b *backend) handle(nc net.Conn, command receivedCommand, a *attempt, profile faultProfile, connEnded <-chan struct{}) bool {
 	id := ""
-	if len(c.args) > 2 {
-		id = string(c.args[2])
+	if len(command.args) > 2 {
+		id = string(command.args[2])
 	}
 	draw := rand.Float64()
 	pick := func(share float64) bool {
 		draw -= share
 		return draw < 0 && draw+share >= 0
 	}
-	refuse := pick(m.refuse)
-	a.ran = !refuse
-	if !b.run.record.attempt(id, a) {
-		b.run.violate(nil, "a backend got a command that no client sent: %q", c.args)
+	refuse := pick(profile.refuseShare)
+	a.executed = !refuse
+	if !b.run.record.addAttempt(id, a) {
+		b.run.addViolation(nil, "a backend received a command that no client sent: %q", command.args)
 	}
-	defer b.run.record.end(a)
+	defer b.run.record.endAttempt(a)
 	if refuse {
 		_, _ = nc.Write([]byte("-BUSY\r\n"))
 		return true
 	}
-	if m.latency > 0 {
-		time.Sleep(time.Duration(rand.Int64N(int64(m.latency))))
+	if profile.maxLatency > 0 {
+		time.Sleep(time.Duration(rand.Int64N(int64(profile.maxLatency))))
 	}
 	value := valueOf(id)
-	good := fmt.Appendf(nil, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
-	spoils := false
+	reply := fmt.Appendf(nil, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
+	corrupt := false
 	switch {
-	case pick(m.hang):
-		<-ended
+	case pick(profile.hangShare):
+		<-connEnded
 		return false
-	case pick(m.reset):
+	case pick(profile.resetShare):
 		_ = nc.(*net.TCPConn).SetLinger(0)
 		return false
-	case pick(m.fail):
-		good, spoils = []byte("-ERR failed\r\n"), true
-	case pick(m.spoilt):
-		good, spoils = []byte(spoilt[rand.IntN(len(spoilt))]), true
-	case pick(m.twice):
-		good = append(good, good...)
+	case pick(profile.errorShare):
+		reply, corrupt = []byte("-ERR failed\r\n"), true
+	case pick(profile.malformedShare):
+		reply, corrupt = []byte(malformedAnswers[rand.IntN(len(malformedAnswers))]), true
+	case pick(profile.duplicateShare):
+		reply = append(reply, reply...)
 	}
-	if rand.Float64() < m.pieces {
-		most := 8 + len(good)/8
-		for len(good) > 0 {
-			n := min(len(good), 1+rand.IntN(most))
-			if _, err := nc.Write(good[:n]); err != nil {
+	if rand.Float64() < profile.fragmentShare {
+		maxPiece := 8 + len(reply)/8
+		for len(reply) > 0 {
+			n := min(len(reply), 1+rand.IntN(maxPiece))
+			if _, err := nc.Write(reply[:n]); err != nil {
 				return false
 			}
-			good = good[n:]
+			reply = reply[n:]
 			time.Sleep(time.Duration(rand.IntN(3)) * time.Millisecond)
 		}
-	} else if _, err := nc.Write(good); err != nil {
+	} else if _, err := nc.Write(reply); err != nil {
 		return false
 	}
-	if !spoils {
-		b.run.record.wrote(a)
+	if !corrupt {
+		b.run.record.markValueWritten(a)
 	}
 	return true
 }
 
-// spoilt are answers that can't be read.
-var spoilt = []string{"%noise\r\n", "*3\r\n$999999999999\r\n", "*3\r\n$5\r\nab\r\n$-1\r\n$-1\r\n", "*2\r\n$1\r\na\r\n$-1\r\n", "\x00\x01\x02"}
+// malformedAnswers are not valid RESP answers of a backend.
+var malformedAnswers = []string{"%noise\r\n", "*3\r\n$999999999999\r\n", "*3\r\n$5\r\nab\r\n$-1\r\n$-1\r\n",
+	"*2\r\n$1\r\na\r\n$-1\r\n", "\x00\x01\x02"}
 
-// valueOf is the value that every backend makes for a request: mostly a short one, now and then one of some
-// thousand bytes, or one too large to be held by the ingress.
+// valueOf returns the value with which every backend answers a request: usually short, sometimes some thousand
+// bytes, sometimes too large for the ingress to buffer.
 func valueOf(id string) string {
 	value := "value-of-" + id
 	switch id[len(id)-2:] {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	answerGrace = 500 * time.Millisecond // behind a request's time, until which its answer may come
-	waitsOn     = time.Second            // how long a client waits beyond a request's time
-	mostPiece   = 60                     // bytes of a short command written at a time
-	// fewestPieces of a long one, each followed by up to 3 ms: no client takes seconds to write a command, which the
-	// ingress would take for one that has stopped in it.
-	fewestPieces = 100
-	mostBody     = 40_000                 // bytes
-	mostBehind   = 4                      // requests written behind each other
-	rudeSpare    = 300 * time.Millisecond // of that, what the ingress leaves unused
-	rudePeriod   = 3 * time.Second        // in which a client that stops in a command is owed an error or a close
+	answerGrace  = 500 * time.Millisecond // how long after its deadline a request may be answered
+	readGrace    = time.Second            // how long after the deadline of a request a client reads
+	maxPieceSize = 60                     // in bytes, for short commands
+	// minPieces bounds the pieces of a long command, each followed by a delay of up to 3 ms. A client that took seconds
+	// to write a command would look to the ingress like one that stopped in the middle of it, and be disconnected.
+	minPieces             = 100
+	maxBodySize           = 40_000                 // in bytes
+	maxPipelined          = 4                      // requests written without waiting for answers
+	partialCommandMargin  = 300 * time.Millisecond // part of partialCommandTimeout that the ingress does not need
+	partialCommandTimeout = 3 * time.Second        // by which a client that stops within a command gets an error or a close
 )
 
-// clients send until ctx ends, each on one connection at a time.
-func (r *run) client(ctx context.Context) {
+// runClient sends requests until ctx ends, on one connection at a time.
+func (r *run) runClient(ctx context.Context) {
 	for ctx.Err() == nil {
 		in := r.ingresses[rand.IntN(len(r.ingresses))]
-		n, yes := in.takes()
-		if !yes {
+		n, accepts := in.acceptsClients()
+		if !accepts {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		begun := time.Now()
+		dialedAt := time.Now()
 		nc, err := net.DialTimeout("tcp", in.node.Listen, time.Second)
 		if err != nil {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		s := &session{run: r, in: in, life: n, nc: nc, answers: bufio.NewReader(nc), begun: begun}
+		s := &session{run: r, target: in, processIndex: n, conn: nc, reader: bufio.NewReader(nc), dialedAt: dialedAt}
 		if rand.Float64() < r.cfg.PartialCommandShare {
-			s.rude()
+			s.sendPartialCommand()
 		} else {
-			s.converse(ctx)
+			s.exchange(ctx)
 		}
 		nc.Close()
 	}
@@ -57,109 +57,111 @@
 
 // session is one connection of a client.
 type session struct {
-	run     *run
-	in      *ingress
-	life    int
-	nc      net.Conn
-	answers *bufio.Reader
-	begun   time.Time
-	asked   int
+	run          *run
+	target       *ingress
+	processIndex int
+	conn         net.Conn
+	reader       *bufio.Reader
+	dialedAt     time.Time
+	requestCount int
 }
 
-// converse sends requests one after the other until either side ends the connection.
-func (s *session) converse(ctx context.Context) {
-	for left := 1 + rand.IntN(40); left > 0 && ctx.Err() == nil; left-- {
+// exchange sends requests, some of them pipelined, until either side closes the connection.
+func (s *session) exchange(ctx context.Context) {
+	for remaining := 1 + rand.IntN(40); remaining > 0 && ctx.Err() == nil; remaining-- {
 		batch := make([]*request, 1)
-		var latest time.Duration
+		var longest time.Duration
 		if rand.Float64() < 0.1 {
-			batch = make([]*request, 1+rand.IntN(mostBehind))
+			batch = make([]*request, 1+rand.IntN(maxPipelined))
 		}
 		for n := range batch {
-			batch[n] = s.request()
-			latest = max(latest, batch[n].limit)
-			batch[n].inOrder = latest
+			batch[n] = s.newRequest()
+			longest = max(longest, batch[n].timeout)
+			batch[n].pipelineTimeout = longest
 		}
 		if !s.send(batch) {
 			return
 		}
 		if rand.Float64() < s.run.cfg.DisconnectShare {
-			s.leave(batch)
+			s.disconnect(batch)
 			return
 		}
 		for _, q := range batch {
-			if !s.answer(q, batch) {
+			if !s.awaitAnswer(q, batch) {
 				return
 			}
 		}
-		if s.answers.Buffered() > 0 {
-			s.run.violate(batch[0], "bytes behind the last answer")
+		if s.reader.Buffered() > 0 {
+			s.run.addViolation(batch[0], "bytes after the last answer")
 			return
 		}
-		time.Sleep(s.pause())
+		time.Sleep(s.thinkTime())
 	}
 }
 
-// pause is how long the client rests.
-func (s *session) pause() time.Duration {
+// thinkTime returns the time until the next request of the client.
+func (s *session) thinkTime() time.Duration {
 	if rand.Float64() < 0.03 {
 		return time.Duration(rand.IntN(1500)) * time.Millisecond
 	}
 	return time.Duration(rand.IntN(60)) * time.Millisecond
 }
 
-// request makes one.
-func (s *session) request() *request {
-	s.asked++
-	limits := []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, s.run.cfg.longest()}
-	q := &request{id: standin.NewID(), kind: kind(rand.IntN(int(kinds))), customer: uint64(1 + rand.IntN(40)), ingress: s.in, life: s.life,
-		first: s.asked == 1, begun: s.begun, limit: limits[rand.IntN(len(limits))], body: 4}
+// newRequest draws a request.
+func (s *session) newRequest() *request {
+	s.requestCount++
+	timeouts := []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, s.run.cfg.maxTimeout()}
+	q := &request{id: standin.NewID(), class: class(rand.IntN(int(numClasses))), customer: uint64(1 + rand.IntN(40)),
+		ingress: s.target, processIndex: s.processIndex,
+		firstOnConn: s.requestCount == 1, dialedAt: s.dialedAt, timeout: timeouts[rand.IntN(len(timeouts))], bodySize: 4}
 	if rand.Float64() < 0.1 {
-		q.capped, q.customer = true, cappedCustomer
+		q.capped, q.customer = true, cappedCustomerID
 	}
 	if rand.Float64() < 0.05 {
-		q.body = rand.IntN(mostBody)
+		q.bodySize = rand.IntN(maxBodySize)
 	}
 	return q
 }
 
-// words are the request as it is sent.
-func (q *request) words(spread int) []string {
+// command returns the words of the command that the client sends. spread is the number of ingresses that the
+// customer uses.
+func (q *request) command(spread int) []string {
 	plan := "basic"
 	if q.capped {
 		plan = "capped"
 	}
-	options := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=%d,first=0", classNames[q.kind], plan, q.limit.Milliseconds(), spread)
-	if q.kind == lookup {
+	options := fmt.Sprintf("c=%s,t=%s,d=%d,units=1,spread=%d,first=0", classNames[q.class], plan, q.timeout.Milliseconds(), spread)
+	if q.class == lookup {
 		return []string{"Q.ASK", fmt.Sprintf("%016x", q.customer), q.id, options}
 	}
-	return []string{"Q.DO", fmt.Sprintf("%016x", q.customer), q.id, options, strings.Repeat("B", q.body)}
+	return []string{"Q.DO", fmt.Sprintf("%016x", q.customer), q.id, options, strings.Repeat("B", q.bodySize)}
 }
 
-// cappedCustomer is the one whose plan has a hard ceiling.
-const cappedCustomer = 99
+// cappedCustomerID is the customer whose plan has a hard rate limit.
+const cappedCustomerID = 99
 
-var classNames = [kinds]string{"lookup", "order", "payment"}
+var classNames = [numClasses]string{"lookup", "order", "payment"}
 
-// send writes requests behind each other, whole or in pieces, and tells whether all of them went.
+// send writes the requests of a batch, at once or in pieces, and reports whether all of them were written.
 func (s *session) send(batch []*request) bool {
 	var text []byte
 	for _, q := range batch {
 		s.run.record.add(q)
-		text = append(text, standin.Encode(q.words(len(s.run.ingresses))...)...)
+		text = append(text, standin.Encode(q.command(len(s.run.ingresses))...)...)
 	}
-	pieces, whole := rand.Float64() < 0.15, len(text)
+	inPieces, length := rand.Float64() < 0.15, len(text)
 	for len(text) > 0 {
 		n := len(text)
-		if pieces {
-			n = min(n, 1+rand.IntN(max(mostPiece, whole/fewestPieces)))
+		if inPieces {
+			n = min(n, 1+rand.IntN(max(maxPieceSize, length/minPieces)))
 		}
 		if n == len(text) {
 			for _, q := range batch {
-				s.run.record.change(q, func(q *request) { q.sent = time.Now() })
+				s.run.record.update(q, func(q *request) { q.sentAt = time.Now() })
 			}
 		}
-		if _, err := s.nc.Write(text[:n]); err != nil {
-			s.cut(batch)
+		if _, err := s.conn.Write(text[:n]); err != nil {
+			s.markConnClosed(batch)
 			return false
 		}
 		if text = text[n:]; len(text) > 0 {
@@ -167,70 +169,70 @@
 		}
 	}
 	for _, q := range batch {
-		s.run.record.change(q, func(q *request) { q.sent = time.Now() })
+		s.run.record.update(q, func(q *request) { q.sentAt = time.Now() })
 	}
 	return true
 }
 
-// cut notes that the connection has ended under requests that have no answer.
-func (s *session) cut(batch []*request) {
+// markConnClosed records that the connection ended before the requests without an outcome were answered.
+func (s *session) markConnClosed(batch []*request) {
 	now := time.Now()
 	for _, q := range batch {
-		s.run.record.change(q, func(q *request) {
-			if q.answer == none {
-				q.cut = now
+		s.run.record.update(q, func(q *request) {
+			if q.outcome == noAnswer {
+				q.connClosedAt = now
 			}
 		})
 	}
 }
 
-// leave closes the connection a moment later, without reading.
-func (s *session) leave(batch []*request) {
+// disconnect closes the connection after up to 250 ms without reading, in 3 of 10 cases by a reset.
+func (s *session) disconnect(batch []*request) {
 	time.Sleep(time.Duration(rand.IntN(250)) * time.Millisecond)
 	if rand.Float64() < 0.3 {
-		_ = s.nc.(*net.TCPConn).SetLinger(0)
+		_ = s.conn.(*net.TCPConn).SetLinger(0)
 	}
-	s.nc.Close()
+	s.conn.Close()
 	now := time.Now()
 	for _, q := range batch {
-		s.run.record.change(q, func(q *request) { q.left = now })
+		s.run.record.update(q, func(q *request) { q.clientClosedAt = now })
 	}
 }
 
-// answer waits for one answer and tells whether the connection goes on.
-func (s *session) answer(q *request, batch []*request) bool {
-	_ = s.nc.SetReadDeadline(q.sent.Add(q.inOrder + waitsOn)) // the read returns the error
-	got, err := s.read(q)
+// awaitAnswer waits for one answer and reports whether the connection stays open.
+func (s *session) awaitAnswer(q *request, batch []*request) bool {
+	_ = s.conn.SetReadDeadline(q.sentAt.Add(q.pipelineTimeout + readGrace)) // a failure shows in the read
+	got, err := s.readAnswer(q)
 	now := time.Now()
 	if err == nil {
-		s.run.record.change(q, func(q *request) { q.answer, q.answered = got, now })
+		s.run.record.update(q, func(q *request) { q.outcome, q.answeredAt = got, now })
 		return true
 	}
 	if !errors.Is(err, io.EOF) {
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			// It waits no longer: to the ingress it has gone.
-			s.nc.Close()
+			// The client gives up: to the ingress it has disconnected.
+			s.conn.Close()
 			now = time.Now()
 			for _, q := range batch {
-				s.run.record.change(q, func(q *request) {
-					if q.answer == none {
-						q.left = now
+				s.run.record.update(q, func(q *request) {
+					if q.outcome == noAnswer {
+						q.clientClosedAt = now
 					}
 				})
 			}
 			return false
 		}
 	}
-	s.cut(batch)
+	s.markConnClosed(batch)
 	return false
 }
 
-// read reads one answer.
-func (s *session) read(q *request) (answerKind, error) {
-	line, err := s.answers.ReadString('\n')
+// readAnswer reads one answer and classifies it.
+func (s *session) readAnswer(q *request) (answerOutcome, error) {
+	line, err := s.reader.ReadString('\n')
 	if err != nil {
-		return none, err
+		return noAnswer, err
 	}
 	switch {
 	case strings.HasPrefix(line, "-BUSY"):
@@ -238,34 +240,36 @@
 	case strings.HasPrefix(line, "-"):
 		return failed, nil
 	case !strings.HasPrefix(line, "$"):
-		return wrong, nil
+		return invalidAnswer, nil
 	}
 	n, err := strconv.Atoi(strings.TrimSpace(line[1:]))
 	if err != nil || n != len(valueOf(q.id)) {
-		return wrong, nil
+		return invalidAnswer, nil
 	}
 	value := make([]byte, n+2)
-	if _, err = io.ReadFull(s.answers, value); err != nil {
-		s.run.record.change(q, func(q *request) { q.answer, q.answered = partial, time.Now() })
-		return none, err
+	if _, err = io.ReadFull(s.reader, value); err != nil {
+		s.run.record.update(q, func(q *request) { q.outcome, q.answeredAt = truncatedAnswer, time.Now() })
+		return noAnswer, err
 	}
 	if string(value[:n]) != valueOf(q.id) {
-		return wrong, nil
+		return invalidAnswer, nil
 	}
 	return served, nil
 }
 
-// rude sends half a command and stays: it is owed an error or a close.
-func (s *session) rude() {
-	text := standin.Encode(s.request().words(1)...)
-	begun := time.Now()
-	if _, err := s.nc.Write(text[:1+rand.IntN(len(text)-1)]); err != nil {
+// sendPartialCommand sends the beginning of a command and keeps the connection open. The ingress has to answer with
+// an error or close the connection.
+func (s *session) sendPartialCommand() {
+	text := standin.Encode(s.newRequest().command(1)...)
+	startedAt := time.Now()
+	if _, err := s.conn.Write(text[:1+rand.IntN(len(text)-1)]); err != nil {
 		return
 	}
-	_ = s.nc.SetReadDeadline(begun.Add(rudePeriod)) // likewise
-	_, err := s.answers.ReadByte()
+	_ = s.conn.SetReadDeadline(startedAt.Add(partialCommandTimeout)) // a failure shows in the read
+	_, err := s.reader.ReadByte()
 	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() && s.run.heldUp(begun, time.Now()) < rudeSpare {
-		s.run.violate(nil, "%s leaves half a command without an error or a close for %v", s.in.node.Name, rudePeriod)
+	if errors.As(err, &timeout) && timeout.Timeout() && s.run.maxStall(startedAt, time.Now()) < partialCommandMargin {
+		s.run.addViolation(nil, "%s neither answers nor closes a connection with a partial command within %v",
+			s.target.node.Name, partialCommandTimeout)
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -15,19 +15,20 @@
 	"wickarch/internal/faultinject"
 )
 
-// The faults of a run. Each kind has a goroutine and a generator of its own, so that one seed gives the
-// same schedule of each.
+// The faults of a run. Each kind of fault has its own goroutine and random generator, so that a seed gives the
+// same schedule of each kind.
 
 const (
-	calmLeast, calmMost   = 100, 800 // ms between two times of failing calls at one ingress
-	faultLeast, faultMost = 40, 300  // ms that one lasts
-	mostRules             = 4
+	minFaultGap, maxFaultGap   = 100, 800 // ms between two fault windows of one ingress
+	minFaultTime, maxFaultTime = 40, 300  // ms, the length of a window
+	maxRules                   = 4
 )
 
-// callFaults are what one rule may be. Those that touch discovery's connections too make it blind.
-var callFaults = []struct {
-	rule   faultinject.Rule
-	blinds bool
+// syscallFaults are the faults that a rule is drawn from. hitsDiscovery marks those that also affect connections to
+// discovery, so that notifications may not arrive.
+var syscallFaults = []struct {
+	rule          faultinject.Rule
+	hitsDiscovery bool
 }{
 	{faultinject.Rule{Call: faultinject.Accept, Fault: "ECONNABORTED"}, false},
 	{faultinject.Rule{Call: faultinject.Accept, Fault: "ENFILE"}, false},
@@ -70,76 +71,76 @@
 	{faultinject.Rule{Call: faultinject.ReadFile, Fault: "EIO", Path: ".json"}, false},
 }
 
-// trouble plays all faults until the run's time is over, and waits for what it has begun.
-func (r *run) trouble(ctx context.Context) {
+// injectFaults injects all kinds of faults for FaultDuration, and waits until those under way are over.
+func (r *run) injectFaults(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, r.cfg.FaultDuration)
 	defer stop()
-	var all sync.WaitGroup
-	start := func(n uint64, play func(context.Context, *rand.Rand)) {
-		all.Go(func() { play(ctx, rand.New(rand.NewPCG(r.cfg.Seed, n))) })
+	var injectors sync.WaitGroup
+	start := func(n uint64, inject func(context.Context, *rand.Rand)) {
+		injectors.Go(func() { inject(ctx, rand.New(rand.NewPCG(r.cfg.Seed, n))) })
 	}
 	for n, in := range r.ingresses {
 		if !r.cfg.NoSyscallFaults {
-			start(uint64(100+n), in.callsFail)
+			start(uint64(100+n), in.failSyscalls)
 		}
 	}
-	start(1, r.signals)
-	start(2, r.cutLinks)
-	start(3, r.moods)
-	start(4, r.replace)
-	start(5, r.holds)
-	all.Wait()
+	start(1, r.sendSignals)
+	start(2, r.disruptLinks)
+	start(3, r.changeProfiles)
+	start(4, r.replaceBackends)
+	start(5, r.pauseIngresses)
+	injectors.Wait()
 }
 
-// rest waits for a time between two bounds in milliseconds; it tells whether the run goes on.
-func rest(ctx context.Context, rng *rand.Rand, least, most int) bool {
+// sleepRandom sleeps for a random time between two bounds in milliseconds. It returns false if ctx ended.
+func sleepRandom(ctx context.Context, rng *rand.Rand, minMs, maxMs int) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(time.Duration(least+rng.IntN(most-least)) * time.Millisecond):
+	case <-time.After(time.Duration(minMs+rng.IntN(maxMs-minMs)) * time.Millisecond):
 		return true
 	}
 }
 
-// callsFail lets system calls of one ingress fail now and then.
-func (i *ingress) callsFail(ctx context.Context, rng *rand.Rand) {
-	for rest(ctx, rng, calmLeast, calmMost) {
+// failSyscalls makes system calls of one ingress fail from time to time.
+func (i *ingress) failSyscalls(ctx context.Context, rng *rand.Rand) {
+	for sleepRandom(ctx, rng, minFaultGap, maxFaultGap) {
 		var rules []faultinject.Rule
-		blinds, breaks := false, false
-		for range 1 + rng.IntN(mostRules) {
-			f := callFaults[rng.IntN(len(callFaults))]
+		hitsDiscovery, breaks := false, false
+		for range 1 + rng.IntN(maxRules) {
+			f := syscallFaults[rng.IntN(len(syscallFaults))]
 			f.rule.Share = []float64{0.05, 0.3, 1}[rng.IntN(3)]
 			if f.rule.Broken {
 				f.rule.Share = 0.1
 			}
 			rules = append(rules, f.rule)
-			blinds, breaks = blinds || f.blinds, breaks || f.rule.Broken
+			hitsDiscovery, breaks = hitsDiscovery || f.hitsDiscovery, breaks || f.rule.Broken
 		}
-		lasts := time.Duration(faultLeast+rng.IntN(faultMost-faultLeast)) * time.Millisecond
-		_, control := i.last()
+		duration := time.Duration(minFaultTime+rng.IntN(maxFaultTime-minFaultTime)) * time.Millisecond
+		_, control := i.running()
 		from := time.Now()
 		if _, err := control.Set(rules...); err != nil {
-			continue // its process has just ended
+			continue // the process has just exited
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(lasts):
+		case <-time.After(duration):
 		}
 		applied, err := control.Set()
-		if blinds {
-			i.blinds(from, time.Now())
+		if hitsDiscovery {
+			i.recordDiscoveryOutage(from, time.Now())
 		}
 		i.mu.Lock()
-		i.failing = append(i.failing, window{span{from, time.Now()}, describe(rules), breaks})
+		i.faultWindows = append(i.faultWindows, faultWindow{interval{from, time.Now()}, describeRules(rules), breaks})
 		i.mu.Unlock()
 		if err == nil {
-			i.run.applied(control, applied)
+			i.run.countFaults(control, applied)
 		}
 	}
 }
 
-// describe names rules in short.
-func describe(rules []faultinject.Rule) string {
+// describeRules returns the rules in short form.
+func describeRules(rules []faultinject.Rule) string {
 	var all []string
 	for _, r := range rules {
 		all = append(all, fmt.Sprintf("%s %s %g", r.Call, r.Fault, r.Share))
@@ -147,134 +148,136 @@
 	return strings.Join(all, ", ")
 }
 
-// applied takes the counts of a tracer into the report.
-func (r *run) applied(of *faultinject.Control, counts map[string]int) {
+// countFaults adds the new counts of a tracer to the report.
+func (r *run) countFaults(control *faultinject.Control, counts map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for what, n := range of.Since(counts) {
+	for what, n := range control.Since(counts) {
 		r.report.SyscallFaults[what] += n
 	}
 }
 
-// signals stops, kills and reloads ingresses and steps their wall clocks, several at a time.
-func (r *run) signals(ctx context.Context, rng *rand.Rand) {
-	var under sync.WaitGroup
-	defer under.Wait()
-	for rest(ctx, rng, 150, 600) {
+// sendSignals stops, kills and reloads ingresses and steps their wall clocks. Several ingresses may be stopping or
+// starting at a time.
+func (r *run) sendSignals(ctx context.Context, rng *rand.Rand) {
+	var pending sync.WaitGroup
+	defer pending.Wait()
+	for sleepRandom(ctx, rng, 150, 600) {
 		in := r.ingresses[rng.IntN(len(r.ingresses))]
-		what, series := rng.Float64(), 1+rng.IntN(3)
-		if !in.change(true) {
+		action, signals := rng.Float64(), 1+rng.IntN(3)
+		if !in.setChanging(true) {
 			continue
 		}
-		again := faultinject.Rule{Call: faultinject.Socket, Fault: "ENOBUFS", Share: 0.5, Most: rng.IntN(4)}
-		if what < 0.1 {
-			r.count(func(p *Report) { p.ClockSteps++ })
-			in.stepClock(clockSteps[rng.IntN(len(clockSteps))])
-			in.change(false)
+		startRule := faultinject.Rule{Call: faultinject.Socket, Fault: "ENOBUFS", Share: 0.5, Most: rng.IntN(4)}
+		if action < 0.1 {
+			r.updateReport(func(p *Report) { p.ClockSteps++ })
+			in.stepClock(clockOffsets[rng.IntN(len(clockOffsets))])
+			in.setChanging(false)
 			continue
 		}
-		if what < 0.3 {
-			r.count(func(p *Report) { p.Reloads++ })
-			if err := in.reload(series); err != nil {
-				r.violate(nil, "the configuration could not be written: %v", err)
+		if action < 0.3 {
+			r.updateReport(func(p *Report) { p.Reloads++ })
+			if err := in.reload(signals); err != nil {
+				r.addViolation(nil, "the configuration could not be written: %v", err)
 			}
-			in.change(false)
+			in.setChanging(false)
 			continue
 		}
-		under.Go(func() {
-			defer in.change(false)
-			if what < 0.8 {
-				r.count(func(p *Report) { p.Stops++ })
-				in.stop(series)
+		pending.Go(func() {
+			defer in.setChanging(false)
+			if action < 0.8 {
+				r.updateReport(func(p *Report) { p.Stops++ })
+				in.stop(signals)
 			} else {
-				r.count(func(p *Report) { p.Kills++ })
+				r.updateReport(func(p *Report) { p.Kills++ })
 				in.kill()
 			}
-			if err := in.start(context.WithoutCancel(ctx), again); err != nil {
-				r.violate(nil, "it did not start again: %v", err)
+			if err := in.start(context.WithoutCancel(ctx), startRule); err != nil {
+				r.addViolation(nil, "the ingress did not restart: %v", err)
 			}
 		})
 	}
 }
 
-// clockSteps are by how much an ingress's wall clock may be off.
-var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
+// clockOffsets are the offsets of an ingress's wall clock that a step is drawn from.
+var clockOffsets = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
 
-// stepClock steps the wall clock of an ingress.
-func (i *ingress) stepClock(off time.Duration) {
-	_, control := i.last()
-	if err := control.StepClock(off); err != nil {
-		i.run.violate(nil, "the clock of %s could not be stepped: %v", i.node.Name, err)
+// stepClock sets the offset of the wall clock that the ingress reads.
+func (i *ingress) stepClock(offset time.Duration) {
+	_, control := i.running()
+	if err := control.StepClock(offset); err != nil {
+		i.run.addViolation(nil, "the clock of %s could not be stepped: %v", i.node.Name, err)
 	}
 }
 
-func (r *run) count(f func(*Report)) {
+func (r *run) updateReport(f func(*Report)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.report)
 }
 
-// cutLinks silences and resets the ways to discovery.
-func (r *run) cutLinks(ctx context.Context, rng *rand.Rand) {
-	var under sync.WaitGroup
-	defer under.Wait()
-	for rest(ctx, rng, 200, 900) {
+// disruptLinks silences and resets the links to discovery.
+func (r *run) disruptLinks(ctx context.Context, rng *rand.Rand) {
+	var pending sync.WaitGroup
+	defer pending.Wait()
+	for sleepRandom(ctx, rng, 200, 900) {
 		in := r.ingresses[rng.IntN(len(r.ingresses))]
 		link := in.links[rng.IntN(len(in.links))]
 		from := time.Now()
 		if rng.IntN(2) == 0 {
 			link.Reset()
-			in.blinds(from, time.Now())
+			in.recordDiscoveryOutage(from, time.Now())
 			continue
 		}
-		lasts := time.Duration(200+rng.IntN(2000)) * time.Millisecond
+		duration := time.Duration(200+rng.IntN(2000)) * time.Millisecond
 		link.Silence()
-		in.blinds(from, from.Add(lasts))
-		under.Go(func() {
-			time.Sleep(lasts)
+		in.recordDiscoveryOutage(from, from.Add(duration))
+		pending.Go(func() {
+			time.Sleep(duration)
 			link.Heal()
 		})
 	}
 }
 
-// Bounds on how long an ingress is held up, in milliseconds. The rules allow for 0.15 s; what the machine does
-// to the others comes on top.
-const holdLeast, holdMost = 10, 100
+// Bounds of how long an ingress is paused, in milliseconds. The rules allow for 0.15 s; stalls that the machine
+// causes come on top.
+const minPause, maxPause = 10, 100
 
-// holds stops an ingress for a moment, as a busy machine does.
-func (r *run) holds(ctx context.Context, rng *rand.Rand) {
-	for rest(ctx, rng, 50, 400) {
+// pauseIngresses pauses ingresses for moments, as a busy machine does.
+func (r *run) pauseIngresses(ctx context.Context, rng *rand.Rand) {
+	for sleepRandom(ctx, rng, 50, 400) {
 		in := r.ingresses[rng.IntN(len(r.ingresses))]
-		lasts := time.Duration(holdLeast+rng.IntN(holdMost-holdLeast)) * time.Millisecond
-		process, _ := in.last()
+		duration := time.Duration(minPause+rng.IntN(maxPause-minPause)) * time.Millisecond
+		process, _ := in.running()
 		if process.Cmd.Process.Signal(syscall.SIGSTOP) != nil {
-			continue // it has ended
+			continue // it has exited
 		}
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		_ = process.Cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
 
-// moods has backends hang, reset, refuse and spoil for a while.
-func (r *run) moods(ctx context.Context, rng *rand.Rand) {
-	for rest(ctx, rng, 100, 500) {
+// changeProfiles gives backends a faulty profile for a while.
+func (r *run) changeProfiles(ctx context.Context, rng *rand.Rand) {
+	for sleepRandom(ctx, rng, 100, 500) {
 		r.mu.Lock()
 		b := r.backends[rng.IntN(len(r.backends))]
 		r.mu.Unlock()
-		m := mood{latency: time.Duration(1+rng.IntN(40)) * time.Millisecond}
+		profile := faultProfile{maxLatency: time.Duration(1+rng.IntN(40)) * time.Millisecond}
 		share := func() float64 { return []float64{0, 0, 0.1, 0.5}[rng.IntN(4)] }
-		m.hang, m.reset, m.refuse, m.fail, m.spoilt, m.twice, m.pieces = share(), share()/3, share(), share()/3, share()/4, share()/4, share()
+		profile.hangShare, profile.resetShare, profile.refuseShare, profile.errorShare, profile.malformedShare, profile.duplicateShare,
+			profile.fragmentShare = share(), share()/3, share(), share()/3, share()/4, share()/4, share()
 		if rng.IntN(3) == 0 {
-			m.idleClose = time.Duration(20+rng.IntN(500)) * time.Millisecond
+			profile.idleTimeout = time.Duration(20+rng.IntN(500)) * time.Millisecond
 		}
-		b.set(m)
-		time.AfterFunc(time.Duration(200+rng.IntN(1200))*time.Millisecond, func() { b.set(calm) })
+		b.setProfile(profile)
+		time.AfterFunc(time.Duration(200+rng.IntN(1200))*time.Millisecond, func() { b.setProfile(healthyProfile) })
 	}
 }
 
-// replace drains backends, and kills some; each is followed by a cold one.
-func (r *run) replace(ctx context.Context, rng *rand.Rand) {
-	for rest(ctx, rng, 500, 1500) {
+// replaceBackends drains or kills backends, and starts a cold backend for each.
+func (r *run) replaceBackends(ctx context.Context, rng *rand.Rand) {
+	for sleepRandom(ctx, rng, 500, 1500) {
 		r.mu.Lock()
 		n := rng.IntN(len(r.backends))
 		b := r.backends[n]
@@ -283,22 +286,22 @@
 		r.report.BackendsReplaced++
 		r.mu.Unlock()
 		if rng.IntN(3) == 0 {
-			b.close() // it dies, and discovery hears of it
-			b.tell()
+			b.close() // it dies first; discovery is notified afterwards
+			b.markNotified()
 			r.registry.Set(b.member("DELETED"))
 		} else {
-			b.tell()
+			b.markNotified()
 			r.registry.Set(b.member("DRAINING"))
 			time.AfterFunc(3*time.Second, b.close)
 		}
 		if _, err := r.addBackend(time.Now()); err != nil {
-			r.violate(nil, "no backend could be started: %v", err)
+			r.addViolation(nil, "a backend could not be started: %v", err)
 		}
 	}
 }
 
-// crowd opens connections that say nothing, as many as there are descriptors.
-func (r *run) crowd(ctx context.Context) {
+// openIdleConns opens connections that send nothing, as many as the ingresses have descriptors.
+func (r *run) openIdleConns(ctx context.Context) {
 	var held []net.Conn
 	defer func() {
 		for _, nc := range held {
@@ -310,7 +313,7 @@
 		if nc, err := net.DialTimeout("tcp", in.node.Listen, time.Second); err == nil {
 			held = append(held, nc)
 		}
-		if most := r.cfg.sockets() * len(r.ingresses); len(held) > most {
+		if maxConns := r.cfg.maxSockets() * len(r.ingresses); len(held) > maxConns {
 			held[0].Close()
 			held = held[1:]
 		}
--- a/internal/soak/ingress.go
+++ b/internal/soak/ingress.go
@@ -18,66 +18,67 @@
 	"wickarch/internal/standin"
 )
 
-// ingress is one ingress and its processes, one after the other.
+// ingress is one ingress with its processes, of which one runs at a time.
 type ingress struct {
 	run   *run
 	node  standin.Node
-	links [2]*standin.Link // to discovery; one of them is configured
+	links [2]*standin.Link // to discovery; the configuration names one of them
 
-	mu      sync.Mutex
-	process *standin.Process
-	control *faultinject.Control
-	lives   []life
-	blind   []span // times in which what discovery told may not have arrived
-	hups    []time.Time
-	failing []window // in which system calls failed
-	using   int      // of links
-	changes bool     // it is being stopped or started
+	mu               sync.Mutex
+	current          *standin.Process
+	control          *faultinject.Control
+	processes        []processRecord
+	discoveryOutages []interval // times in which notifications of discovery may not have arrived
+	reloadTimes      []time.Time
+	faultWindows     []faultWindow // times in which system calls failed
+	activeLink       int           // index in links
+	changing         bool          // a stop, start, reload or clock step is under way
 }
 
-// life is one process.
-type life struct {
-	begun, ready          time.Time
-	told, killed, expired time.Time // SIGTERM; a SIGKILL drawn at random; its end. Zero: not
+// processRecord holds the times of one process.
+type processRecord struct {
+	startedAt, readyAt             time.Time
+	termSentAt, killedAt, exitedAt time.Time // SIGTERM; a random SIGKILL (see kill); exit. Zero: did not happen
 }
 
-// span is a time with a beginning and an end.
-type span struct{ from, to time.Time }
+// interval is a time with a start and an end.
+type interval struct{ from, to time.Time }
 
-// window is a time in which system calls failed.
-type window struct {
-	span
-	rules  string
-	breaks bool // connections to backends
+// faultWindow is a time in which system calls failed.
+type faultWindow struct {
+	interval
+	rules       string
+	breaksConns bool // the faults broke connections to backends
 }
 
-// broke tells whether connections to backends broke within a time.
-func (i *ingress) broke(from, to time.Time) bool {
+// brokeBackendConns reports whether faults broke connections to backends between two times.
+func (i *ingress) brokeBackendConns(from, to time.Time) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return slices.ContainsFunc(i.failing, func(w window) bool { return w.breaks && w.from.Before(to) && w.to.After(from) })
+	return slices.ContainsFunc(i.faultWindows, func(w faultWindow) bool { return w.breaksConns && w.from.Before(to) && w.to.After(from) })
 }
 
-// failed tells which calls failed within a time.
-func (i *ingress) failed(from, to time.Time) (all []string) {
+// faultsWithin describes the system call faults between two times.
+func (i *ingress) faultsWithin(from, to time.Time) (all []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, w := range i.failing {
+	for _, w := range i.faultWindows {
 		if w.from.Before(to) && w.to.After(from) {
-			all = append(all, fmt.Sprintf("%v to %v: %s", w.from.Sub(i.run.begun).Round(time.Millisecond), w.to.Sub(i.run.begun).Round(time.Millisecond), w.rules))
+			all = append(all, fmt.Sprintf("%v to %v: %s", w.from.Sub(i.run.startedAt).Round(time.Millisecond),
+				w.to.Sub(i.run.startedAt).Round(time.Millisecond), w.rules))
 		}
 	}
 	return all
 }
 
 const (
-	readyPatience = 10 * time.Second // for nine in ten of those that start again
-	killGrace     = 700 * time.Millisecond
-	endPatience   = 5 * time.Second
-	connectsAfter = 300 * time.Millisecond // clients connect for so long after SIGTERM
+	readyTimeout     = 10 * time.Second // the rules require this of 9 in 10 restarts, the soak of every start
+	killGrace        = 700 * time.Millisecond
+	exitTimeout      = 5 * time.Second
+	connectAfterTerm = 300 * time.Millisecond // how long after SIGTERM clients still connect
 )
 
-// newIngress prepares an ingress.
+// newIngress prepares an ingress, without starting it.
 func newIngress(r *run, n int) (*ingress, error) {
 	i := &ingress{run: r}
 	addr, err := standin.Reserve()
@@ -89,12 +90,14 @@
 			return nil, err
 		}
 	}
-	i.node = standin.Node{Name: fmt.Sprint("n", n), Listen: addr, Discovery: i.links[0].Addr, Seed: fmt.Sprintf("%x", r.cfg.Seed*1000+uint64(n)),
-		Limits: standin.Limits{Cores: 1, MemoryMB: 64, Sockets: r.cfg.sockets()}, Settings: r.settings(n)}
+	i.node = standin.Node{Name: fmt.Sprint("n", n), Listen: addr, Discovery: i.links[0].Addr,
+		Seed:   fmt.Sprintf("%x", r.cfg.Seed*1000+uint64(n)),
+		Limits: standin.Limits{Cores: 1, MemoryMB: 64, Sockets: r.cfg.maxSockets()}, Settings: r.settings(n)}
 	return i, nil
 }
 
-// start starts the next process and waits until it takes clients.
+// start starts the next process, with the given fault rules in force from its start, and waits until it accepts
+// clients.
 func (i *ingress) start(ctx context.Context, rules ...faultinject.Rule) error {
 	env, err := faultinject.Environment(i.run.cfg.Program, i.run.rng.Uint64(), rules...)
 	if err != nil {
@@ -108,12 +111,12 @@
 		control, err = faultinject.NewControl(cmd)
 		return err
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	tracer := i.run.cfg.Tracer
 	if i.run.cfg.LogDir != "" {
 		var config string
 		var log *os.File
-		if config, log, err = i.logs(); err != nil {
+		if config, log, err = i.openLog(); err != nil {
 			return err
 		}
 		node.Log, tracer = log, append(slices.Clone(tracer), "-config", config)
@@ -122,116 +125,119 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", node.Name, err)
 	}
-	if err = standin.WaitReady(process.Addr, readyPatience); err != nil {
+	if err = standin.WaitReady(process.Addr, readyTimeout); err != nil {
 		return fmt.Errorf("%s: %w", node.Name, err)
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.process, i.control = process, control
-	i.lives = append(i.lives, life{begun: begun, ready: time.Now()})
+	i.current, i.control = process, control
+	i.processes = append(i.processes, processRecord{startedAt: startedAt, readyAt: time.Now()})
 	return nil
 }
 
-// logs opens the log of the next process, and writes the file of our own that has each request logged.
-func (i *ingress) logs() (config string, log *os.File, err error) {
+// openLog creates the log file of the next process, and writes the operator's configuration file that enables the
+// logging of each request.
+func (i *ingress) openLog() (config string, log *os.File, err error) {
 	config = filepath.Join(i.run.cfg.LogDir, "own.toml")
 	if err = os.WriteFile(config, []byte("[log]\nrequests = true\n"), 0o600); err != nil {
 		return "", nil, err
 	}
 	i.mu.Lock()
-	name := fmt.Sprintf("%s-%d.log", i.node.Name, len(i.lives))
+	name := fmt.Sprintf("%s-%d.log", i.node.Name, len(i.processes))
 	i.mu.Unlock()
 	log, err = os.Create(filepath.Join(i.run.cfg.LogDir, name))
 	return config, log, err
 }
 
-// takes tells whether a client may connect now, and to which of its processes.
-func (i *ingress) takes() (n int, yes bool) {
+// acceptsClients reports whether a client may connect now, and the index of the process that it would connect to.
+func (i *ingress) acceptsClients() (n int, accepts bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	n = len(i.lives) - 1
+	n = len(i.processes) - 1
 	if n < 0 {
 		return 0, false
 	}
-	l := i.lives[n]
-	stopping := !l.told.IsZero() && time.Since(l.told) > connectsAfter
-	return n, !stopping && l.killed.IsZero() && l.expired.IsZero()
+	p := i.processes[n]
+	stopping := !p.termSentAt.IsZero() && time.Since(p.termSentAt) > connectAfterTerm
+	return n, !stopping && p.killedAt.IsZero() && p.exitedAt.IsZero()
 }
 
-// last is the process that runs.
-func (i *ingress) last() (*standin.Process, *faultinject.Control) {
+// running returns the process that was started last.
+func (i *ingress) running() (*standin.Process, *faultinject.Control) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.process, i.control
+	return i.current, i.control
 }
 
-// change marks the ingress as being stopped or started; it tells whether it was free for that.
-func (i *ingress) change(on bool) bool {
+// setChanging sets or clears the mark that a stop, start, reload or clock step is under way. It returns false if the
+// mark is to be set and is set already.
+func (i *ingress) setChanging(on bool) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if on && i.changes {
+	if on && i.changing {
 		return false
 	}
-	i.changes = on
+	i.changing = on
 	return true
 }
 
-// stop ends the process by a series of SIGTERM, and kills it at the page's earliest.
+// stop ends the process by a series of SIGTERM. The process has until the earliest time at which the rules allow a
+// SIGKILL (the longest request timeout and killGrace), plus the time for which the machine stalled; then it is killed.
 func (i *ingress) stop(signals int) {
-	process, _ := i.last()
+	process, _ := i.running()
 	now := time.Now()
-	i.note(func(l *life) { l.told = now })
+	i.updateProcess(func(p *processRecord) { p.termSentAt = now })
 	for range signals {
 		_ = process.Cmd.Process.Signal(syscall.SIGTERM)
 		time.Sleep(5 * time.Millisecond)
 	}
-	err := process.Wait(time.Until(now.Add(i.run.cfg.longest() + killGrace)))
+	err := process.Wait(time.Until(now.Add(i.run.cfg.maxTimeout() + killGrace)))
 	if err != nil && !process.HasEnded() {
-		err = process.Wait(i.run.heldUp(now, time.Now()))
+		err = process.Wait(i.run.maxStall(now, time.Now()))
 	}
 	if err != nil && !process.HasEnded() {
 		_ = process.Cmd.Process.Kill()
-		_ = process.Wait(endPatience)
-		i.run.violate(nil, "%s has not ended %v after SIGTERM", i.node.Name, i.run.cfg.longest()+killGrace)
+		_ = process.Wait(exitTimeout)
+		i.run.addViolation(nil, "%s has not exited %v after SIGTERM", i.node.Name, i.run.cfg.maxTimeout()+killGrace)
 	} else if err != nil {
-		i.run.violate(nil, "%s ended after SIGTERM with %v", i.node.Name, err)
+		i.run.addViolation(nil, "%s exited after SIGTERM with %v", i.node.Name, err)
 	}
-	i.ended(process)
+	i.recordExit(process)
 }
 
-// kill ends the process at once.
+// kill ends the process by SIGKILL.
 func (i *ingress) kill() {
-	process, _ := i.last()
-	i.note(func(l *life) { l.killed = time.Now() })
+	process, _ := i.running()
+	i.updateProcess(func(p *processRecord) { p.killedAt = time.Now() })
 	_ = process.Cmd.Process.Kill()
-	_ = process.Wait(endPatience)
-	i.ended(process)
+	_ = process.Wait(exitTimeout)
+	i.recordExit(process)
 }
 
-// ended looks at what a process that has ended has said.
-func (i *ingress) ended(process *standin.Process) {
-	i.note(func(l *life) { l.expired = time.Now() })
+// recordExit records the exit of a process and searches its log for violations that the ingress itself reported.
+func (i *ingress) recordExit(process *standin.Process) {
+	i.updateProcess(func(p *processRecord) { p.exitedAt = time.Now() })
 	for _, line := range process.Log() {
 		if strings.Contains(line, "the rule on requests") {
-			i.run.violate(nil, "%s says %q", i.node.Name, line)
+			i.run.addViolation(nil, "%s logged %q", i.node.Name, line)
 		}
 	}
 }
 
-func (i *ingress) note(f func(*life)) {
+func (i *ingress) updateProcess(f func(*processRecord)) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	f(&i.lives[len(i.lives)-1])
+	f(&i.processes[len(i.processes)-1])
 }
 
-// reload moves discovery to the other link by a series of SIGHUP.
+// reload configures the other link to discovery and has the process reload by a series of SIGHUP.
 func (i *ingress) reload(signals int) error {
 	i.mu.Lock()
-	old := i.using
-	i.using = 1 - old
-	i.node.Discovery = i.links[i.using].Addr
-	node, process := i.node, i.process
-	i.hups = append(i.hups, time.Now())
+	old := i.activeLink
+	i.activeLink = 1 - old
+	i.node.Discovery = i.links[i.activeLink].Addr
+	node, process := i.node, i.current
+	i.reloadTimes = append(i.reloadTimes, time.Now())
 	i.mu.Unlock()
 	if _, err := node.Write(i.run.cfg.ConfigDir); err != nil {
 		return err
@@ -243,35 +249,36 @@
 	return nil
 }
 
-// blinds notes a time in which discovery may not have been heard.
-func (i *ingress) blinds(from, to time.Time) {
+// recordDiscoveryOutage records a time in which notifications of discovery may not have arrived.
+func (i *ingress) recordDiscoveryOutage(from, to time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.blind = append(i.blind, span{from, to})
+	i.discoveryOutages = append(i.discoveryOutages, interval{from, to})
 }
 
-// The times by which what discovery tells counts as told, whether or not it arrived.
+// The times after which a notification of discovery counts as received, whether or not it arrived.
 const (
-	toldAfterTrouble = 6 * time.Second
-	toldAfterReload  = 4 * time.Second
+	notifiedAfterOutage = 6 * time.Second
+	notifiedAfterReload = 4 * time.Second
 )
 
-// toldBy is when a change that discovery was told of at a time counts as told to a process of the ingress.
-func (i *ingress) toldBy(at time.Time, n int) time.Time {
+// notifiedBy returns when a change that discovery was notified of at a time counts as received by the n-th process of
+// the ingress.
+func (i *ingress) notifiedBy(at time.Time, n int) time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if begun := i.lives[n].ready; at.Before(begun) {
-		at = begun
+	if earliest := i.processes[n].readyAt; at.Before(earliest) {
+		at = earliest
 	}
 	by := at
-	for _, b := range i.blind {
-		if b.from.Before(at.Add(time.Second)) && b.to.After(at.Add(-time.Second)) {
-			by = later(by, later(at, b.to).Add(toldAfterTrouble))
+	for _, outage := range i.discoveryOutages {
+		if outage.from.Before(at.Add(time.Second)) && outage.to.After(at.Add(-time.Second)) {
+			by = later(by, later(at, outage.to).Add(notifiedAfterOutage))
 		}
 	}
-	for _, h := range i.hups {
-		if h.Before(at.Add(time.Second)) && h.Add(toldAfterReload).After(at) {
-			by = later(by, h.Add(toldAfterReload))
+	for _, reload := range i.reloadTimes {
+		if reload.Before(at.Add(time.Second)) && reload.Add(notifiedAfterReload).After(at) {
+			by = later(by, reload.Add(notifiedAfterReload))
 		}
 	}
 	return by
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -7,93 +7,93 @@
 	"time"
 )
 
-// kind is the class of a request, by what a second run of it does.
-type kind int
+// class is the class of a request. Classes differ in what a second execution does.
+type class int
 
 const (
-	lookup  kind = iota // may run at will
-	order               // keyed: backends drop repeats for a time
-	payment             // must run once
-	kinds
+	lookup  class = iota // may be executed any number of times
+	order                // has a deduplication key: backends drop repeats within dedupWindow
+	payment              // must not be executed twice
+	numClasses
 )
 
-// answerKind is how a request ended for its client.
-type answerKind int
+// answerOutcome is how a request ended for its client.
+type answerOutcome int
 
 const (
-	none    answerKind = iota // nothing came
-	served                    // with the value made for it
-	refused                   // -BUSY
-	failed                    // any other answer
-	wrong                     // a value made for another, or what can't be read
-	partial                   // a value that broke off, as its client can tell
+	noAnswer        answerOutcome = iota // nothing was received
+	served                               // with the value of this request
+	refused                              // -BUSY
+	failed                               // any other error
+	invalidAnswer                        // the value of another request, or malformed
+	truncatedAnswer                      // a value that ends early, which the client notices
 )
 
-// request is one request as its client saw it.
+// request is a request as its client saw it.
 type request struct {
-	id       string
-	kind     kind
-	customer uint64
-	capped   bool // its plan has a hard ceiling
-	ingress  *ingress
-	life     int       // of the ingress's processes, at the time
-	first    bool      // the first on its connection
-	sent     time.Time // its last byte
-	begun    time.Time // the connection's dial
-	limit    time.Duration
-	body     int           // bytes
-	inOrder  time.Duration // the longest limit of it and of those before it, whose answers come first
+	id              string
+	class           class
+	customer        uint64
+	capped          bool // its plan has a hard rate limit
+	ingress         *ingress
+	processIndex    int       // of the ingress process that the client connected to
+	firstOnConn     bool      // the first request on its connection
+	sentAt          time.Time // when its last byte was written
+	dialedAt        time.Time // when the client began to connect
+	timeout         time.Duration
+	bodySize        int           // in bytes
+	pipelineTimeout time.Duration // the longest timeout among it and the pipelined requests before it, which are answered first
 
-	answer   answerKind
-	answered time.Time
-	left     time.Time // its client closed the connection; zero: it did not
-	cut      time.Time // the ingress ended the connection with no answer; zero: it did not
-	attempts []*attempt
+	outcome        answerOutcome
+	answeredAt     time.Time
+	clientClosedAt time.Time // when the client closed the connection; zero: it did not
+	connClosedAt   time.Time // when the ingress closed the connection without an answer; zero: it did not
+	attempts       []*attempt
 }
 
-// attempt is one command that came whole to a backend.
+// attempt is a complete command that a backend received.
 type attempt struct {
-	backend *backend
-	begun   time.Time
-	limit   time.Duration // as it was told
-	ended   time.Time     // answered, or its connection ended; zero: neither
-	ran     bool          // it was not turned away
-	whole   bool          // its value was written whole, as it should be
+	backend      *backend
+	receivedAt   time.Time
+	timeout      time.Duration // as the command states it
+	endedAt      time.Time     // when it was answered or its connection ended; zero: neither
+	executed     bool          // the backend did not refuse it
+	valueWritten bool          // the backend wrote the complete, correct value
 }
 
-// record holds all requests of a run.
+// record holds all requests of a run, by ID and in the order in which clients wrote them.
 type record struct {
 	mu       sync.Mutex
-	requests map[string]*request
-	order    []*request
+	byID     map[string]*request
+	sequence []*request
 }
 
 func (r *record) add(q *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.requests[q.id] = q
-	r.order = append(r.order, q)
+	r.byID[q.id] = q
+	r.sequence = append(r.sequence, q)
 }
 
-// wrote notes that the value of an attempt was written whole.
-func (r *record) wrote(a *attempt) {
+// markValueWritten records that a backend wrote the complete value of an attempt.
+func (r *record) markValueWritten(a *attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a.whole = true
+	a.valueWritten = true
 }
 
-// change changes a request under the record's lock.
-func (r *record) change(q *request, f func(*request)) {
+// update changes a request while the record is locked.
+func (r *record) update(q *request, f func(*request)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(q)
 }
 
-// attempt notes an attempt of the request with this id; nil where no client sent one.
-func (r *record) attempt(id string, a *attempt) bool {
+// addAttempt adds an attempt to the request with this ID. It returns false if no client sent such a request.
+func (r *record) addAttempt(id string, a *attempt) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	q := r.requests[id]
+	q := r.byID[id]
 	if q == nil {
 		return false
 	}
@@ -101,10 +101,10 @@
 	return true
 }
 
-func (r *record) end(a *attempt) {
+func (r *record) endAttempt(a *attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if a.ended.IsZero() {
-		a.ended = time.Now()
+	if a.endedAt.IsZero() {
+		a.endedAt = time.Now()
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,10 +1,10 @@
 //go:build linux && amd64
 
-// Package soak runs a small installation of real processes on loopback under random, overlapping faults,
-// and judges it by the rules: system calls that fail, connections cut, silenced and reset, backends that
-// hang, reset, spoil their answers, drain and come back cold, signals in series, kills, clients that leave,
-// write in pieces and crowd. Each run is drawn from one seed. (Timing is the machine's, so that one seed gives
-// the same faults, not the same run.)
+// Package soak runs a small installation of real processes on loopback under random, overlapping faults, and checks it
+// against the rules. The faults are failing system calls; connections that are cut, silenced or reset; backends that
+// hang, reset, send malformed answers, drain and are replaced by cold ones; series of signals; kills; and clients that
+// disconnect, write in pieces or hold idle connections. Each run is drawn from one seed. A seed gives the same faults but
+// not the same run, because the timing depends on the machine.
 package soak
 
 import (
@@ -18,86 +18,91 @@
 	"wickarch/internal/standin"
 )
 
-// Config is one run.
+// Config is the configuration of a run.
 type Config struct {
 	Seed                uint64
 	Tracer              []string // the command that runs the tracer of package faultinject
-	Program             string   // what it traces; "" for its own binary
-	Env                 []string // for it
-	ConfigDir           string   // for configurations
+	Program             string   // the program that is traced; "" for the binary of the tracer
+	Env                 []string // additional environment of the program
+	ConfigDir           string   // directory for the configurations of the ingresses
 	Ingresses           int
 	Backends            int
 	Clients             int
-	FaultDuration       time.Duration // under faults
-	FillDescriptors     bool          // idle clients fill the descriptors
-	DisconnectShare     float64       // share of requests whose client leaves
-	PartialCommandShare float64       // share of connections that stop in the middle of a command
-	NoSyscallFaults     bool          // no system call fails
-	LogDir              string        // a folder for the logs of all processes, with each request; "" for none
+	FaultDuration       time.Duration // how long faults are injected
+	FillDescriptors     bool          // idle connections use up the descriptors of the ingresses
+	DisconnectShare     float64       // share of requests whose client disconnects
+	PartialCommandShare float64       // share of connections on which the client stops within a command
+	NoSyscallFaults     bool          // inject no system call faults
+	LogDir              string        // directory for the logs of all processes, with every request; "" for none
 }
 
-// Defaults are the usual sizes for a seed; one in five has a crowd.
+// DefaultConfig returns the usual configuration for a seed. One seed in five has FillDescriptors set.
 func DefaultConfig(seed uint64) Config {
-	return Config{Seed: seed, Ingresses: 12, Backends: 8, Clients: 60, FaultDuration: 6 * time.Second, FillDescriptors: seed%5 == 0, DisconnectShare: 0.05, PartialCommandShare: 0.01}
+	return Config{Seed: seed, Ingresses: 12, Backends: 8, Clients: 60, FaultDuration: 6 * time.Second,
+		FillDescriptors: seed%5 == 0, DisconnectShare: 0.05, PartialCommandShare: 0.01}
 }
 
-// longest is the longest time of a request.
-func (Config) longest() time.Duration { return 1200 * time.Millisecond }
+// maxTimeout is the longest timeout of a request.
+func (Config) maxTimeout() time.Duration { return 1200 * time.Millisecond }
 
-// sockets is how many descriptors an ingress has.
-func (c Config) sockets() int {
+// maxSockets is the descriptor limit of an ingress.
+func (c Config) maxSockets() int {
 	if c.FillDescriptors {
 		return 160
 	}
 	return 512
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Requests, Attempts, ClosedUnread, ClientClosed, ProcessKilled int
-	CappedRequests                                                int              // tries under the hard ceiling that were sent on
-	StallShare                                                    float64          // share of the time in which the machine held something up
-	Outcomes                                                      [partial + 1]int // by answerKind
+	CappedRequests                                                int                      // requests under the hard limit that were forwarded
+	StallShare                                                    float64                  // share of the time with some process stalled
+	Outcomes                                                      [truncatedAnswer + 1]int // by answerOutcome
 	Stops, Kills, Reloads, ClockSteps, BackendsReplaced           int
 	SyscallFaults                                                 map[string]int // system calls that failed, by call and error
 	Violations                                                    []string
 }
 
-// String sums it up on a line.
+// String returns a summary of one line.
 func (r Report) String() string {
 	calls := 0
 	for _, n := range r.SyscallFaults {
 		calls += n
 	}
-	return fmt.Sprintf("%d requests (%d served, %d refused, %d failed, %d left, %d crossed an end, %d killed), %d attempts, %d calls failed in %d ways, "+
-		"%d tries under the ceiling, %d stops, %d kills, %d reloads, %d steps of the clock, %d backends replaced, the machine held up %.0f%%: %d violations", r.Requests, r.Outcomes[served], r.Outcomes[refused], r.Outcomes[failed], r.ClientClosed, r.ClosedUnread,
-		r.ProcessKilled, r.Attempts, calls, len(r.SyscallFaults), r.CappedRequests, r.Stops, r.Kills, r.Reloads, r.ClockSteps, r.BackendsReplaced, 100*r.StallShare, len(r.Violations))
+	return fmt.Sprintf(
+		"%d requests (%d served, %d refused, %d failed, %d disconnected, %d unread, %d killed), %d attempts, %d syscalls failed in %d ways, "+
+			"%d hard-limited requests, %d stops, %d kills, %d reloads, %d clock steps, %d backends replaced, machine stalled %.0f%%: %d violations",
+		r.Requests, r.Outcomes[served], r.Outcomes[refused], r.Outcomes[failed], r.ClientClosed, r.ClosedUnread,
+		r.ProcessKilled, r.Attempts, calls, len(r.SyscallFaults), r.CappedRequests, r.Stops, r.Kills, r.Reloads,
+		r.ClockSteps, r.BackendsReplaced, 100*r.StallShare, len(r.Violations))
 }
 
-// run is one run under way.
+// run is the state of a run.
 type run struct {
 	cfg       Config
-	begun     time.Time
-	rng       *sharedRand
+	startedAt time.Time
+	rng       *lockedRand
 	registry  *standin.Registry
 	ingresses []*ingress
 	record    record
 	stalls    stalls
 
-	mu       sync.Mutex
-	backends []*backend
-	made     int // backends, all
-	report   Report
+	mu           sync.Mutex
+	backends     []*backend
+	backendCount int // backends started so far
+	report       Report
 }
 
-// Run plays one seed. The error tells that it could not be played.
+// Run runs one seed. It returns an error if the run could not be carried out; violations of the rules are in the report.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	r := &run{cfg: cfg, begun: time.Now(), rng: newSharedRand(cfg.Seed), registry: standin.NewRegistry(), record: record{requests: map[string]*request{}},
+	r := &run{cfg: cfg, startedAt: time.Now(), rng: newLockedRand(cfg.Seed),
+		registry: standin.NewRegistry(), record: record{byID: map[string]*request{}},
 		report: Report{SyscallFaults: map[string]int{}}}
 	defer r.registry.Stop()
-	go r.stalls.watch(ctx)
+	go r.stalls.collect(ctx)
 	for range cfg.Backends {
 		if _, err := r.addBackend(time.Time{}); err != nil {
 			return r.report, err
@@ -107,33 +112,33 @@
 	if err := r.startAll(ctx); err != nil {
 		return r.report, err
 	}
-	clients, leave := context.WithCancel(ctx)
-	defer leave()
-	var asking sync.WaitGroup
+	clientsCtx, stopClients := context.WithCancel(ctx)
+	defer stopClients()
+	var clients sync.WaitGroup
 	for range cfg.Clients {
-		asking.Go(func() { r.client(clients) })
+		clients.Go(func() { r.runClient(clientsCtx) })
 	}
 	if cfg.FillDescriptors {
-		asking.Go(func() { r.crowd(clients) })
+		clients.Go(func() { r.openIdleConns(clientsCtx) })
 	}
-	r.trouble(ctx)
-	time.Sleep(quiet)
-	r.endAll()
-	leave()
-	asking.Wait()
-	r.judge()
-	r.report.StallShare = float64(r.stalls.within(r.begun, time.Now())) / float64(time.Since(r.begun))
+	r.injectFaults(ctx)
+	time.Sleep(settleTime)
+	r.stopAll()
+	stopClients()
+	clients.Wait()
+	r.verify()
+	r.report.StallShare = float64(r.stalls.upperBound(r.startedAt, time.Now())) / float64(time.Since(r.startedAt))
 	return r.report, nil
 }
 
-// The hard ceiling of the capped plan, in units: a second, in its bucket, and below it.
+// The hard limit of the capped plan, in units: rate per second, bucket size, and tolerance below an empty bucket.
 const (
-	ceilingRate      = 36.0
-	ceilingBurst     = 36.0
-	ceilingTolerance = 12.0
+	hardRate      = 36.0
+	hardBurst     = 36.0
+	hardTolerance = 12.0
 )
 
-const quiet = 500 * time.Millisecond // with no further fault, before all are stopped
+const settleTime = 500 * time.Millisecond // without further faults, before all ingresses are stopped
 
 // startAll starts all ingresses at once.
 func (r *run) startAll(ctx context.Context) error {
@@ -162,12 +167,12 @@
 	}
 }
 
-// endAll stops all ingresses at once, while clients go on.
-func (r *run) endAll() {
+// stopAll stops all ingresses at once, while clients go on sending.
+func (r *run) stopAll() {
 	var all sync.WaitGroup
 	for _, in := range r.ingresses {
 		all.Go(func() {
-			if _, up := in.takes(); up {
+			if _, up := in.acceptsClients(); up {
 				in.stop(1)
 			}
 		})
@@ -188,13 +193,13 @@
 	}
 }
 
-// addBackend starts a backend and has discovery tell of it.
-func (r *run) addBackend(since time.Time) (*backend, error) {
+// addBackend starts a backend and adds it to discovery.
+func (r *run) addBackend(startedAt time.Time) (*backend, error) {
 	r.mu.Lock()
-	r.made++
-	id := fmt.Sprintf("s-%03d", r.made)
+	r.backendCount++
+	id := fmt.Sprintf("s-%03d", r.backendCount)
 	r.mu.Unlock()
-	b, err := newBackend(r, id, since)
+	b, err := newBackend(r, id, startedAt)
 	if err != nil {
 		return nil, err
 	}
@@ -205,7 +210,7 @@
 	return b, nil
 }
 
-// settings are those of the n-th ingress.
+// settings returns the settings of the n-th ingress.
 func (r *run) settings(n int) json.RawMessage {
 	const text = `{"balancers":%d,"self_index":%d,"zone":0,"zones":["a"],"kinds":["std"],"tick_ms":2,"discovery":"push",
  "bounds":{"cancelling":true,"conn_idle_ms":4000,"connect_timeout_ms":500,"max_retry_after_ms":1000,"probing":true,
@@ -219,19 +224,19 @@
  "specifics":{"max_units":1,"use_period_ms":500},
  "tiers_of_service":[{"name":"basic","quota_rate":1e6,"burst":1e6,"price":1},
   {"name":"capped","quota_rate":1e6,"burst":1e6,"price":1,"hard_rate":%[5]g,"hard_burst":%[6]g,"tolerance":%[7]g}],"weights":"nominal"}`
-	return json.RawMessage(fmt.Sprintf(text, r.cfg.Ingresses, n, r.cfg.longest().Milliseconds(), keyedWindow.Milliseconds(),
-		ceilingRate, ceilingBurst, ceilingTolerance))
+	return json.RawMessage(fmt.Sprintf(text, r.cfg.Ingresses, n, r.cfg.maxTimeout().Milliseconds(), dedupWindow.Milliseconds(),
+		hardRate, hardBurst, hardTolerance))
 }
 
-// sharedRand is a generator for several goroutines.
-type sharedRand struct {
+// lockedRand is a random generator that is safe for concurrent use.
+type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-func newSharedRand(seed uint64) *sharedRand { return &sharedRand{rng: rand.New(rand.NewPCG(seed, 51))} }
+func newLockedRand(seed uint64) *lockedRand { return &lockedRand{rng: rand.New(rand.NewPCG(seed, 51))} }
 
-func (s *sharedRand) Uint64() uint64 {
+func (s *lockedRand) Uint64() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Uint64()
--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// stalls measures for how long the machine has kept some process waiting for a processor: what it holds up
-// is no fault of an ingress. The kernel tells it (pressure stall information); where it does not, the run's own
-// lateness stands in. On a machine with cores to spare it is a few hundredths of the time.
+// stalls measures for how long some process of the machine waited for a CPU, so that such delays are not
+// counted against an ingress. The source is the kernel's pressure stall information; where there is none, only the
+// lateness of the sampling itself counts. On a machine with idle cores the share is a few hundredths of the time.
 type stalls struct {
 	mu      sync.Mutex
 	samples []stallSample
@@ -22,21 +22,21 @@
 
 type stallSample struct {
 	at    time.Time
-	total time.Duration // in which some process waited, since the machine's start
-	late  time.Duration // by which this sample was late itself
+	total time.Duration // for which some process has waited since boot
+	late  time.Duration // delay of this sample after its due time
 }
 
 const (
-	sampleEvery = 20 * time.Millisecond
-	pressure    = "/proc/pressure/cpu"
+	sampleInterval  = 20 * time.Millisecond
+	cpuPressurePath = "/proc/pressure/cpu"
 )
 
-// watch samples until ctx ends.
-func (s *stalls) watch(ctx context.Context) {
-	for due := time.Now(); ctx.Err() == nil; due = due.Add(sampleEvery) {
+// collect takes a sample every sampleInterval until ctx ends.
+func (s *stalls) collect(ctx context.Context) {
+	for due := time.Now(); ctx.Err() == nil; due = due.Add(sampleInterval) {
 		time.Sleep(time.Until(due))
-		sample := stallSample{at: time.Now(), total: waited()}
-		if sample.late = sample.at.Sub(due); sample.late > sampleEvery {
+		sample := stallSample{at: time.Now(), total: totalStall()}
+		if sample.late = sample.at.Sub(due); sample.late > sampleInterval {
 			due = sample.at
 		}
 		s.mu.Lock()
@@ -45,9 +45,9 @@
 	}
 }
 
-// waited is the kernel's figure; 0 where there is none.
-func waited() time.Duration {
-	text, err := os.ReadFile(pressure)
+// totalStall returns the kernel's total of CPU stall time since boot, 0 if it is not available.
+func totalStall() time.Duration {
+	text, err := os.ReadFile(cpuPressurePath)
 	if err != nil {
 		return 0
 	}
@@ -62,8 +62,8 @@
 	return time.Duration(micros) * time.Microsecond
 }
 
-// within is for how long something was held up between two times, at most.
-func (s *stalls) within(from, to time.Time) time.Duration {
+// upperBound returns an upper bound of the time for which some process was stalled between two times, in either order.
+func (s *stalls) upperBound(from, to time.Time) time.Duration {
 	if to.Before(from) {
 		from, to = to, from
 	}
@@ -72,12 +72,12 @@
 	if len(s.samples) == 0 {
 		return 0
 	}
-	before, _ := slices.BinarySearchFunc(s.samples, from, func(a stallSample, at time.Time) int { return a.at.Compare(at) })
-	behind, _ := slices.BinarySearchFunc(s.samples, to, func(a stallSample, at time.Time) int { return a.at.Compare(at) })
-	before, behind = max(0, before-1), min(behind, len(s.samples)-1)
+	first, _ := slices.BinarySearchFunc(s.samples, from, func(a stallSample, at time.Time) int { return a.at.Compare(at) })
+	last, _ := slices.BinarySearchFunc(s.samples, to, func(a stallSample, at time.Time) int { return a.at.Compare(at) })
+	first, last = max(0, first-1), min(last, len(s.samples)-1)
 	var late time.Duration
-	for _, sample := range s.samples[before : behind+1] {
+	for _, sample := range s.samples[first : last+1] {
 		late = max(late, sample.late)
 	}
-	return s.samples[behind].total - s.samples[before].total + late
+	return s.samples[last].total - s.samples[first].total + late
 }
