--- a/internal/soak/verify.go
+++ b/internal/soak/verify.go
@@ -67,7 +67,7 @@
 	switch {
 	case q.sentAt.IsZero(): // it was not written completely
 	case q.outcome == invalidAnswer:
-		r.addViolation(q, "lost: the answer is not the one to this request")
+		r.addViolation(q, "lost: the answer is not the expected one")
 	case q.outcome == truncatedAnswer:
 		r.verifyTruncated(q)
 	case q.outcome != noAnswer:
