--- a/cmd/wickarch/soak_test.go
+++ b/cmd/wickarch/soak_test.go
@@ -16,10 +16,10 @@
 // system calls, series of signals, failing backends and discovery, and in one run a crowd of clients.
 func TestSoakFindsNoViolations(t *testing.T) {
 	for _, seed := range soakSeeds {
-		cfg := soak.Defaults(seed)
+		cfg := soak.DefaultConfig(seed)
 		// By default a binary built with the race detector sleeps for a second at exit.
 		cfg.Env = []string{programRoleEnv + "=1", "GORACE=atexit_sleep_ms=0"}
-		cfg.Tracer, cfg.Dir = []string{os.Args[0]}, t.TempDir()
+		cfg.Tracer, cfg.ConfigDir = []string{os.Args[0]}, t.TempDir()
 		report, err := soak.Run(t.Context(), cfg)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
