--- a/internal/ingress/outage_test.go
+++ b/internal/ingress/outage_test.go
@@ -56,6 +56,7 @@
 	mu        sync.Mutex
 	drainSeen map[string]time.Duration // when each backend was first seen draining or removed
 	serving   map[string]bool          // by the delivered lists
+	stopped   bool                     // dials fail, so that no handler starts any more
 }
 
 func (a *fakeAgent) now() time.Duration { return time.Since(a.start) }
@@ -112,12 +113,26 @@
 			return nil, errors.New("connection not established")
 		}
 	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.stopped {
+		return nil, errors.New("agent stopped")
+	}
 	near, far := net.Pipe()
 	incrementAndTrackMax(&a.conns, &a.maxConns)
 	a.handlers.Go(func() { a.serve(far) })
 	return near, nil
 }
 
+// waitHandlers waits for all handlers. http.Transport may still dial in the background for a canceled
+// request; such a dial must not start a handler while this waits.
+func (a *fakeAgent) waitHandlers() {
+	a.mu.Lock()
+	a.stopped = true
+	a.mu.Unlock()
+	a.handlers.Wait()
+}
+
 func incrementAndTrackMax(count, maxCount *atomic.Int32) {
 	for now := count.Add(1); ; {
 		old := maxCount.Load()
@@ -261,7 +276,7 @@
 		stop()
 		close(a.closed)
 		<-done
-		a.handlers.Wait()
+		a.waitHandlers()
 	})
 	return longest
 }
@@ -438,7 +453,7 @@
 					}
 					time.Sleep(listTimeout) // until connections end
 					for _, a := range agents {
-						a.handlers.Wait()
+						a.waitHandlers()
 					}
 				})
 			}
