--- a/cmd/bench/capacity/coordinators.go
+++ b/cmd/bench/capacity/coordinators.go
@@ -169,7 +169,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return a.traffic.Counted(c), nil
+		return a.traffic.WrapConn(c), nil
 	}
 	defer t.CloseIdleConnections()
 	mail := make(chan func(), 16)
--- a/cmd/bench/capacity/discovery.go
+++ b/cmd/bench/capacity/discovery.go
@@ -72,7 +72,7 @@
 	d := &discovery{first: 1, revision: 1, members: list, changed: make(chan struct{}), gone: make(chan struct{})}
 	d.whole = line(object{1, true, list})
 	d.Server = httptest.NewUnstartedServer(http.HandlerFunc(d.serve))
-	d.Listener = d.Wire.Listener(d.Listener)
+	d.Listener = d.Wire.WrapListener(d.Listener)
 	d.Start()
 	return d
 }
--- a/cmd/bench/capacity/ingress.go
+++ b/cmd/bench/capacity/ingress.go
@@ -90,7 +90,7 @@
 		if c.Send("PING") != nil {
 			return false
 		}
-		l, err := c.Line()
+		l, err := c.ReadReply()
 		return err == nil && l == "+PONG"
 	})
 }
--- a/cmd/bench/capacity/sweeps.go
+++ b/cmd/bench/capacity/sweeps.go
@@ -299,7 +299,7 @@
 		if err = c.Send("PING"); err != nil {
 			return nil, err
 		}
-		if _, err = c.Line(); err != nil {
+		if _, err = c.ReadReply(); err != nil {
 			return nil, err
 		}
 	}
--- a/cmd/bench/followers/main.go
+++ b/cmd/bench/followers/main.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return traffic.Counted(nc), nil
+		return traffic.WrapConn(nc), nil
 	}
 	return h
 }
--- a/cmd/bench/idle/main.go
+++ b/cmd/bench/idle/main.go
@@ -89,7 +89,7 @@
 
 func newSite() (*site, error) {
 	s := &site{}
-	work := s.effects.Work(func() time.Duration {
+	work := s.effects.Handler(func() time.Duration {
 		if s.atOnce.Load() {
 			return 0
 		}
@@ -300,7 +300,7 @@
 	t, all := l.Tally(), l.Latencies()
 	fmt.Printf("%-34s %7d %7d %7d %8.2f %8.2f %8.2f %8.2f\n", name, t.Asked, t.Served, t.Asked-t.Served,
 		ms(standin.Percentile(all, 0.5)), ms(standin.Percentile(all, 0.99)), ms(standin.Percentile(all, 0.999)), ms(standin.Percentile(all, 1)))
-	if err := t.Sound(); err != nil {
+	if err := t.Check(); err != nil {
 		fmt.Println("  NOT SOUND:", err)
 	}
 }
@@ -338,7 +338,7 @@
 			start := time.Now()
 			// An end of the connection is an answer too: what counts is when it comes.
 			_ = c.Send(standin.Payment(hole, standin.NewID(), int(limit.Milliseconds()))...)
-			_, _ = c.Line()
+			_, _ = c.ReadReply()
 			took := time.Since(start) - (limit - 15*time.Millisecond) // the ingress answers so much before
 			mu.Lock()
 			request = append(request, took)
@@ -354,10 +354,10 @@
 			defer c.Close()
 			// An end of the connection is an answer too: what counts is when it comes.
 			_ = c.Send("PING")
-			_, _ = c.Line()
+			_, _ = c.ReadReply()
 			start := time.Now()
 			_, _ = c.Write([]byte("*1\r\n$4\r\nPI"))
-			_, _ = c.Line()
+			_, _ = c.ReadReply()
 			mu.Lock()
 			half = append(half, time.Since(start)-2*time.Second)
 			mu.Unlock()
--- a/cmd/bench/limits/loopback.go
+++ b/cmd/bench/limits/loopback.go
@@ -69,7 +69,7 @@
 			w.mu.Lock()
 			w.full++
 			w.mu.Unlock()
-			r.Line("-BUSY")
+			r.Reply("-BUSY")
 			return
 		}
 	} else {
--- a/cmd/bench/rollouts/processes.go
+++ b/cmd/bench/rollouts/processes.go
@@ -48,9 +48,9 @@
 		}
 	}()
 	run := func(id, version string, want int, during func() error) error {
-		f.Front.Mark()
+		f.Front.ResetMostOut()
 		began := time.Now()
-		code, out := f.Order("rollout", "start", id, "--version", version, "--waves", "5%,40%,100%", "--soak", "5s", "--requests", "200", "--wait", "60s", "--alpha", "0.05")
+		code, out := f.RunOperator("rollout", "start", id, "--version", version, "--waves", "5%,40%,100%", "--soak", "5s", "--requests", "200", "--wait", "60s", "--alpha", "0.05")
 		if code != 0 {
 			return fmt.Errorf("%s", out)
 		}
@@ -59,7 +59,7 @@
 				return err
 			}
 		}
-		code, out = f.Order("rollout", "watch", id, "--every", "500ms")
+		code, out = f.RunOperator("rollout", "watch", id, "--every", "500ms")
 		fmt.Printf("%s: exit code %d after %v, most out at once by PING %d of %d allowed\n", id, code, time.Since(began).Round(100*time.Millisecond), f.Front.Seen().MostOut, most)
 		if code != want {
 			return fmt.Errorf("%s", out)
@@ -86,11 +86,11 @@
 		return err
 	}
 	began := time.Now()
-	f.Order("rollout", "back", "refuse")
-	code, _ := f.Order("rollout", "watch", "refuse", "--every", "500ms")
+	f.RunOperator("rollout", "back", "refuse")
+	code, _ := f.RunOperator("rollout", "watch", "refuse", "--every", "500ms")
 	fmt.Printf("back: exit code %d after %v\n", code, time.Since(began).Round(100*time.Millisecond))
 	seen := f.Stop()
 	stopped = true
 	fmt.Printf("%+v\n", seen)
-	return f.Sound()
+	return f.Check()
 }
--- a/cmd/tryout/main.go
+++ b/cmd/tryout/main.go
@@ -85,7 +85,7 @@
 	meter := &standin.Meter{Rate: cfg.Plan.Rate, Period: meterPeriod}
 	for i, b := range cfg.Backends {
 		least, span := b.Takes[0], b.Takes[1]-b.Takes[0]
-		backend, err := standin.NewBackend(effects.Work(func() time.Duration {
+		backend, err := standin.NewBackend(effects.Handler(func() time.Duration {
 			return time.Duration(least+rand.IntN(span+1)) * time.Millisecond
 		}, meter))
 		if err != nil {
@@ -156,7 +156,7 @@
 		case <-done:
 			return
 		}
-		t, lap := load.Tally(), load.Lap()
+		t, lap := load.Tally(), load.LapLatencies()
 		fmt.Printf("%8d %7d %7d %7d %7d %7d %8s %8s\n", n, t.Asked-last.Asked, t.Served-last.Served, t.Refused-last.Refused,
 			t.Failed-last.Failed, t.Open, short(standin.Percentile(lap, 0.5)), short(standin.Percentile(lap, 0.99)))
 		last = t
@@ -175,14 +175,14 @@
 	fmt.Printf("latency of what was served: p50 %s, p99 %s, p99.9 %s\n", short(standin.Percentile(all, 0.5)),
 		short(standin.Percentile(all, 0.99)), short(standin.Percentile(all, 0.999)))
 	payments := 0
-	for _, id := range effects.Twice() {
+	for _, id := range effects.Duplicates() {
 		if standin.PaymentID(id) {
 			payments++
 		}
 	}
 	fmt.Printf("the backends ran %d; lost %d, answered wrongly or twice %d, payments that ran twice %d\n",
 		effects.Total(), t.Lost, t.Wrong+t.Extra, payments)
-	if err := t.Sound(); err != nil {
+	if err := t.Check(); err != nil {
 		return err
 	}
 	if payments > 0 {
--- a/cmd/wickarch/descriptors_test.go
+++ b/cmd/wickarch/descriptors_test.go
@@ -158,7 +158,7 @@
 
 			// While it was down another backend came in place of the one that serves.
 			var ran standin.Effects
-			other, err := standin.NewBackend(ran.Work(func() time.Duration { return 0 }, nil))
+			other, err := standin.NewBackend(ran.Handler(func() time.Duration { return 0 }, nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -185,7 +185,7 @@
 			for range cap(ended) {
 				c := s.dial()
 				s.asked(c)
-				go func() { ended <- c.Ended() }()
+				go func() { ended <- c.ExpectClosed() }()
 			}
 			if err := s.Stop(patience); err != nil {
 				t.Errorf("the drain: %v", err)
--- a/cmd/wickarch/faults_test.go
+++ b/cmd/wickarch/faults_test.go
@@ -126,7 +126,7 @@
 // keepsTheRule wants the ingress to have counted no step that the rule on requests forbids.
 func (f *faulty) keepsTheRule() {
 	f.Helper()
-	if f.HasEnded() {
+	if f.Exited() {
 		return
 	}
 	for v := lifecycle.None + 1; v < lifecycle.NumViolations; v++ {
--- a/cmd/wickarch/herd_test.go
+++ b/cmd/wickarch/herd_test.go
@@ -35,7 +35,7 @@
 func newHerd(t *testing.T, told int, cold func(backend int) bool) *herd {
 	h := &herd{T: t, told: told, got: make([]atomic.Int32, 24), nodes: make([]*standin.Process, herdSize)}
 	var members []standin.Member
-	work := h.effects.Work(func() time.Duration { return 2 * time.Millisecond }, nil)
+	work := h.effects.Handler(func() time.Duration { return 2 * time.Millisecond }, nil)
 	for i := range h.got {
 		b, err := standin.NewBackend(func(r standin.Received) {
 			h.got[i].Add(1)
@@ -104,7 +104,7 @@
 
 func (h *herd) connections() (n int) {
 	for _, b := range h.backends {
-		n += b.Met()
+		n += b.Accepted()
 	}
 	return n
 }
@@ -141,8 +141,8 @@
 					warm++
 				}
 			}
-			if total != herdSize*times*2 || len(h.effects.Twice()) > 0 {
-				t.Errorf("%d requests ran %d times, %v more than once", herdSize*times*2, total, h.effects.Twice())
+			if total != herdSize*times*2 || len(h.effects.Duplicates()) > 0 {
+				t.Errorf("%d requests ran %d times, %v more than once", herdSize*times*2, total, h.effects.Duplicates())
 			}
 			if toCold > total/8 { // one in four is cold
 				t.Errorf("cold backends got %d of %d requests", toCold, total)
--- a/cmd/wickarch/idle_test.go
+++ b/cmd/wickarch/idle_test.go
@@ -89,18 +89,18 @@
 func around(t *testing.T, limits standin.Limits) *site {
 	t.Helper()
 	s := &site{T: t, dir: t.TempDir()}
-	work := s.effects.Work(func() time.Duration { return time.Duration(rand.IntN(5)) * time.Millisecond }, nil)
+	work := s.effects.Handler(func() time.Duration { return time.Duration(rand.IntN(5)) * time.Millisecond }, nil)
 	backend, err := standin.NewBackend(func(r standin.Received) {
 		s.note(r)
 		switch r.Args[1] {
 		case fmt.Sprintf("%016x", hole):
-			s.effects.Run(r.ID())
+			s.effects.Record(r.ID())
 		case fmt.Sprintf("%016x", large):
-			s.effects.Run(r.ID())
+			s.effects.Record(r.ID())
 			r.Answer(strings.Repeat("x", 60_000))
 		case fmt.Sprintf("%016x", unclear):
-			s.effects.Run(r.ID())
-			r.Line("-BUSY\r\n*3\r\n$2\r\nok\r\n$-1\r\n$-1")
+			s.effects.Record(r.ID())
+			r.Reply("-BUSY\r\n*3\r\n$2\r\nok\r\n$-1\r\n$-1")
 		default:
 			work(r)
 		}
@@ -136,7 +136,7 @@
 
 // load begins a steady load of usual clients; the function ends it and judges it.
 func (s *site) load(perSecond float64, change ...func(*standin.Load)) func() *standin.Load {
-	l := &standin.Load{Addr: s.Addr, PerSecond: perSecond, Payments: 0.3, Deadline: deadline, Prompt: prompt}
+	l := &standin.Load{Addr: s.Addr, PerSecond: perSecond, Payments: 0.3, Deadline: deadline, FirstRequestTimeout: prompt}
 	for _, c := range change {
 		c(l)
 	}
@@ -151,7 +151,7 @@
 		stop()
 		<-done
 		t := l.Tally()
-		if err := t.Sound(); err != nil {
+		if err := t.Check(); err != nil {
 			s.Errorf("usual clients: %v", err)
 		}
 		if t.Unreached > 0 || t.Failed > 0 {
@@ -165,9 +165,9 @@
 // once checks that no payment ran twice.
 func (s *site) once() {
 	s.Helper()
-	for _, id := range s.effects.Twice() {
+	for _, id := range s.effects.Duplicates() {
 		if standin.PaymentID(id) {
-			s.Errorf("payment %s ran %d times", id, s.effects.Of(id))
+			s.Errorf("payment %s ran %d times", id, s.effects.Count(id))
 		}
 	}
 }
@@ -245,7 +245,7 @@
 					if err := last.Send("PING"); err != nil {
 						t.Fatal(err)
 					}
-					if line, err := last.Line(); err != nil || line != "+PONG" {
+					if line, err := last.ReadReply(); err != nil || line != "+PONG" {
 						t.Fatalf("a ping is answered %q, %v", line, err)
 					}
 					if err := s.Cmd.Process.Signal(syscall.SIGSTOP); err != nil {
@@ -371,7 +371,7 @@
 	s.crowd(300, func(c *standin.Client) { s.asked(c) })() // past all places, within the half one's time
 	_, _ = half.Write(command[len(command)/2:])            // it may be closed by then, on a late machine
 	if time.Since(start) < 2*time.Second {
-		if line, err := half.Line(); err != nil || !strings.HasSuffix(line, id) {
+		if line, err := half.ReadReply(); err != nil || !strings.HasSuffix(line, id) {
 			t.Errorf("the command in two halves is answered %q, %v", line, err)
 		}
 	}
@@ -388,17 +388,17 @@
 		if err := c.Send(standin.Payment(hole, id, ms)...); err != nil {
 			s.Fatal(err)
 		}
-		for s.effects.Of(id) == 0 && c.In.Buffered() == 0 {
+		for s.effects.Count(id) == 0 && c.In.Buffered() == 0 {
 			_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 			if _, err := c.In.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) || time.Now().After(end) {
 				s.Fatalf("a payment is not sent on: %v", err)
 			}
 		}
 		_ = c.SetReadDeadline(time.Now().Add(patience))
-		if s.effects.Of(id) == 1 {
+		if s.effects.Count(id) == 1 {
 			return
 		}
-		if line, err := c.Line(); err != nil || time.Now().After(end) {
+		if line, err := c.ReadReply(); err != nil || time.Now().After(end) {
 			s.Fatalf("a payment is answered %q, %v, and never sent on", line, err)
 		}
 	}
@@ -430,7 +430,7 @@
 func TestDescriptorsRunOut(t *testing.T) {
 	s := start(t, limits, "")
 	setFiles(t, s.Cmd.Process.Pid, 60)
-	judge := s.load(100, func(l *standin.Load) { l.NoKeep = true })
+	judge := s.load(100, func(l *standin.Load) { l.NoKeepAlive = true })
 	s.crowd(400, func(c *standin.Client) { s.asked(c) })()
 	second := standin.NewDiscovery(s.member)
 	t.Cleanup(second.Stop)
@@ -535,7 +535,7 @@
 	c := s.dial()
 	s.open(c, 300)
 	close(closeAll)
-	if line, err := c.Line(); err != nil || line != "-ERR failed" {
+	if line, err := c.ReadReply(); err != nil || line != "-ERR failed" {
 		t.Errorf("at its deadline the answer is %q, %v", line, err)
 	}
 	wait()
@@ -551,7 +551,7 @@
 	wait := s.crowd(3000, func(c *standin.Client) {
 		s.asked(c)
 		ready <- struct{}{}
-		if c.Ended() == nil {
+		if c.ExpectClosed() == nil {
 			clean.Add(1)
 		} else {
 			other.Add(1)
@@ -564,7 +564,7 @@
 	s.open(open, 1000)
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(patience) }()
-	if line, err := open.Line(); err != nil || line != "-ERR failed" {
+	if line, err := open.ReadReply(); err != nil || line != "-ERR failed" {
 		t.Errorf("the open request is answered %q, %v", line, err)
 	}
 	wait()
--- a/cmd/wickarch/replace_test.go
+++ b/cmd/wickarch/replace_test.go
@@ -91,7 +91,7 @@
 	before.Cmd.Process.Kill()
 	// It may not have heard of a backend yet, and then says so.
 	got := c.Outcome(id)
-	if ran := s.effects.Of(id); got != standin.Served && got != standin.Refused || (got == standin.Served) != (ran == 1) {
+	if ran := s.effects.Count(id); got != standin.Served && got != standin.Refused || (got == standin.Served) != (ran == 1) {
 		t.Errorf("the outcome is %v, and it ran %d times", got, ran)
 	}
 	if err := next.Stop(patience); err != nil {
--- a/cmd/wickarch/starts_test.go
+++ b/cmd/wickarch/starts_test.go
@@ -67,7 +67,7 @@
 		c, err := standin.Dial(addr, within)
 		if err == nil {
 			if err = c.Send("PING"); err == nil {
-				line, err = c.Line()
+				line, err = c.ReadReply()
 			}
 			c.Close()
 		}
--- a/cmd/wickarch/stop_test.go
+++ b/cmd/wickarch/stop_test.go
@@ -48,11 +48,11 @@
 				defer clients.Done()
 				for id := range sent {
 					// The answers come in the order of the requests; behind the last there is none.
-					if _, err := c.Line(); err != nil {
+					if _, err := c.ReadReply(); err != nil {
 						c.Close() // ends the sender
 						<-ended
 						for ok := true; ok; id, ok = <-sent {
-							if s.effects.Of(id) > 0 {
+							if s.effects.Count(id) > 0 {
 								t.Errorf("request %s has run and has no answer", id)
 							}
 						}
--- a/internal/fleetproc/configured.go
+++ b/internal/fleetproc/configured.go
@@ -52,7 +52,7 @@
 	}
 	f.Front = &standin.Front{PerSecond: f.PerSecond, Payments: f.Payments, Deadline: 3 * time.Second, Effects: &f.Effects}
 	for i := range f.Ingresses {
-		env, _, err := f.node(i)
+		env, _, err := f.configureIngress(i)
 		if err != nil {
 			return err
 		}
@@ -79,7 +79,7 @@
 			return err
 		}
 	}
-	f.run()
+	f.startFront()
 	return f.WaitConfig(time.Minute, "all follow", func(s distribution.Status) bool {
 		heard := 0
 		for _, x := range s.Followers {
@@ -87,12 +87,12 @@
 				heard++
 			}
 		}
-		return heard == f.Ingresses && f.Front.Out() == 0
+		return heard == f.Ingresses && f.Front.Unavailable() == 0
 	})
 }
 
 // run has the front send requests until Stop.
-func (f *Fleet) run() {
+func (f *Fleet) startFront() {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	go func() { f.done <- f.Front.Run(ctx) }()
@@ -123,37 +123,37 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("waited %v in vain until %s: %s; %d ingresses out", patience, what, last, f.Front.Out())
+	return fmt.Errorf("waited %v in vain until %s: %s; %d ingresses out", patience, what, last, f.Front.Unavailable())
 }
 
 // Siege is one customer who asks at every ingress as fast as it is told to, and what came of it.
-type Siege struct {
+type CustomerLoad struct {
 	Plan      string
 	PerSecond float64 // at each ingress
 
-	mu     sync.Mutex
-	times  []time.Time // of what reached a backend
-	answer [5]int      // by standin.Outcome
-	stop   context.CancelFunc
-	all    sync.WaitGroup
+	mu       sync.Mutex
+	arrivals []time.Time // of what reached a backend
+	outcomes [5]int      // by standin.Outcome
+	stop     context.CancelFunc
+	all      sync.WaitGroup
 }
 
 // siegeCustomer is nobody of the front's.
-const siegeCustomer = 0xbe51e9e
+const loadCustomer = 0xbe51e9e
 
 // Lay begins a siege of a fleet's ingresses.
-func (f *Fleet) Lay(s *Siege) {
+func (f *Fleet) StartCustomerLoad(s *CustomerLoad) {
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	f.mu.Lock()
-	f.siege = s
+	f.customerLoad = s
 	f.mu.Unlock()
 	for _, address := range f.Front.Addrs {
 		s.all.Go(func() { s.ask(ctx, address, f.Ingresses) })
 	}
 }
 
-func (s *Siege) ask(ctx context.Context, address string, spread int) {
+func (s *CustomerLoad) ask(ctx context.Context, address string, spread int) {
 	var c *standin.Client
 	for ctx.Err() == nil {
 		select {
@@ -171,9 +171,9 @@
 		c.SetDeadline(time.Now().Add(3 * time.Second))
 		id := "0" + standin.NewID()[1:]
 		options := fmt.Sprintf("c=lookup,t=%s,d=2000,units=1,spread=%d,first=0", s.Plan, spread)
-		got := c.Ask(id, "Q.ASK", fmt.Sprintf("%016x", siegeCustomer), id, options)
+		got := c.Ask(id, "Q.ASK", fmt.Sprintf("%016x", loadCustomer), id, options)
 		s.mu.Lock()
-		s.answer[got]++
+		s.outcomes[got]++
 		s.mu.Unlock()
 		if got != standin.Served && got != standin.Refused {
 			c.Close()
@@ -186,37 +186,37 @@
 }
 
 // reached notes a request that has reached a backend.
-func (s *Siege) reached() {
+func (s *CustomerLoad) recordArrival() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.times = append(s.times, time.Now())
+	s.arrivals = append(s.arrivals, time.Now())
 }
 
 // End ends a siege.
-func (s *Siege) End() {
+func (s *CustomerLoad) End() {
 	s.stop()
 	s.all.Wait()
 }
 
 // Count is how many requests reached backends from a time on, and how they were answered in all.
-func (s *Siege) Count(from time.Time) (reached int, answers [5]int) {
+func (s *CustomerLoad) Count(from time.Time) (reached int, answers [5]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.times {
+	for _, t := range s.arrivals {
 		if !t.Before(from) {
 			reached++
 		}
 	}
-	return reached, s.answer
+	return reached, s.outcomes
 }
 
 // Over is by how much what reached backends between two times passed a ceiling's bucket that was
 // full at first: units beyond it, at worst.
-func (s *Siege) Over(from, to time.Time, rate, burst float64) (worst float64) {
+func (s *CustomerLoad) MaxExcess(from, to time.Time, rate, burst float64) (worst float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held, last := burst, from
-	for _, t := range s.times {
+	for _, t := range s.arrivals {
 		if t.Before(from) || t.After(to) {
 			continue
 		}
--- a/internal/fleetproc/configured_test.go
+++ b/internal/fleetproc/configured_test.go
@@ -13,7 +13,7 @@
 )
 
 // file writes a configuration whose plan "gold" has a ceiling, with more lines behind.
-func (f *Fleet) file(t *testing.T, ceiling float64, more string) string {
+func (f *Fleet) writeConfig(t *testing.T, ceiling float64, more string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "configuration.toml")
 	text := fmt.Sprintf("[plan.basic]\nrate = 1e6\nburst = 1e6\nprice = 1.0\n\n[plan.gold]\nprice = 1.0\nceiling_rate = %g\nceiling_burst = %g\n\n%s", ceiling, ceiling, more)
@@ -25,12 +25,12 @@
 
 func (f *Fleet) waitConfig(t *testing.T, what string, is func(distribution.Status) bool) {
 	t.Helper()
-	if err := f.WaitConfig(patience, what, is); err != nil {
+	if err := f.WaitConfig(waitTimeout, what, is); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func standing(s distribution.Status, name string) distribution.FollowerStatus {
+func followerStatus(s distribution.Status, name string) distribution.FollowerStatus {
 	for _, x := range s.Followers {
 		if x.Name == name {
 			return x
@@ -40,7 +40,7 @@
 }
 
 // everywhere tells whether a version is in force at all ingresses.
-func (f *Fleet) everywhere(version uint64) func(distribution.Status) bool {
+func (f *Fleet) inForceEverywhere(version uint64) func(distribution.Status) bool {
 	return func(s distribution.Status) bool {
 		n := 0
 		for _, x := range s.Followers {
@@ -53,9 +53,9 @@
 }
 
 // lead is the number of the coordinator that leads, from 0.
-func (f *Fleet) lead(t *testing.T) int {
+func (f *Fleet) waitLeader(t *testing.T) int {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if l := f.Leader(); l >= 0 {
 			return l
 		}
@@ -80,7 +80,7 @@
 	t.Cleanup(func() {
 		seen := f.Stop()
 		t.Logf("%+v", seen)
-		if err := f.Sound(); err != nil {
+		if err := f.Check(); err != nil {
 			t.Error(err)
 		}
 		if t.Failed() {
@@ -90,9 +90,9 @@
 			}
 		}
 	})
-	f.must(t, 0, "config", "push", f.file(t, 24, ""), "--wait", "60s")
-	siege := &Siege{Plan: "gold", PerSecond: 15}
-	f.Lay(siege)
+	f.mustRun(t, 0, "config", "push", f.writeConfig(t, 24, ""), "--wait", "60s")
+	siege := &CustomerLoad{Plan: "gold", PerSecond: 15}
+	f.StartCustomerLoad(siege)
 	defer siege.End()
 	began := time.Now()
 
@@ -105,8 +105,8 @@
 		for _, l := range f.Links[1] {
 			l.Delay(150 * time.Millisecond)
 		}
-		lead := f.lead(t)
-		f.must(t, 0, "config", "push", f.file(t, 12, ""), "--wait", "0s")
+		lead := f.waitLeader(t)
+		f.mustRun(t, 0, "config", "push", f.writeConfig(t, 12, ""), "--wait", "0s")
 		f.Coordinators[lead].Kill()
 		for _, l := range f.Links[2] {
 			l.Reset()
@@ -118,7 +118,7 @@
 					n++
 				}
 			}
-			return n == f.Ingresses-1 && s.Settled == 2 && standing(s, "n0").Version < 2 && standing(s, "n0").Sync != distribution.SyncInForce
+			return n == f.Ingresses-1 && s.Settled == 2 && followerStatus(s, "n0").Version < 2 && followerStatus(s, "n0").Sync != distribution.SyncInForce
 		})
 		if err := f.Coordinators[lead].Start(); err != nil {
 			t.Fatal(err)
@@ -128,13 +128,13 @@
 				l.Heal()
 			}
 		}
-		f.waitConfig(t, "the one that was cut off has it", f.everywhere(2))
+		f.waitConfig(t, "the one that was cut off has it", f.inForceEverywhere(2))
 	})
 	lowered := time.Now()
 
 	t.Run("a ceiling is raised only when all that are heard have it", func(t *testing.T) {
 		f.Programs[3].Signal(syscall.SIGSTOP) // it keeps its lease for a while
-		f.must(t, 0, "config", "push", f.file(t, 120, ""), "--wait", "0s")
+		f.mustRun(t, 0, "config", "push", f.writeConfig(t, 120, ""), "--wait", "0s")
 		f.waitConfig(t, "the others have it", func(s distribution.Status) bool {
 			n := 0
 			for _, x := range s.Followers {
@@ -144,41 +144,41 @@
 			}
 			return n >= f.Ingresses-1
 		})
-		s, err := f.ConfigStatus(patience)
+		s, err := f.ConfigStatus(waitTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
 		settled := s.Settled == 3
 		raised := time.Now()
-		if over := siege.Over(lowered, raised, 12, 12); !settled && over > 12*slack {
+		if over := siege.MaxExcess(lowered, raised, 12, 12); !settled && over > 12*slackSeconds {
 			t.Errorf("%v units beyond the ceiling of 12 while it was being raised", over)
 		}
 		f.Programs[3].Signal(syscall.SIGCONT)
-		f.waitConfig(t, "all have it", f.everywhere(3))
+		f.waitConfig(t, "all have it", f.inForceEverywhere(3))
 		from := time.Now()
-		for end := from.Add(patience); ; time.Sleep(50 * time.Millisecond) {
+		for end := from.Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) {
 			if n, _ := siege.Count(from); float64(n) > 3*12 {
 				break // more than the one before would have let through in so short a time
 			} else if time.Now().After(end) {
-				t.Fatalf("%d units in %v at a ceiling of 120", n, patience)
+				t.Fatalf("%d units in %v at a ceiling of 120", n, waitTimeout)
 			}
 		}
 	})
 
 	t.Run("a version that can't be used is halted, with resource and line", func(t *testing.T) {
-		bad := f.file(t, 120, "[service.accounts]\naim_ms = 200\n\n[route.accounts]\nservice = \"accounts\"\nprefix = \"0\"\nclass = \"nonesuch\"\n")
-		out := f.must(t, 3, "config", "push", bad, "--wait", "60s")
+		bad := f.writeConfig(t, 120, "[service.accounts]\naim_ms = 200\n\n[route.accounts]\nservice = \"accounts\"\nprefix = \"0\"\nclass = \"nonesuch\"\n")
+		out := f.mustRun(t, 3, "config", "push", bad, "--wait", "60s")
 		if !strings.Contains(out, "HALTED") || !strings.Contains(out, "route/accounts (line 14)") || !strings.Contains(out, "nonesuch") {
 			t.Errorf("it is told as %s", out)
 		}
-		if s, err := f.ConfigStatus(patience); err != nil || s.Settled != 3 {
+		if s, err := f.ConfigStatus(waitTimeout); err != nil || s.Settled != 3 {
 			t.Errorf("settled is version %d, %v", s.Settled, err)
 		}
-		if out := f.must(t, 7, "config", "push", f.file(t, 60, ""), "--base", "3"); !strings.Contains(out, "Conflict") {
+		if out := f.mustRun(t, 7, "config", "push", f.writeConfig(t, 60, ""), "--base", "3"); !strings.Contains(out, "Conflict") {
 			t.Errorf("a push on an older version is told as %s", out)
 		}
-		f.must(t, 0, "config", "back", "--to", "3", "--wait", "60s")
-		f.waitConfig(t, "the way back is in force", f.everywhere(5))
+		f.mustRun(t, 0, "config", "back", "--to", "3", "--wait", "60s")
+		f.waitConfig(t, "the way back is in force", f.inForceEverywhere(5))
 	})
 
 	t.Run("an ingress starts by what it kept, and the fleet serves on, with no coordinator", func(t *testing.T) {
@@ -212,14 +212,14 @@
 		}
 		// Their logs tell before they serve; the front may not have seen that they were gone.
 		for i, want := range map[int]string{4: `configured by what was kept follower=n4 in_force="version 5`, 5: "damaged"} {
-			for end := time.Now().Add(patience); !strings.Contains(f.Programs[i].Log(), want); time.Sleep(20 * time.Millisecond) {
+			for end := time.Now().Add(waitTimeout); !strings.Contains(f.Programs[i].Log(), want); time.Sleep(20 * time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("waited in vain for %q: %s", want, f.Programs[i].Log())
 				}
 			}
 		}
 		before := f.Front.Seen().Served
-		for end := time.Now().Add(patience); f.Front.Out() > 0 || f.Front.Seen().Served < before+100; time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); f.Front.Unavailable() > 0 || f.Front.Seen().Served < before+100; time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the ingresses do not serve without a coordinator")
 			}
@@ -229,11 +229,11 @@
 				t.Fatal(err)
 			}
 		}
-		f.waitConfig(t, "all follow again", f.everywhere(5))
-		f.must(t, 0, "config", "push", f.file(t, 12, ""), "--wait", "60s")
+		f.waitConfig(t, "all follow again", f.inForceEverywhere(5))
+		f.mustRun(t, 0, "config", "push", f.writeConfig(t, 12, ""), "--wait", "60s")
 	})
 	ended := time.Now()
-	if over := siege.Over(began, ended, 120, 120); over > 120*slack {
+	if over := siege.MaxExcess(began, ended, 120, 120); over > 120*slackSeconds {
 		t.Errorf("%v units beyond the highest ceiling", over)
 	}
 	_, answers := siege.Count(began)
@@ -242,4 +242,4 @@
 
 // slack is how long a request may be on its way to a backend beside others that are not, in
 // seconds: so much of a ceiling's rate may seem to come at once.
-const slack = 1.0
+const slackSeconds = 1.0
--- a/internal/fleetproc/fleet.go
+++ b/internal/fleetproc/fleet.go
@@ -49,17 +49,17 @@
 	Effects      standin.Effects
 	Backends     []*Backend
 	Links        [][]*standin.Link // from an agent to each coordinator
-	Between      [][]*standin.Link // from a coordinator to each other
+	PeerLinks    [][]*standin.Link // from a coordinator to each other
 	Addresses    []string          // of the coordinators
 
-	registry *standin.Registry
-	control  *httptest.Server
-	http     *http.Client
-	stop     context.CancelFunc
-	done     chan standin.FrontTally
-	mu       sync.Mutex
-	killed   bool
-	siege    *Siege
+	registry     *standin.Registry
+	hookServer   *httptest.Server
+	http         *http.Client
+	stop         context.CancelFunc
+	done         chan standin.FrontTally
+	mu           sync.Mutex
+	killed       bool
+	customerLoad *CustomerLoad
 }
 
 // Process is one of the fleet's own that can be killed, paused and started again.
@@ -138,13 +138,13 @@
 type Backend struct {
 	Name string
 
-	fleet   *Fleet
-	mu      sync.Mutex
-	now     *standin.Backend
-	version string
-	drained time.Time // when all were told that it drains; zero while not
-	late    int       // requests that came over 550 ms after that
-	drains  int
+	fleet        *Fleet
+	mu           sync.Mutex
+	server       *standin.Backend
+	version      string
+	drained      time.Time // when all were told that it drains; zero while not
+	lateRequests int       // requests that came over 550 ms after that
+	drains       int
 }
 
 // Start starts a fleet and waits until all of it serves.
@@ -159,7 +159,7 @@
 
 func newFleet(cfg Config) *Fleet {
 	f := &Fleet{Config: cfg, registry: standin.NewRegistry(), http: rolloutlink.NewHTTPClient(3 * time.Second), done: make(chan standin.FrontTally, 1)}
-	f.control = httptest.NewServer(http.HandlerFunc(f.hook))
+	f.hookServer = httptest.NewServer(http.HandlerFunc(f.hook))
 	return f
 }
 
@@ -172,7 +172,7 @@
 	}
 	f.Front = &standin.Front{PerSecond: f.PerSecond, Payments: f.Payments, Deadline: 3 * time.Second, Effects: &f.Effects}
 	for i := range f.Ingresses {
-		if err := f.ingress(i); err != nil {
+		if err := f.startIngressAgent(i); err != nil {
 			return err
 		}
 	}
@@ -180,13 +180,13 @@
 		b := f.Backends[i]
 		text := f.agentFile(b.Name, "backend", i, "v1") + "[hooks]\n"
 		for _, name := range []string{"drain", "stop", "start", "ready"} {
-			text += fmt.Sprintf("%s = [%q, \"hook\", %q]\n", name, f.bin("rollouts"), f.control.URL+"/"+name+"/"+b.Name)
+			text += fmt.Sprintf("%s = [%q, \"hook\", %q]\n", name, f.bin("rollouts"), f.hookServer.URL+"/"+name+"/"+b.Name)
 		}
-		if err := f.agent(b.Name, text, nil); err != nil {
+		if err := f.startAgent(b.Name, text, nil); err != nil {
 			return err
 		}
 	}
-	f.run()
+	f.startFront()
 	return f.Wait(time.Minute, "all serve", func(s rolloutlink.Status) bool {
 		in := 0
 		for _, m := range s.Members {
@@ -194,7 +194,7 @@
 				in++
 			}
 		}
-		return in == f.Ingresses+f.Config.Backends && f.Front.Out() == 0
+		return in == f.Ingresses+f.Config.Backends && f.Front.Unavailable() == 0
 	})
 }
 
@@ -234,7 +234,7 @@
 			links = append(links, l)
 			text += fmt.Sprintf("[[coordinator]]\nid = %d\naddress = %q\n", j+1, address)
 		}
-		f.Between = append(f.Between, links)
+		f.PeerLinks = append(f.PeerLinks, links)
 		r := f.Report.Milliseconds()
 		text += f.Budgets + fmt.Sprintf("\n[times]\ntick_ms = 50\ndecide_ms = 100\nreport_ms = %d\nfresh_ms = %d\nlearn_ms = %d\nbegin_ms = %d\nbear_ms = 4000\nwatch_ms = 500\n", r, 8*r, 6*r, 6*r)
 		path := filepath.Join(f.Dir, fmt.Sprintf("c%d.toml", i+1))
@@ -273,7 +273,7 @@
 		name, role, i%f.Zones, strings.Join(links, ", "), filepath.Join(f.Dir, name), version, r, 6*r, max(r/2, 50), f.Prove.Milliseconds())
 }
 
-func (f *Fleet) agent(name, text string, env []string) error {
+func (f *Fleet) startAgent(name, text string, env []string) error {
 	path := filepath.Join(f.Dir, name+".toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
@@ -285,7 +285,7 @@
 
 // node configures an ingress, and returns the environment that it is started with and its
 // second address.
-func (f *Fleet) node(i int) (env []string, admin string, err error) {
+func (f *Fleet) configureIngress(i int) (env []string, admin string, err error) {
 	listen, err := standin.Reserve()
 	if err != nil {
 		return nil, "", err
@@ -302,9 +302,9 @@
 }
 
 // ingress configures an ingress and starts its agent, which starts it.
-func (f *Fleet) ingress(i int) error {
+func (f *Fleet) startIngressAgent(i int) error {
 	name := fmt.Sprint("n", i)
-	env, admin, err := f.node(i)
+	env, admin, err := f.configureIngress(i)
 	if err != nil {
 		return err
 	}
@@ -314,7 +314,7 @@
 	for _, how := range []string{"crash", "refuse", "slow"} {
 		text += fmt.Sprintf("%s = [%q, \"faulty\", %q, \"--how\", %q]\n", how, faulty, program, how)
 	}
-	return f.agent(name, text, nil)
+	return f.startAgent(name, text, nil)
 }
 
 // Status is how the leading coordinator sees the fleet, asked directly.
@@ -349,11 +349,11 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("waited %v in vain until %s: %s; %d ingresses out, %+v", patience, what, last, f.Front.Out(), f.Front.Seen())
+	return fmt.Errorf("waited %v in vain until %s: %s; %d ingresses out, %+v", patience, what, last, f.Front.Unavailable(), f.Front.Seen())
 }
 
 // Order runs the operators' command and gives its exit code.
-func (f *Fleet) Order(args ...string) (code int, out string) {
+func (f *Fleet) RunOperator(args ...string) (code int, out string) {
 	cmd := exec.Command(f.bin("wickarch-fleet"), args...)
 	cmd.Env = append(os.Environ(), "WICKARCH_COORDINATORS="+strings.Join(f.Addresses, ","))
 	b, err := cmd.CombinedOutput()
@@ -397,26 +397,26 @@
 }
 
 // Sound tells what may never be, as counted at the stand-ins.
-func (f *Fleet) Sound() error {
+func (f *Fleet) Check() error {
 	f.mu.Lock()
 	killed := f.killed
 	f.mu.Unlock()
 	t := f.Front.Seen()
 	var faults []error
-	if err := t.Sound(killed); err != nil {
+	if err := t.Check(killed); err != nil {
 		faults = append(faults, err)
 	}
-	if twice := f.Effects.Twice(); len(twice) > 0 {
+	if twice := f.Effects.Duplicates(); len(twice) > 0 {
 		for _, id := range twice {
 			if standin.PaymentID(id) {
-				faults = append(faults, fmt.Errorf("payment %s ran %d times", id, f.Effects.Of(id)))
+				faults = append(faults, fmt.Errorf("payment %s ran %d times", id, f.Effects.Count(id)))
 			}
 		}
 	}
 	for _, b := range f.Backends {
 		b.mu.Lock()
-		if b.late > 0 {
-			faults = append(faults, fmt.Errorf("%s got %d requests over 550 ms after it was told draining", b.Name, b.late))
+		if b.lateRequests > 0 {
+			faults = append(faults, fmt.Errorf("%s got %d requests over 550 ms after it was told draining", b.Name, b.lateRequests))
 		}
 		b.mu.Unlock()
 	}
@@ -438,7 +438,7 @@
 	for _, p := range f.Coordinators {
 		p.Kill()
 	}
-	for _, list := range append(f.Links, f.Between...) {
+	for _, list := range append(f.Links, f.PeerLinks...) {
 		for _, l := range list {
 			if l != nil {
 				l.Close()
@@ -447,12 +447,12 @@
 	}
 	for _, b := range f.Backends {
 		b.mu.Lock()
-		if b.now != nil {
-			b.now.Close()
+		if b.server != nil {
+			b.server.Close()
 		}
 		b.mu.Unlock()
 	}
-	f.control.Close()
+	f.hookServer.Close()
 	f.registry.Stop()
 	return t
 }
@@ -474,7 +474,7 @@
 			err = b.start(r.URL.Query().Get("version"), false)
 		case "ready":
 			b.mu.Lock()
-			if b.now == nil {
+			if b.server == nil {
 				w.WriteHeader(http.StatusGone)
 			}
 			b.mu.Unlock()
@@ -489,18 +489,18 @@
 }
 
 func (b *Backend) start(version string, warm bool) error {
-	work := b.fleet.Effects.Work(func() time.Duration { return 2 * time.Millisecond }, nil)
+	work := b.fleet.Effects.Handler(func() time.Duration { return 2 * time.Millisecond }, nil)
 	s, err := standin.NewBackend(func(r standin.Received) {
 		b.mu.Lock()
 		if !b.drained.IsZero() && time.Since(b.drained) > 550*time.Millisecond {
-			b.late++
+			b.lateRequests++
 		}
 		b.mu.Unlock()
-		if len(r.Args) > 1 && r.Args[1] == fmt.Sprintf("%016x", siegeCustomer) {
+		if len(r.Args) > 1 && r.Args[1] == fmt.Sprintf("%016x", loadCustomer) {
 			b.fleet.mu.Lock()
-			siege := b.fleet.siege
+			siege := b.fleet.customerLoad
 			b.fleet.mu.Unlock()
-			siege.reached()
+			siege.recordArrival()
 		}
 		work(r)
 	})
@@ -509,7 +509,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.now, b.version, b.drained = s, version, time.Time{}
+	b.server, b.version, b.drained = s, version, time.Time{}
 	m := s.Member(b.Name)
 	if !warm {
 		m.UpSince = time.Now().UnixMilli()
@@ -521,11 +521,11 @@
 func (b *Backend) drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.now == nil || !b.drained.IsZero() {
+	if b.server == nil || !b.drained.IsZero() {
 		return
 	}
 	b.drains++
-	m := b.now.Member(b.Name)
+	m := b.server.Member(b.Name)
 	m.Phase = "DRAINING"
 	b.fleet.registry.Set(m)
 	b.drained = time.Now()
@@ -535,21 +535,21 @@
 	b.drain()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.now == nil {
+	if b.server == nil {
 		return
 	}
-	m := b.now.Member(b.Name)
+	m := b.server.Member(b.Name)
 	m.Phase = "DELETED"
 	b.fleet.registry.Set(m)
-	b.now.Close()
-	b.now = nil
+	b.server.Close()
+	b.server = nil
 }
 
 // Version is what it serves; "" while it does not run.
 func (b *Backend) Version() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.now == nil {
+	if b.server == nil {
 		return ""
 	}
 	return b.version
--- a/internal/fleetproc/fleet_test.go
+++ b/internal/fleetproc/fleet_test.go
@@ -29,7 +29,7 @@
 most = 1
 `
 
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 // start starts a fleet of twelve ingresses and six backends.
 func start(t *testing.T) *Fleet {
@@ -46,7 +46,7 @@
 	t.Cleanup(func() {
 		seen := f.Stop()
 		t.Logf("%+v", seen)
-		if err := f.Sound(); err != nil {
+		if err := f.Check(); err != nil {
 			t.Error(err)
 		}
 		if t.Failed() {
@@ -59,9 +59,9 @@
 	return f
 }
 
-func (f *Fleet) must(t *testing.T, want int, args ...string) string {
+func (f *Fleet) mustRun(t *testing.T, want int, args ...string) string {
 	t.Helper()
-	code, out := f.Order(args...)
+	code, out := f.RunOperator(args...)
 	if code != want {
 		t.Fatalf("%v ends with %d, want %d: %s", args, code, want, out)
 	}
@@ -70,7 +70,7 @@
 
 func (f *Fleet) wait(t *testing.T, what string, is func(rolloutlink.Status) bool) {
 	t.Helper()
-	if err := f.Wait(patience, what, is); err != nil {
+	if err := f.Wait(waitTimeout, what, is); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -94,7 +94,7 @@
 }
 
 // all tells whether every member of a role serves a version, and nothing is out.
-func all(s rolloutlink.Status, role, version string) bool {
+func allServe(s rolloutlink.Status, role, version string) bool {
 	for _, m := range s.Members {
 		if m.Role == role && (m.Version != version || m.Out != "") {
 			return false
@@ -107,7 +107,7 @@
 
 func (f *Fleet) release(t *testing.T, id, version string) {
 	t.Helper()
-	f.must(t, 0, append([]string{"rollout", "start", id, "--version", version}, release...)...)
+	f.mustRun(t, 0, append([]string{"rollout", "start", id, "--version", version}, release...)...)
 }
 
 // A good release ends under faults of every part of what decides, and no more are out
@@ -118,7 +118,7 @@
 	f := start(t)
 
 	t.Run("a good release under faults", func(t *testing.T) {
-		f.Front.Mark()
+		f.Front.ResetMostOut()
 		f.release(t, "good", "v2")
 		f.wait(t, "it is on its way", func(s rolloutlink.Status) bool { return rolloutOf(s, "good").Done >= 2 })
 		// The leader dies in the midst of a wave; another coordinator pauses; links are cut one
@@ -133,7 +133,7 @@
 			t.Fatal(err)
 		}
 		for _, l := range f.Links[0] {
-			l.SilenceBack()
+			l.SilenceReverse()
 		}
 		for _, l := range f.Links[1] {
 			l.Delay(40 * time.Millisecond)
@@ -155,7 +155,7 @@
 		// As many cut off as the budget allows out: nothing more goes out until they are back.
 		for i := 3; i < 6; i++ {
 			for _, l := range f.Links[i] {
-				l.SilenceThere()
+				l.SilenceForward()
 			}
 		}
 		f.wait(t, "they count as out", func(s rolloutlink.Status) bool {
@@ -167,7 +167,7 @@
 			}
 			return n == 3
 		})
-		f.must(t, 0, "drain", "n11")
+		f.mustRun(t, 0, "drain", "n11")
 		f.wait(t, "another one is denied", func(s rolloutlink.Status) bool {
 			for _, m := range s.Members {
 				if m.Name == "n11" && strings.Contains(m.Denied, "budget") {
@@ -176,7 +176,7 @@
 			}
 			return false
 		})
-		f.must(t, 0, "undrain", "n11")
+		f.mustRun(t, 0, "undrain", "n11")
 		for i := range 6 {
 			for _, l := range f.Links[i] {
 				l.Heal()
@@ -214,10 +214,10 @@
 			})
 			f.Coordinators[paused].Signal(syscall.SIGCONT)
 		}
-		if code, text := f.Order("rollout", "watch", "good", "--every", "100ms"); code != 0 {
+		if code, text := f.RunOperator("rollout", "watch", "good", "--every", "100ms"); code != 0 {
 			t.Fatalf("it ends with %d: %s", code, text)
 		}
-		f.wait(t, "all serve it", func(s rolloutlink.Status) bool { return all(s, "ingress", "v2") })
+		f.wait(t, "all serve it", func(s rolloutlink.Status) bool { return allServe(s, "ingress", "v2") })
 		// Those that are cut off go on serving; out are those that were granted, by PING.
 		if most := f.Front.Seen().MostOut; most > 3 {
 			t.Errorf("%d ingresses were out at once, 3 are allowed", most)
@@ -249,21 +249,21 @@
 			return false
 		})
 		p.Kill()
-		f.wait(t, "one is left", func(s rolloutlink.Status) bool { return all(s, "ingress", "v2") })
+		f.wait(t, "one is left", func(s rolloutlink.Status) bool { return allServe(s, "ingress", "v2") })
 	})
 
 	for _, how := range []struct{ version, kind string }{{"crash", "CannotStart"}, {"refuse", "GateFailed"}, {"slow", "GateFailed"}} {
 		t.Run("a release that is bad: "+how.version, func(t *testing.T) {
-			f.Front.Mark()
+			f.Front.ResetMostOut()
 			f.release(t, how.version, how.version)
-			if code, text := f.Order("rollout", "watch", how.version, "--every", "100ms"); code != 3 || !strings.Contains(text, how.kind) {
+			if code, text := f.RunOperator("rollout", "watch", how.version, "--every", "100ms"); code != 3 || !strings.Contains(text, how.kind) {
 				t.Fatalf("it ends with %d, want 3 and %s: %s", code, how.kind, text)
 			}
-			f.must(t, 0, "rollout", "back", how.version)
-			if code, text := f.Order("rollout", "watch", how.version, "--every", "100ms"); code != 4 {
+			f.mustRun(t, 0, "rollout", "back", how.version)
+			if code, text := f.RunOperator("rollout", "watch", how.version, "--every", "100ms"); code != 4 {
 				t.Fatalf("the way back ends with %d, want 4: %s", code, text)
 			}
-			f.wait(t, "all serve the one before", func(s rolloutlink.Status) bool { return all(s, "ingress", "v2") })
+			f.wait(t, "all serve the one before", func(s rolloutlink.Status) bool { return allServe(s, "ingress", "v2") })
 			if most := f.Front.Seen().MostOut; most > 3 {
 				t.Errorf("%d ingresses were out at once, 3 are allowed", most)
 			}
@@ -271,8 +271,8 @@
 	}
 
 	t.Run("backends by their owners' commands", func(t *testing.T) {
-		f.must(t, 0, "rollout", "start", "backends", "--role", "backend", "--version", "w2", "--waves", "100%", "--soak", "300ms", "--requests", "0", "--wait", "60s")
-		if code, text := f.Order("rollout", "watch", "backends", "--every", "100ms"); code != 0 {
+		f.mustRun(t, 0, "rollout", "start", "backends", "--role", "backend", "--version", "w2", "--waves", "100%", "--soak", "300ms", "--requests", "0", "--wait", "60s")
+		if code, text := f.RunOperator("rollout", "watch", "backends", "--every", "100ms"); code != 0 {
 			t.Fatalf("it ends with %d: %s", code, text)
 		}
 		for _, b := range f.Backends {
@@ -285,13 +285,13 @@
 	t.Run("no majority, and a halt that outlives all coordinators", func(t *testing.T) {
 		f.release(t, "last", "v1")
 		f.wait(t, "it is on its way", func(s rolloutlink.Status) bool { return rolloutOf(s, "last").Done >= 1 })
-		f.must(t, 0, "rollout", "halt", "last", "--why", "to look")
-		f.must(t, 7, "rollout", "resume", "last", "--halt", "1") // somebody has seen another one
+		f.mustRun(t, 0, "rollout", "halt", "last", "--why", "to look")
+		f.mustRun(t, 7, "rollout", "resume", "last", "--halt", "1") // somebody has seen another one
 		lead := f.Leader()
 		for _, i := range []int{lead, (lead + 1) % 3} {
 			f.Coordinators[i].Kill()
 		}
-		if code, text := f.Order("--patience", "1s", "rollout", "resume", "last"); code != 5 && code != 6 {
+		if code, text := f.RunOperator("--patience", "1s", "rollout", "resume", "last"); code != 5 && code != 6 {
 			t.Errorf("with no majority an order ends with %d: %s", code, text)
 		}
 		if !f.KillIngress(11) { // its agent brings it back with nobody to ask
@@ -314,9 +314,9 @@
 		if done := func() int { s, _ := f.Status(5 * time.Second); return rolloutOf(s, "last").Done }(); done == f.Ingresses {
 			t.Error("it went on though it was halted")
 		}
-		f.must(t, 0, "rollout", "resume", "last")
-		f.must(t, 0, "rollout", "back", "last")
-		if code, text := f.Order("rollout", "watch", "last", "--every", "100ms"); code != 4 {
+		f.mustRun(t, 0, "rollout", "resume", "last")
+		f.mustRun(t, 0, "rollout", "back", "last")
+		if code, text := f.RunOperator("rollout", "watch", "last", "--every", "100ms"); code != 4 {
 			t.Fatalf("the way back ends with %d, want 4: %s", code, text)
 		}
 	})
@@ -341,18 +341,18 @@
 			t.Fatal(err)
 		}
 		f.Coordinators[old] = c
-		f.must(t, 0, "coordinator", "replace", "1", "4", f.Addresses[old])
+		f.mustRun(t, 0, "coordinator", "replace", "1", "4", f.Addresses[old])
 		f.wait(t, "it has its place", func(s rolloutlink.Status) bool { return s.Coordinators[4] != "" && s.Coordinators[1] == "" })
 		// It counts: without it there is no majority.
 		f.Coordinators[1].Kill()
-		f.wait(t, "it makes up the majority", func(s rolloutlink.Status) bool { return all(s, "ingress", "v2") })
+		f.wait(t, "it makes up the majority", func(s rolloutlink.Status) bool { return allServe(s, "ingress", "v2") })
 		if err := f.Coordinators[1].Start(); err != nil {
 			t.Fatal(err)
 		}
 	})
 
 	t.Run("all coordinators lost, and founded anew", func(t *testing.T) {
-		f.must(t, 0, "drain", "n6")
+		f.mustRun(t, 0, "drain", "n6")
 		f.wait(t, "one is out", func(s rolloutlink.Status) bool { return member(s, "n6").State == rollout.Detached })
 		for i, c := range f.Coordinators {
 			c.Kill()
@@ -379,15 +379,15 @@
 			g := member(s, "n6").Grant
 			return g != nil && g.Kind == rollout.Drain
 		})
-		f.must(t, 7, "lift", "--halt", "1")
-		f.must(t, 0, "lift", "--halt", fmt.Sprint(stop))
+		f.mustRun(t, 7, "lift", "--halt", "1")
+		f.mustRun(t, 0, "lift", "--halt", fmt.Sprint(stop))
 		f.wait(t, "all serve", func(s rolloutlink.Status) bool {
-			return s.Stop == nil && all(s, "ingress", "v2") && all(s, "backend", "w2")
+			return s.Stop == nil && allServe(s, "ingress", "v2") && allServe(s, "backend", "w2")
 		})
 	})
 
 	t.Run("a drain by hand", func(t *testing.T) {
-		f.must(t, 0, "drain", "n5")
+		f.mustRun(t, 0, "drain", "n5")
 		f.wait(t, "it is out", func(s rolloutlink.Status) bool {
 			for _, m := range s.Members {
 				if m.Name == "n5" {
@@ -396,7 +396,7 @@
 			}
 			return false
 		})
-		f.must(t, 0, "undrain", "n5")
-		f.wait(t, "it is back", func(s rolloutlink.Status) bool { return all(s, "ingress", "v2") })
+		f.mustRun(t, 0, "undrain", "n5")
+		f.wait(t, "it is back", func(s rolloutlink.Status) bool { return allServe(s, "ingress", "v2") })
 	})
 }
--- a/internal/ingress/admin_test.go
+++ b/internal/ingress/admin_test.go
@@ -176,7 +176,7 @@
 		switch n % 4 {
 		case 3:
 			if class == "payment" {
-				got.Line("-ERR failed")
+				got.Reply("-ERR failed")
 				break
 			}
 			fallthrough
--- a/internal/ingress/backend_test.go
+++ b/internal/ingress/backend_test.go
@@ -13,11 +13,11 @@
 	for _, end := range []func(received){
 		received.Reset,
 		func(got received) { got.Conn.Close() },
-		func(got received) { got.Line("-ERR failed") },
+		func(got received) { got.Reply("-ERR failed") },
 		// A malformed answer ends the attempt at once, though the connection stays open.
-		func(got received) { got.Line("$x") },
-		func(got received) { got.Line("*3\r\n$3000000000") },
-		func(got received) { got.Line("-BUSY \x01") },
+		func(got received) { got.Reply("$x") },
+		func(got received) { got.Reply("*3\r\n$3000000000") },
+		func(got received) { got.Reply("-BUSY \x01") },
 		func(got received) { _, _ = got.Conn.Write([]byte("*3\r\n$9\r\nhalf")) },
 		func(got received) { _, _ = got.Conn.Write([]byte("*3\r\n$9\r\nhal")); got.Conn.Close() },
 	} {
@@ -44,10 +44,10 @@
 	var first, second received
 	select {
 	case first = <-one.Got:
-		first.Line("-BUSY")
+		first.Reply("-BUSY")
 		second = wait(t, "a second attempt", two.Got)
 	case first = <-two.Got:
-		first.Line("-BUSY")
+		first.Reply("-BUSY")
 		second = wait(t, "a second attempt", one.Got)
 	}
 	second.Answer("v")
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -14,14 +14,14 @@
 )
 
 // stoppedBackend returns a backend that stops at a point until the test lets it continue.
-func stoppedBackend(t *testing.T, at standin.Point) *fakeBackend {
+func stoppedBackend(t *testing.T, at standin.StopPoint) *fakeBackend {
 	t.Helper()
 	b, err := standin.NewStoppedBackend(at)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	t.Cleanup(b.Go)
+	t.Cleanup(b.Resume)
 	return &fakeBackend{b}
 }
 
@@ -36,7 +36,7 @@
 // read from the client.
 func TestWaitingRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	for state, s := range map[string]struct {
-		at          standin.Point
+		at          standin.StopPoint
 		more        string // sent behind the request
 		wantPending int    // expected number of pending replies
 	}{
@@ -57,7 +57,7 @@
 						return l.pool.Open() > 0 && len(clients) == 1 && clients[0].pending == s.wantPending
 					})
 					if s.at == standin.HalfRead {
-						wait(t, "half a request", b.Begun())
+						wait(t, "half a request", b.CommandStarted())
 					}
 					leave(c.nc)
 					open, answered := -1, uint64(0)
@@ -72,7 +72,7 @@
 					if open != 0 {
 						t.Fatalf("%d attempts go on though their client has disconnected", open)
 					}
-					b.Go()
+					b.Resume()
 					other := newID()
 					r.dial().send("Q.DO", someCustomer, other, payment, "BODY")
 					if got := wait(t, "the request of another client", b.Got); got.ID() != other {
@@ -179,7 +179,7 @@
 	r.stop()
 	answers := uint32(0)
 	for {
-		if _, err := c.c.Line(); err != nil {
+		if _, err := c.c.ReadReply(); err != nil {
 			break
 		}
 		answers++
@@ -290,10 +290,10 @@
 			r.discovery.Lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[%s{"id":"other","host_port":%q,"phase":"SERVING","size":1}]}`, update, other.Addr)
 			r.eventually("the change to be applied", func(l *loop) bool { return l.pool.BackendIDs()["other"] > 0 })
 			if update != "" {
-				late.Go() // it comes up at the system's next try, a second later
+				late.Resume() // it comes up at the system's next try, a second later
 			}
 			wait(t, "the request at the other backend", other.Got).Answer("v")
-			late.Go()
+			late.Resume()
 			c.want("$1\r\nv")
 			wantNone(t, "a request at the late backend", late.Got)
 			r.eventually("the late connection to be closed", func(l *loop) bool { return l.pool.Open() == 1 })
@@ -306,7 +306,7 @@
 func TestStopAnswersRequestsInTransit(t *testing.T) {
 	whole := encode("Q.DO", someCustomer, newID(), payment, strings.Repeat("x", 64<<10))
 	for name, s := range map[string]struct {
-		at    standin.Point
+		at    standin.StopPoint
 		first int // bytes of the request that are sent before the stop
 	}{
 		"connecting":   {standin.Connecting, len(whole)},
@@ -328,10 +328,10 @@
 			r.eventually("the drain", func(*loop) bool { return r.server.front.draining })
 			c.write(whole[s.first:])
 			if s.at == standin.HalfRead {
-				wait(t, "half a request at the backend", b.Begun())
+				wait(t, "half a request at the backend", b.CommandStarted())
 			}
 			close(over)
-			b.Go()
+			b.Resume()
 			wait(t, "the request", b.Got).Answer("v")
 			c.want("$1\r\nv")
 			c.wantEnd()
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -155,7 +155,7 @@
 // line reads one answer.
 func (c *fakeClient) line() string {
 	c.t.Helper()
-	s, err := c.c.Line()
+	s, err := c.c.ReadReply()
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 // wantEnd waits until the ingress closes the connection without sending another byte.
 func (c *fakeClient) wantEnd() {
 	c.t.Helper()
-	if err := c.c.Ended(); err != nil {
+	if err := c.c.ExpectClosed(); err != nil {
 		c.t.Fatal(err)
 	}
 }
--- a/internal/soak/ingress.go
+++ b/internal/soak/ingress.go
@@ -186,10 +186,10 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	err := process.Wait(time.Until(now.Add(i.run.cfg.longest() + killGrace)))
-	if err != nil && !process.HasEnded() {
+	if err != nil && !process.Exited() {
 		err = process.Wait(i.run.heldUp(now, time.Now()))
 	}
-	if err != nil && !process.HasEnded() {
+	if err != nil && !process.Exited() {
 		_ = process.Cmd.Process.Kill()
 		_ = process.Wait(endPatience)
 		i.run.violate(nil, "%s has not ended %v after SIGTERM", i.node.Name, i.run.cfg.longest()+killGrace)
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -30,12 +30,12 @@
 }
 
 // Metered serves the command with a value and the figures on use.
-func (r Received) Metered(value, figures string) {
+func (r Received) AnswerWithUsage(value, figures string) {
 	_, _ = fmt.Fprintf(r.Conn, "*3\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$-1\r\n", len(value), value, len(figures), figures)
 }
 
 // Line answers with a line such as "-BUSY".
-func (r Received) Line(text string) { _, _ = fmt.Fprintf(r.Conn, "%s\r\n", text) }
+func (r Received) Reply(text string) { _, _ = fmt.Fprintf(r.Conn, "%s\r\n", text) }
 
 // Reset ends the connection by a reset.
 func (r Received) Reset() {
@@ -57,13 +57,13 @@
 	Opened chan net.Conn
 	Closed chan net.Conn // the ingress has ended it
 
-	handle func(Received)
-	stop   *stop // of a stopped one; else nil
-	ln     net.Listener
-	mu     sync.Mutex
-	conns  map[net.Conn]struct{}
-	met    int // connections in all
-	closed bool
+	handle   func(Received)
+	stop     *stop // of a stopped one; else nil
+	ln       net.Listener
+	mu       sync.Mutex
+	conns    map[net.Conn]struct{}
+	accepted int // connections in all
+	closed   bool
 }
 
 // NewBackend starts a backend. Each command goes to handle, or to Got if that is nil.
@@ -97,7 +97,7 @@
 			continue
 		}
 		b.mu.Lock()
-		b.met++
+		b.accepted++
 		if b.closed {
 			nc.Close()
 		} else {
@@ -149,10 +149,10 @@
 }
 
 // Met is the number of connections that there were in all.
-func (b *Backend) Met() int {
+func (b *Backend) Accepted() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.met
+	return b.accepted
 }
 
 // Close ends the backend and its connections.
@@ -169,24 +169,24 @@
 // Effects counts how often each request has run, over all backends that it is
 // given to. It stands apart from what the ingress says of itself.
 type Effects struct {
-	mu   sync.Mutex
-	runs map[string]int
-	all  int
+	mu    sync.Mutex
+	runs  map[string]int
+	total int
 }
 
 // Run counts a run of a request.
-func (e *Effects) Run(id string) {
+func (e *Effects) Record(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.runs == nil {
 		e.runs = map[string]int{}
 	}
 	e.runs[id]++
-	e.all++
+	e.total++
 }
 
 // Of tells how often a request has run.
-func (e *Effects) Of(id string) int {
+func (e *Effects) Count(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[id]
@@ -196,11 +196,11 @@
 func (e *Effects) Total() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.all
+	return e.total
 }
 
 // Twice names the requests that ran more than once.
-func (e *Effects) Twice() (ids []string) {
+func (e *Effects) Duplicates() (ids []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for id, n := range e.runs {
@@ -214,14 +214,14 @@
 // Work returns a handler that counts each command, takes so long over it, and
 // answers with the request's id as the value, so that a client can tell whose
 // value it got. With a meter the answers tell the customer's use, a unit a request.
-func (e *Effects) Work(takes func() time.Duration, meter *Meter) func(Received) {
+func (e *Effects) Handler(takes func() time.Duration, meter *Meter) func(Received) {
 	return func(r Received) {
-		e.Run(r.ID())
+		e.Record(r.ID())
 		if d := takes(); d > 0 {
 			time.Sleep(d)
 		}
 		if meter != nil {
-			r.Metered(r.ID(), meter.Count(r.Args[1], 1))
+			r.AnswerWithUsage(r.ID(), meter.Count(r.Args[1], 1))
 			return
 		}
 		r.Answer(r.ID())
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -33,7 +33,7 @@
 }
 
 // Line reads one answer: the line, and the value behind it where it is a bulk string.
-func (c *Client) Line() (string, error) {
+func (c *Client) ReadReply() (string, error) {
 	s, err := c.In.ReadString('\n')
 	if err != nil {
 		return "", fmt.Errorf("no answer: %w", err)
@@ -72,7 +72,7 @@
 
 // Outcome waits for the outcome of a request that was sent.
 func (c *Client) Outcome(id string) Outcome {
-	line, err := c.Line()
+	line, err := c.ReadReply()
 	switch value, served := strings.CutPrefix(line, fmt.Sprintf("$%d\r\n", len(id))); {
 	case err != nil:
 		// An ingress closes between requests. If that crosses one that it has
@@ -99,7 +99,7 @@
 		if err == nil {
 			var line string
 			if err = c.Send("PING"); err == nil {
-				line, err = c.Line()
+				line, err = c.ReadReply()
 			}
 			c.Close()
 			if line == "+PONG" {
@@ -114,7 +114,7 @@
 }
 
 // Ended tells whether the other side has closed the connection without another byte.
-func (c *Client) Ended() error {
+func (c *Client) ExpectClosed() error {
 	if rest, err := io.ReadAll(c.In); err != nil || len(rest) > 0 {
 		return fmt.Errorf("the connection gave %q, %v; want its end", rest, err)
 	}
--- a/internal/standin/confine/confine.go
+++ b/internal/standin/confine/confine.go
@@ -30,18 +30,18 @@
 // Offsets in struct seccomp_data (linux/seccomp.h): the call's number, the
 // architecture, and the low halves of the first arguments.
 const (
-	offNumber = 0
-	offArch   = 4
-	offFirst  = 16
+	offNumber   = 0
+	offArch     = 4
+	offFirstArg = 16
 )
 
 // pathAt is where Exec's path lies: execve is let through for that address
 // alone. A program that has replaced this one has nothing there.
-const pathAt = 0x5a5a_0000
+const pathAddress = 0x5a5a_0000
 
 // refused are the calls that never pass, whatever their arguments, and the
 // error of each under Refuse.
-var refused = []struct {
+var deniedCalls = []struct {
 	number uint32
 	err    syscall.Errno
 }{
@@ -51,7 +51,7 @@
 }
 
 // program is the filter.
-func program(mode Mode) (f []unix.SockFilter) {
+func filter(mode Mode) (f []unix.SockFilter) {
 	statement := func(code uint16, k uint32) { f = append(f, unix.SockFilter{Code: code, K: k}) }
 	load := func(at uint32) { statement(unix.BPF_LD|unix.BPF_W|unix.BPF_ABS, at) }
 	ret := func(k uint32) { statement(unix.BPF_RET|unix.BPF_K, k) }
@@ -69,7 +69,7 @@
 	f = append(f, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: 1, K: unix.AUDIT_ARCH_X86_64})
 	ret(unix.SECCOMP_RET_KILL_PROCESS) // numbers of another architecture mean other calls
 	load(offNumber)
-	for _, r := range refused {
+	for _, r := range deniedCalls {
 		unless(unix.BPF_JEQ, r.number, 1)
 		deny(r.err)
 	}
@@ -77,18 +77,18 @@
 	unless(unix.BPF_JEQ, unix.SYS_CLONE3, 1)
 	ret(unix.SECCOMP_RET_ERRNO | uint32(unix.ENOSYS))
 	unless(unix.BPF_JEQ, unix.SYS_CLONE, 4)
-	load(offFirst)
+	load(offFirstArg)
 	unless(unix.BPF_JSET, unix.CLONE_THREAD, 1)
 	ret(unix.SECCOMP_RET_ALLOW)
 	deny(unix.ENOSYS)
 	unless(unix.BPF_JEQ, unix.SYS_EXECVE, 4)
-	load(offFirst)
-	unless(unix.BPF_JEQ, pathAt, 1)
+	load(offFirstArg)
+	unless(unix.BPF_JEQ, pathAddress, 1)
 	ret(unix.SECCOMP_RET_ALLOW)
 	deny(unix.ENOSYS)
 	for _, call := range []uint32{unix.SYS_SOCKET, unix.SYS_SOCKETPAIR} {
 		unless(unix.BPF_JEQ, call, 4)
-		load(offFirst)
+		load(offFirstArg)
 		unless(unix.BPF_JEQ, unix.AF_UNIX, 1)
 		deny(unix.EAFNOSUPPORT)
 		ret(unix.SECCOMP_RET_ALLOW)
@@ -105,9 +105,9 @@
 	if err != nil {
 		return fmt.Errorf("confine: path: %w", err)
 	}
-	page, _, e := unix.Syscall6(unix.SYS_MMAP, pathAt, uintptr(unix.Getpagesize()), unix.PROT_READ|unix.PROT_WRITE,
+	page, _, e := unix.Syscall6(unix.SYS_MMAP, pathAddress, uintptr(unix.Getpagesize()), unix.PROT_READ|unix.PROT_WRITE,
 		unix.MAP_PRIVATE|unix.MAP_ANONYMOUS|unix.MAP_FIXED_NOREPLACE, ^uintptr(0), 0)
-	if e != 0 || page != pathAt {
+	if e != 0 || page != pathAddress {
 		return fmt.Errorf("confine: memory for the path: %w", e)
 	}
 	if len(path) >= unix.Getpagesize() {
@@ -125,18 +125,18 @@
 	// pointer into it would be no valid one for the compiler's checks.
 	local := unix.Iovec{Base: name}
 	local.SetLen(len(path) + 1)
-	if _, err := unix.ProcessVMWritev(unix.Getpid(), []unix.Iovec{local}, []unix.RemoteIovec{{Base: pathAt, Len: len(path) + 1}}, 0); err != nil {
+	if _, err := unix.ProcessVMWritev(unix.Getpid(), []unix.Iovec{local}, []unix.RemoteIovec{{Base: pathAddress, Len: len(path) + 1}}, 0); err != nil {
 		return fmt.Errorf("confine: memory for the path: %w", err)
 	}
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("confine: no new privileges: %w", err)
 	}
-	f := program(mode)
+	f := filter(mode)
 	prog := unix.SockFprog{Len: uint16(len(f)), Filter: &f[0]}
 	_, _, e = unix.RawSyscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, unix.SECCOMP_FILTER_FLAG_TSYNC, uintptr(unsafe.Pointer(&prog)))
 	if e != 0 {
 		return fmt.Errorf("confine: filter: %w", e)
 	}
-	_, _, e = unix.RawSyscall(unix.SYS_EXECVE, pathAt, uintptr(unsafe.Pointer(&argv[0])), uintptr(unsafe.Pointer(&envp[0])))
+	_, _, e = unix.RawSyscall(unix.SYS_EXECVE, pathAddress, uintptr(unsafe.Pointer(&argv[0])), uintptr(unsafe.Pointer(&envp[0])))
 	return fmt.Errorf("confine: %s: %w", path, e)
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -34,9 +34,9 @@
 	Lines   chan string // the next lines of the watch now open; "end" ends it
 	Watched chan string // the index from which each watch began
 
-	gate sync.Once
-	open chan struct{} // closed when the list may be told
-	body []byte
+	openOnce sync.Once
+	open     chan struct{} // closed when the list may be told
+	body     []byte
 }
 
 // NewDiscovery starts discovery with a list. It tells it once Open is called.
@@ -83,7 +83,7 @@
 func (d *Discovery) Addr() string { return d.Listener.Addr().String() }
 
 // Open lets the list be told, from now on.
-func (d *Discovery) Open() { d.gate.Do(func() { close(d.open) }) }
+func (d *Discovery) Open() { d.openOnce.Do(func() { close(d.open) }) }
 
 // Stop ends it and its connections.
 func (d *Discovery) Stop() {
--- a/internal/standin/front.go
+++ b/internal/standin/front.go
@@ -19,10 +19,10 @@
 	Deadline  time.Duration
 	Effects   *Effects // of the backends behind
 
-	mu   sync.Mutex
-	up   []bool
-	idle map[string][]*Client
-	seen FrontTally
+	mu    sync.Mutex
+	up    []bool
+	idle  map[string][]*Client
+	tally FrontTally
 }
 
 // FrontTally counts what became of requests.
@@ -47,7 +47,7 @@
 			continue
 		case <-time.After(time.Until(start.Add(time.Duration(float64(n) / f.PerSecond * float64(time.Second))))):
 		}
-		open.Go(f.one)
+		open.Go(f.sendOne)
 	}
 	open.Wait()
 	all.Wait()
@@ -58,18 +58,18 @@
 			c.Close()
 		}
 	}
-	return f.seen
+	return f.tally
 }
 
 // Seen is what was seen up to now.
 func (f *Front) Seen() FrontTally {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen
+	return f.tally
 }
 
 // Out is how many ingresses take no clients now, as seen by PING.
-func (f *Front) Out() (n int) {
+func (f *Front) Unavailable() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, up := range f.up {
@@ -82,7 +82,7 @@
 
 // pingTime is how long an answer to PING may take: long, as a machine that is kept
 // busy is no ingress that is out.
-const pingTime = 3 * time.Second
+const pingTimeout = 3 * time.Second
 
 // ping asks one ingress again and again whether it takes clients.
 func (f *Front) ping(ctx context.Context, i int) {
@@ -91,21 +91,21 @@
 		line := ""
 		var err error
 		if c == nil {
-			c, err = Dial(f.Addrs[i], pingTime)
+			c, err = Dial(f.Addrs[i], pingTimeout)
 		}
 		if err == nil {
-			c.SetDeadline(time.Now().Add(pingTime))
+			c.SetDeadline(time.Now().Add(pingTimeout))
 			if err = c.Send("PING"); err == nil {
-				line, err = c.Line()
+				line, err = c.ReadReply()
 			}
 		}
 		if err != nil && c != nil {
 			c.Close()
 			c = nil
 			if line == "" { // a connection at rest may be closed; a new one tells
-				if c, err = Dial(f.Addrs[i], pingTime); err == nil {
+				if c, err = Dial(f.Addrs[i], pingTimeout); err == nil {
 					if err = c.Send("PING"); err == nil {
-						line, err = c.Line()
+						line, err = c.ReadReply()
 					}
 				}
 				if err != nil && c != nil {
@@ -117,9 +117,9 @@
 		f.mu.Lock()
 		f.up[i] = line == "+PONG"
 		f.mu.Unlock()
-		if out := f.Out(); out < len(f.Addrs) { // not before the first has come up
+		if out := f.Unavailable(); out < len(f.Addrs) { // not before the first has come up
 			f.mu.Lock()
-			f.seen.MostOut = max(f.seen.MostOut, out)
+			f.tally.MostOut = max(f.tally.MostOut, out)
 			f.mu.Unlock()
 		}
 		select {
@@ -133,14 +133,14 @@
 }
 
 // Mark begins the count of MostOut anew.
-func (f *Front) Mark() {
+func (f *Front) ResetMostOut() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen.MostOut = 0
+	f.tally.MostOut = 0
 }
 
 // take picks an ingress and a connection to it.
-func (f *Front) take(fresh bool) (*Client, string, bool) {
+func (f *Front) acquire(fresh bool) (*Client, string, bool) {
 	f.mu.Lock()
 	var up []string
 	for i, ok := range f.up {
@@ -167,7 +167,7 @@
 	return c, addr, true
 }
 
-func (f *Front) one() {
+func (f *Front) sendOne() {
 	id := "0" + NewID()[1:]
 	words := Lookup(uint64(1+rand.IntN(50)), id, int(f.Deadline.Milliseconds()))
 	if rand.Float64() < f.Payments {
@@ -175,8 +175,8 @@
 		words = Payment(uint64(1+rand.IntN(50)), id, int(f.Deadline.Milliseconds()))
 	}
 	f.mu.Lock()
-	f.seen.Asked++
-	f.seen.Open++
+	f.tally.Asked++
+	f.tally.Open++
 	f.mu.Unlock()
 	outcome, cut, nobody := Unsent, false, false
 	end := time.Now().Add(f.Deadline)
@@ -184,7 +184,7 @@
 	var addr string
 	for try := 0; outcome == Unsent && !cut && time.Now().Before(end); try++ {
 		var some bool
-		if c, addr, some = f.take(try > 0); !some || c == nil {
+		if c, addr, some = f.acquire(try > 0); !some || c == nil {
 			nobody = !some
 			time.Sleep(2 * time.Millisecond)
 			continue
@@ -195,7 +195,7 @@
 			c.Close()
 			// A close may cross a request that was not read, which is then sent again. One
 			// that has run was taken: its ingress has been killed, or has lost it.
-			cut = f.Effects.Of(id) > 0
+			cut = f.Effects.Count(id) > 0
 		}
 	}
 	f.mu.Lock()
@@ -208,7 +208,7 @@
 		return
 	}
 	if c.In.Buffered() > 0 {
-		f.seen.Extra++
+		f.tally.Extra++
 		c.Close()
 		return
 	}
@@ -217,10 +217,10 @@
 
 // Sound tells what may not be: requests lost, served wrongly or answered twice, and
 // more cut than were killed with their ingress.
-func (t FrontTally) Sound(killed bool) error {
+func (t FrontTally) Check(killed bool) error {
 	u := t.Tally
 	u.Failed += t.Cut
-	if err := u.Sound(); err != nil {
+	if err := u.Check(); err != nil {
 		return err
 	}
 	if t.Cut > 0 && !killed {
@@ -245,24 +245,24 @@
 
 // count counts how a request ended. The caller holds the mutex.
 func (f *Front) count(outcome Outcome, cut, nobody bool) {
-	f.seen.Open--
+	f.tally.Open--
 	switch {
 	case cut:
-		f.seen.Cut++
+		f.tally.Cut++
 	case outcome == Served:
-		f.seen.Served++
+		f.tally.Served++
 	case outcome == Refused:
-		f.seen.Refused++
+		f.tally.Refused++
 	case outcome == Failed:
-		f.seen.Failed++
+		f.tally.Failed++
 	case outcome == Wrong:
-		f.seen.Wrong++
+		f.tally.Wrong++
 	case outcome == Lost:
-		f.seen.Lost++
+		f.tally.Lost++
 	default:
-		f.seen.Unreached++
+		f.tally.Unreached++
 		if nobody {
-			f.seen.Nobody++
+			f.tally.Nobody++
 		}
 	}
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -11,13 +11,13 @@
 type Link struct {
 	Addr string // connect here
 
-	to   string
-	ln   net.Listener
-	mu   sync.Mutex
-	heal [2]chan struct{} // of what goes there, and of what comes back; nil while the link carries, closed when it does again
-	late time.Duration    // what each piece is held for
-	ends map[net.Conn]struct{}
-	gone bool
+	to     string
+	ln     net.Listener
+	mu     sync.Mutex
+	healed [2]chan struct{} // of what goes there, and of what comes back; nil while the link carries, closed when it does again
+	delay  time.Duration    // what each piece is held for
+	conns  map[net.Conn]struct{}
+	closed bool
 }
 
 // NewLink starts a link to an address.
@@ -36,55 +36,55 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{Addr: ln.Addr().String(), to: to, ln: ln, ends: map[net.Conn]struct{}{}}
+	l := &Link{Addr: ln.Addr().String(), to: to, ln: ln, conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
 			near, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go l.carry(near)
+			go l.relay(near)
 		}
 	}()
 	return l, nil
 }
 
-func (l *Link) carry(near net.Conn) {
-	if !l.hold(near) {
+func (l *Link) relay(near net.Conn) {
+	if !l.track(near) {
 		return
 	}
-	l.pass(there)
+	l.wait(forward)
 	far, err := net.Dial("tcp", l.to)
-	if err != nil || !l.hold(far) {
+	if err != nil || !l.track(far) {
 		l.drop(near)
 		return
 	}
-	go l.copy(far, near, there)
-	l.copy(near, far, back)
+	go l.copy(far, near, forward)
+	l.copy(near, far, reverse)
 }
 
 // The two ways of a link.
 const (
-	there = iota
-	back
+	forward = iota
+	reverse
 )
 
 // hold remembers an end, so that Reset and Close reach it.
-func (l *Link) hold(nc net.Conn) bool {
+func (l *Link) track(nc net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.gone {
+	if l.closed {
 		nc.Close()
 		return false
 	}
-	l.ends[nc] = struct{}{}
+	l.conns[nc] = struct{}{}
 	return true
 }
 
 func (l *Link) drop(nc net.Conn) {
 	nc.Close()
 	l.mu.Lock()
-	delete(l.ends, nc)
+	delete(l.conns, nc)
 	l.mu.Unlock()
 }
 
@@ -92,7 +92,7 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		l.pass(way) // what comes while the link is silent is held, and so is an end
+		l.wait(way) // what comes while the link is silent is held, and so is an end
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				break
@@ -111,9 +111,9 @@
 }
 
 // pass waits while the link is silent that way, and for as long as it delays.
-func (l *Link) pass(way int) {
+func (l *Link) wait(way int) {
 	l.mu.Lock()
-	heal, late := l.heal[way], l.late
+	heal, late := l.healed[way], l.delay
 	l.mu.Unlock()
 	if heal != nil {
 		<-heal
@@ -126,21 +126,21 @@
 // Silence cuts the link as a lost network does: connections stay open, and
 // neither bytes nor ends come through until Heal.
 func (l *Link) Silence() {
-	l.SilenceThere()
-	l.silence(back)
+	l.SilenceForward()
+	l.silence(reverse)
 }
 
 // SilenceThere cuts one way alone: what is sent does not arrive, answers do.
-func (l *Link) SilenceThere() { l.silence(there) }
+func (l *Link) SilenceForward() { l.silence(forward) }
 
 // SilenceBack cuts the other way alone: what is sent arrives, answers do not.
-func (l *Link) SilenceBack() { l.silence(back) }
+func (l *Link) SilenceReverse() { l.silence(reverse) }
 
 func (l *Link) silence(way int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.heal[way] == nil {
-		l.heal[way] = make(chan struct{})
+	if l.healed[way] == nil {
+		l.healed[way] = make(chan struct{})
 	}
 }
 
@@ -148,18 +148,18 @@
 func (l *Link) Delay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.late = d
+	l.delay = d
 }
 
 // Heal lets through what was held, and all that comes, at once.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.late = 0
-	for way, heal := range l.heal {
+	l.delay = 0
+	for way, heal := range l.healed {
 		if heal != nil {
 			close(heal)
-			l.heal[way] = nil
+			l.healed[way] = nil
 		}
 	}
 }
@@ -168,10 +168,10 @@
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for nc := range l.ends {
+	for nc := range l.conns {
 		_ = nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
-		delete(l.ends, nc)
+		delete(l.conns, nc)
 	}
 }
 
@@ -179,7 +179,7 @@
 func (l *Link) Close() {
 	l.ln.Close()
 	l.mu.Lock()
-	l.gone = true
+	l.closed = true
 	l.mu.Unlock()
 	l.Heal()
 	l.Reset()
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -15,23 +15,23 @@
 // request is due at its time, whether or not those before it are answered, and
 // its latency counts from then.
 type Load struct {
-	Addr      string
-	PerSecond float64
-	Payments  float64 // share of the requests that must not run twice; the others are lookups
-	Deadline  time.Duration
-	Customers []Customer // by weight; nil for one
-	NoKeep    bool       // a connection for each request
+	Addr        string
+	PerSecond   float64
+	Payments    float64 // share of the requests that must not run twice; the others are lookups
+	Deadline    time.Duration
+	Customers   []Customer // by weight; nil for one
+	NoKeepAlive bool       // a connection for each request
 	// Prompt is how soon on a new connection a client must ask for the ingress
 	// to owe it an answer; 0 for no bound. A client that was itself slower, as
 	// on a machine that is kept busy, and finds the connection closed is counted
 	// as Tardy and not as Unreached.
-	Prompt time.Duration
+	FirstRequestTimeout time.Duration
 
-	mu    sync.Mutex
-	idle  []*Client
-	seen  Tally
-	late  []time.Duration
-	since int // of late, where the part for Lap begins
+	mu        sync.Mutex
+	idle      []*Client
+	tally     Tally
+	latencies []time.Duration
+	lapStart  int // of late, where the part for Lap begins
 }
 
 // Customer is one of those in whose name requests are sent.
@@ -52,7 +52,7 @@
 }
 
 // Sound tells what no ingress may cause: lost, wrong or second answers.
-func (t Tally) Sound() error {
+func (t Tally) Check() error {
 	if t.Lost+t.Wrong+t.Extra > 0 {
 		return fmt.Errorf("%d requests lost, %d served with another's value, %d answered twice", t.Lost, t.Wrong, t.Extra)
 	}
@@ -81,7 +81,7 @@
 		open.Add(1)
 		go func() {
 			defer open.Done()
-			l.one(due)
+			l.sendOne(due)
 		}()
 	}
 	open.Wait()
@@ -95,7 +95,7 @@
 	for range clients {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				l.one(time.Now())
+				l.sendOne(time.Now())
 			}
 		})
 	}
@@ -127,7 +127,7 @@
 }
 
 // one sends a request and follows it to its end.
-func (l *Load) one(due time.Time) {
+func (l *Load) sendOne(due time.Time) {
 	id := "0" + NewID()[1:]
 	words := Lookup(l.customer(), id, int(l.Deadline.Milliseconds()))
 	if rand.Float64() < l.Payments {
@@ -135,8 +135,8 @@
 		words = Payment(l.customer(), id, int(l.Deadline.Milliseconds()))
 	}
 	l.mu.Lock()
-	l.seen.Asked++
-	l.seen.Open++
+	l.tally.Asked++
+	l.tally.Open++
 	l.mu.Unlock()
 	outcome, tardy := Unsent, false
 	ask := func(c *Client, begun time.Time) {
@@ -145,13 +145,13 @@
 		}
 		c.SetDeadline(time.Now().Add(l.Deadline + time.Second))
 		sent := c.Send(words...)
-		tardy = l.Prompt > 0 && time.Since(begun) > l.Prompt
+		tardy = l.FirstRequestTimeout > 0 && time.Since(begun) > l.FirstRequestTimeout
 		if sent == nil {
 			outcome = c.Outcome(id)
 		}
 	}
 	begun := time.Now()
-	c, kept := l.take()
+	c, kept := l.acquire()
 	ask(c, begun)
 	resent := false
 	if outcome == Unsent && kept { // once more, on a new connection
@@ -164,18 +164,18 @@
 	took := time.Since(due)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seen.Open--
+	l.tally.Open--
 	if resent {
-		l.seen.Resent++
+		l.tally.Resent++
 	}
 	l.count(outcome, took, c != nil && tardy)
 	if c == nil {
 		return
 	}
 	if c.In.Buffered() > 0 {
-		l.seen.Extra++
+		l.tally.Extra++
 	}
-	if l.NoKeep || outcome > Failed || c.In.Buffered() > 0 {
+	if l.NoKeepAlive || outcome > Failed || c.In.Buffered() > 0 {
 		c.Close()
 		return
 	}
@@ -183,7 +183,7 @@
 }
 
 // take gives the connection that was used last, or a new one.
-func (l *Load) take() (c *Client, kept bool) {
+func (l *Load) acquire() (c *Client, kept bool) {
 	l.mu.Lock()
 	if n := len(l.idle); n > 0 {
 		c, l.idle = l.idle[n-1], l.idle[:n-1]
@@ -207,15 +207,15 @@
 func (l *Load) Tally() Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen
+	return l.tally
 }
 
 // Lap gives the latencies of what was served since the last Lap, in order of size.
-func (l *Load) Lap() []time.Duration {
+func (l *Load) LapLatencies() []time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	part := slices.Clone(l.late[l.since:])
-	l.since = len(l.late)
+	part := slices.Clone(l.latencies[l.lapStart:])
+	l.lapStart = len(l.latencies)
 	slices.Sort(part)
 	return part
 }
@@ -224,7 +224,7 @@
 func (l *Load) Latencies() []time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := slices.Clone(l.late)
+	all := slices.Clone(l.latencies)
 	slices.Sort(all)
 	return all
 }
@@ -243,21 +243,21 @@
 func (l *Load) count(outcome Outcome, took time.Duration, tardy bool) {
 	switch outcome {
 	case Served:
-		l.seen.Served++
-		l.late = append(l.late, took)
+		l.tally.Served++
+		l.latencies = append(l.latencies, took)
 	case Refused:
-		l.seen.Refused++
+		l.tally.Refused++
 	case Failed:
-		l.seen.Failed++
+		l.tally.Failed++
 	case Wrong:
-		l.seen.Wrong++
+		l.tally.Wrong++
 	case Lost:
-		l.seen.Lost++
+		l.tally.Lost++
 	case Unsent:
 		if tardy {
-			l.seen.Tardy++
+			l.tally.Tardy++
 		} else {
-			l.seen.Unreached++
+			l.tally.Unreached++
 		}
 	}
 }
--- a/internal/standin/meter.go
+++ b/internal/standin/meter.go
@@ -12,10 +12,10 @@
 	Rate   float64 // units a second
 	Period time.Duration
 
-	mu     sync.Mutex
-	period int64
-	now    map[string]float64
-	last   map[string]float64
+	mu       sync.Mutex
+	period   int64
+	current  map[string]float64
+	previous map[string]float64
 }
 
 // Count counts units of a customer and returns the figure that goes with the answer.
@@ -24,12 +24,12 @@
 	defer m.mu.Unlock()
 	at := time.Now().UnixNano() / int64(m.Period)
 	if at != m.period {
-		m.last = nil
+		m.previous = nil
 		if at == m.period+1 {
-			m.last = m.now
+			m.previous = m.current
 		}
-		m.period, m.now = at, map[string]float64{}
+		m.period, m.current = at, map[string]float64{}
 	}
-	m.now[customer] += units
-	return fmt.Sprintf("used=%.0f", 100*m.last[customer]/(m.Rate*m.Period.Seconds()))
+	m.current[customer] += units
+	return fmt.Sprintf("used=%.0f", 100*m.previous[customer]/(m.Rate*m.Period.Seconds()))
 }
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -17,12 +17,12 @@
 	Addr string // where it serves clients
 	Cmd  *exec.Cmd
 
-	ended chan struct{}
-	err   error
-	log   []string // the last lines it wrote; valid once it has ended
+	exited chan struct{}
+	err    error
+	log    []string // the last lines it wrote; valid once it has ended
 }
 
-const logKept = 200
+const maxLogLines = 200
 
 // Start starts a program with a configuration, and waits until it tells its
 // address. The program is killed when ctx ends.
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{Cmd: exec.CommandContext(ctx, program[0], program[1:]...), ended: make(chan struct{})}
+	p := &Process{Cmd: exec.CommandContext(ctx, program[0], program[1:]...), exited: make(chan struct{})}
 	p.Cmd.Env = append(append(os.Environ(), env...), "NODE_CONFIG="+path)
 	// A Ctrl-C at the terminal goes to this process alone, which then stops the others in order.
 	p.Cmd.ExtraFiles = n.Files
@@ -55,7 +55,7 @@
 			if n.Log != nil {
 				_, _ = fmt.Fprintln(n.Log, lines.Text())
 			}
-			if len(p.log) == logKept {
+			if len(p.log) == maxLogLines {
 				p.log = p.log[1:]
 			}
 			p.log = append(p.log, lines.Text())
@@ -67,20 +67,20 @@
 			}
 		}
 		p.err = p.Cmd.Wait()
-		close(p.ended)
+		close(p.exited)
 	}()
 	select {
 	case p.Addr = <-told:
 		return p, nil
-	case <-p.ended:
+	case <-p.exited:
 		return nil, fmt.Errorf("the program ended at its start: %v: %s", p.err, strings.Join(p.log, "; "))
 	}
 }
 
 // HasEnded tells whether the program has ended.
-func (p *Process) HasEnded() bool {
+func (p *Process) Exited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
@@ -91,14 +91,14 @@
 func (p *Process) Stop(patience time.Duration) error {
 	_ = p.Cmd.Process.Signal(syscall.SIGTERM)
 	err := p.Wait(patience)
-	if errors.Is(err, errRuns) {
+	if errors.Is(err, errStillRunning) {
 		p.Cmd.Process.Kill()
-		<-p.ended
+		<-p.exited
 	}
 	return err
 }
 
-var errRuns = errors.New("the program did not end in time")
+var errStillRunning = errors.New("the program did not end in time")
 
 // Log is the last lines that a program wrote which has ended.
 func (p *Process) Log() []string { return p.log }
@@ -106,9 +106,9 @@
 // Wait waits for the end, and returns what the program ended with.
 func (p *Process) Wait(patience time.Duration) error {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(patience):
-		return errRuns
+		return errStillRunning
 	}
 	if p.err != nil {
 		return fmt.Errorf("%w: %s", p.err, strings.Join(p.log, "; "))
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -11,7 +11,7 @@
 )
 
 // emptyEvery is how often an empty line tells that a watch lives.
-const emptyEvery = 2 * time.Second
+const keepAliveInterval = 2 * time.Second
 
 // Registry is a discovery whose list changes and which tells each change to all
 // that watch.
@@ -83,7 +83,7 @@
 			if _, err := w.Write(b); err != nil {
 				return
 			}
-		case <-time.After(emptyEvery):
+		case <-time.After(keepAliveInterval):
 			if _, err := w.Write([]byte("\n")); err != nil {
 				return
 			}
--- a/internal/standin/stopped.go
+++ b/internal/standin/stopped.go
@@ -10,26 +10,26 @@
 )
 
 // Point is where a stopped backend holds what comes to it, until Go.
-type Point int
+type StopPoint int
 
 // The points.
 const (
-	Connecting Point = iota // connections do not come up
-	HalfRead                // they do, and of a command of 64 KiB less than all can be written
+	Connecting StopPoint = iota // connections do not come up
+	HalfRead                    // they do, and of a command of 64 KiB less than all can be written
 )
 
 // stop is what holds a stopped backend.
 type stop struct {
-	begun  chan net.Conn
-	gone   chan struct{} // closed by Go
-	once   sync.Once
-	filler net.Conn // Connecting: what fills the queue
+	started chan net.Conn
+	resumed chan struct{} // closed by Go
+	once    sync.Once
+	filler  net.Conn // Connecting: what fills the queue
 }
 
 // NewStoppedBackend starts a backend that stops at a point and goes on at a
 // word. What the kernel would take ahead is kept small, so that the point is
 // reached every time.
-func NewStoppedBackend(at Point) (*Backend, error) {
+func NewStoppedBackend(at StopPoint) (*Backend, error) {
 	how := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		if at == HalfRead {
 			failed := raw.Control(func(fd uintptr) {
@@ -50,14 +50,14 @@
 		return nil, err
 	}
 	b := newBackend(ln, nil)
-	b.stop = &stop{begun: make(chan net.Conn, backlog), gone: make(chan struct{})}
+	b.stop = &stop{started: make(chan net.Conn, backlog), resumed: make(chan struct{})}
 	if at == HalfRead {
 		go b.accept()
 		return b, nil
 	}
 	// A queue for one, which a connection of our own fills: what comes then waits to come up, and
 	// asks again after a second.
-	if err = b.queue(0); err == nil {
+	if err = b.setAcceptQueue(0); err == nil {
 		b.stop.filler, err = net.Dial("tcp", b.Addr)
 	}
 	if err != nil {
@@ -68,7 +68,7 @@
 }
 
 // queue sets how many connections may wait to be taken, and one more.
-func (b *Backend) queue(n int) (err error) {
+func (b *Backend) setAcceptQueue(n int) (err error) {
 	raw, err := b.ln.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return err
@@ -80,12 +80,12 @@
 }
 
 // Begun hands out each connection to a stopped backend on which a command has begun to come.
-func (b *Backend) Begun() <-chan net.Conn { return b.stop.begun }
+func (b *Backend) CommandStarted() <-chan net.Conn { return b.stop.started }
 
 // Go lets a stopped backend go on, for good.
-func (b *Backend) Go() {
+func (b *Backend) Resume() {
 	b.stop.once.Do(func() {
-		close(b.stop.gone)
+		close(b.stop.resumed)
 		if b.stop.filler == nil {
 			return
 		}
@@ -93,7 +93,7 @@
 		if nc, err := b.ln.Accept(); err == nil {
 			nc.Close() // the filler
 		}
-		_ = b.queue(backlog)
+		_ = b.setAcceptQueue(backlog)
 		go b.accept()
 	})
 }
@@ -106,8 +106,8 @@
 	var first [1]byte
 	n, _ := nc.Read(first[:])
 	if n > 0 {
-		s.begun <- nc
+		s.started <- nc
 	}
-	<-s.gone
+	<-s.resumed
 	return io.MultiReader(bytes.NewReader(first[:n]), nc)
 }
--- a/internal/standin/traffic.go
+++ b/internal/standin/traffic.go
@@ -12,13 +12,13 @@
 }
 
 // Counted counts a connection, and all that passes it from now on.
-func (t *Traffic) Counted(c net.Conn) net.Conn {
+func (t *Traffic) WrapConn(c net.Conn) net.Conn {
 	t.Conns.Add(1)
 	return countedConn{c, t}
 }
 
 // Listener counts all connections that a listener accepts.
-func (t *Traffic) Listener(ln net.Listener) net.Listener { return countedListener{ln, t} }
+func (t *Traffic) WrapListener(ln net.Listener) net.Listener { return countedListener{ln, t} }
 
 type countedConn struct {
 	net.Conn
@@ -47,5 +47,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.traffic.Counted(c), nil
+	return l.traffic.WrapConn(c), nil
 }
--- a/internal/standin/traffic_test.go
+++ b/internal/standin/traffic_test.go
@@ -16,7 +16,7 @@
 	var server, client Traffic
 	served := make(chan error, 1)
 	go func() {
-		c, acceptErr := server.Listener(ln).Accept()
+		c, acceptErr := server.WrapListener(ln).Accept()
 		if acceptErr != nil {
 			served <- acceptErr
 			return
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := client.Counted(nc)
+	c := client.WrapConn(nc)
 	defer c.Close()
 	if _, err := io.WriteString(c, "hello"); err != nil {
 		t.Fatal(err)
