--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -10,13 +10,13 @@
 	"github.com/tidwall/redcon"
 )
 
-// Received is one command that came whole to a backend.
+// Received is one complete command that a backend has read.
 type Received struct {
 	Conn net.Conn
 	Args []string
 }
 
-// ID is the request's id, or "" where the command has none.
+// ID returns the request's id, or "" if the command has none.
 func (r Received) ID() string {
 	if len(r.Args) < 3 {
 		return ""
@@ -24,49 +24,49 @@
 	return r.Args[2]
 }
 
-// Answer serves the command with a value.
+// Answer replies to the command with a value.
 func (r Received) Answer(value string) {
 	_, _ = fmt.Fprintf(r.Conn, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// Metered serves the command with a value and the figures on use.
+// AnswerWithUsage replies to the command with a value and usage figures.
 func (r Received) AnswerWithUsage(value, figures string) {
 	_, _ = fmt.Fprintf(r.Conn, "*3\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$-1\r\n", len(value), value, len(figures), figures)
 }
 
-// Line answers with a line such as "-BUSY".
+// Reply sends one reply line, such as "-BUSY".
 func (r Received) Reply(text string) { _, _ = fmt.Fprintf(r.Conn, "%s\r\n", text) }
 
-// Reset ends the connection by a reset.
+// Reset closes the connection with a TCP reset.
 func (r Received) Reset() {
 	_ = r.Conn.(*net.TCPConn).SetLinger(0)
 	r.Conn.Close()
 }
 
-// LoadReport is what a backend answers to INFO.
+// LoadReport is a backend's reply to the INFO probe.
 const LoadReport = "inflight=0,latency_ms=1"
 
-const backlog = 100 // commands and connections that a test may leave untaken
+const backlog = 100 // capacity of the channels of commands and connections that a test may leave unread
 
-// Backend is one stand-in backend. It answers probes itself. Each other command
-// goes to Handle, on a goroutine of its connection, in order; with no Handle
-// they are handed out on Got, and connections on Opened and Closed.
+// Backend is a fake backend. It answers INFO probes itself. Every other command is
+// passed to the handler, in order, on the goroutine of its connection. Without a
+// handler, commands are sent on Got, and connections on Opened and Closed.
 type Backend struct {
 	Addr   string
 	Got    chan Received
 	Opened chan net.Conn
-	Closed chan net.Conn // the ingress has ended it
+	Closed chan net.Conn // closed by the ingress
 
 	handle   func(Received)
-	stop     *stop // of a stopped one; else nil
+	stop     *stop // only for a backend of NewStoppedBackend; nil otherwise
 	ln       net.Listener
 	mu       sync.Mutex
 	conns    map[net.Conn]struct{}
-	accepted int // connections in all
+	accepted int // connections accepted since the start
 	closed   bool
 }
 
-// NewBackend starts a backend. Each command goes to handle, or to Got if that is nil.
+// NewBackend starts a backend. Commands are passed to handle, or sent on Got if handle is nil.
 func NewBackend(handle func(Received)) (*Backend, error) {
 	ln, err := Listen()
 	if err != nil {
@@ -141,21 +141,21 @@
 	}
 }
 
-// Conns is the number of connections that are open.
+// Conns returns the number of open connections.
 func (b *Backend) Conns() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.conns)
 }
 
-// Met is the number of connections that there were in all.
+// Accepted returns the number of connections accepted since the start.
 func (b *Backend) Accepted() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.accepted
 }
 
-// Close ends the backend and its connections.
+// Close stops the backend and closes its connections.
 func (b *Backend) Close() {
 	b.ln.Close()
 	b.mu.Lock()
@@ -166,15 +166,15 @@
 	}
 }
 
-// Effects counts how often each request has run, over all backends that it is
-// given to. It stands apart from what the ingress says of itself.
+// Effects counts how often each request was executed, over all backends that share
+// it. The count is independent of the ingress's own figures.
 type Effects struct {
 	mu    sync.Mutex
 	runs  map[string]int
 	total int
 }
 
-// Run counts a run of a request.
+// Record counts one execution of a request.
 func (e *Effects) Record(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -185,21 +185,21 @@
 	e.total++
 }
 
-// Of tells how often a request has run.
+// Count returns how often a request was executed.
 func (e *Effects) Count(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[id]
 }
 
-// Total tells how many runs there were in all.
+// Total returns the number of executions of all requests.
 func (e *Effects) Total() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.total
 }
 
-// Twice names the requests that ran more than once.
+// Duplicates returns the ids of the requests that were executed more than once.
 func (e *Effects) Duplicates() (ids []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -211,9 +211,9 @@
 	return ids
 }
 
-// Work returns a handler that counts each command, takes so long over it, and
-// answers with the request's id as the value, so that a client can tell whose
-// value it got. With a meter the answers tell the customer's use, a unit a request.
+// Handler returns a handler that counts each command, sleeps for takes(), and replies
+// with the request's id as the value, so that a client can detect another request's
+// value. With a meter, replies carry the customer's usage, at one unit per request.
 func (e *Effects) Handler(takes func() time.Duration, meter *Meter) func(Received) {
 	return func(r Received) {
 		e.Record(r.ID())
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// Client is one connection of a client.
+// Client is one client connection.
 type Client struct {
 	net.Conn
 	In *bufio.Reader
 }
 
-// Dial connects to an ingress. Every wait on the connection ends after patience.
-func Dial(addr string, patience time.Duration) (*Client, error) {
-	nc, err := net.DialTimeout("tcp", addr, patience)
+// Dial connects to an ingress. The timeout covers connecting, and then all I/O on the connection.
+func Dial(addr string, timeout time.Duration) (*Client, error) {
+	nc, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in client: %w", err)
 	}
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(timeout))
 	return &Client{nc, bufio.NewReader(nc)}, nil
 }
 
@@ -32,37 +32,37 @@
 	return err
 }
 
-// Line reads one answer: the line, and the value behind it where it is a bulk string.
+// ReadReply reads one reply line and, for a bulk string, the value that follows it.
 func (c *Client) ReadReply() (string, error) {
 	s, err := c.In.ReadString('\n')
 	if err != nil {
-		return "", fmt.Errorf("no answer: %w", err)
+		return "", fmt.Errorf("read reply: %w", err)
 	}
 	if strings.HasPrefix(s, "$") {
 		v, err := c.In.ReadString('\n')
 		if err != nil {
-			return "", fmt.Errorf("half an answer: %w", err)
+			return "", fmt.Errorf("read value of a bulk string reply: %w", err)
 		}
 		s += v
 	}
 	return strings.TrimSpace(s), nil
 }
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request as its client sees it.
 type Outcome int
 
 // The outcomes of a request.
 const (
-	Served  Outcome = iota // with the value made for it
+	Served  Outcome = iota // with its own value
 	Refused                // -BUSY
-	Failed                 // any other answer
-	Unsent                 // the connection closed between requests: it may be sent again on a new one
-	Lost                   // the connection ended with no answer, though nothing told that it would
-	Wrong                  // served with another's value
+	Failed                 // any other error reply
+	Unsent                 // the connection closed before a reply; the request may be sent again on a new connection
+	Lost                   // no reply before the client's timeout, on a connection that stayed open
+	Wrong                  // any other reply, such as another request's value
 )
 
-// Ask sends a request and waits for its outcome. The backends must answer with
-// the request's id (Effects.Work).
+// Ask sends a request and waits for its outcome. The backends must reply with the
+// request's id as the value (see Effects.Handler).
 func (c *Client) Ask(id string, words ...string) Outcome {
 	if err := c.Send(words...); err != nil {
 		return Unsent
@@ -70,13 +70,13 @@
 	return c.Outcome(id)
 }
 
-// Outcome waits for the outcome of a request that was sent.
+// Outcome waits for the outcome of a request that was already sent.
 func (c *Client) Outcome(id string) Outcome {
 	line, err := c.ReadReply()
 	switch value, served := strings.CutPrefix(line, fmt.Sprintf("$%d\r\n", len(id))); {
 	case err != nil:
-		// An ingress closes between requests. If that crosses one that it has
-		// not read, the client sees an end or a reset, and asks once more.
+		// An ingress closes connections between requests. If it does so while an unread
+		// request is on its way, the client sees EOF or a reset and may retry.
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
 			return Lost
@@ -92,10 +92,10 @@
 	return Wrong
 }
 
-// WaitReady asks with PING until an ingress takes clients, or patience ends.
-func WaitReady(addr string, patience time.Duration) error {
-	for end := time.Now().Add(patience); ; {
-		c, err := Dial(addr, patience)
+// WaitReady sends PING until the ingress answers +PONG or the timeout expires.
+func WaitReady(addr string, timeout time.Duration) error {
+	for end := time.Now().Add(timeout); ; {
+		c, err := Dial(addr, timeout)
 		if err == nil {
 			var line string
 			if err = c.Send("PING"); err == nil {
@@ -107,16 +107,16 @@
 			}
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s is not ready after %v: %v", addr, patience, err)
+			return fmt.Errorf("%s is not ready after %v: %v", addr, timeout, err)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Ended tells whether the other side has closed the connection without another byte.
+// ExpectClosed returns an error unless the peer closes the connection without sending another byte.
 func (c *Client) ExpectClosed() error {
 	if rest, err := io.ReadAll(c.In); err != nil || len(rest) > 0 {
-		return fmt.Errorf("the connection gave %q, %v; want its end", rest, err)
+		return fmt.Errorf("read %q, %v; want EOF with no data", rest, err)
 	}
 	return nil
 }
--- a/internal/standin/confine/confine.go
+++ b/internal/standin/confine/confine.go
@@ -1,11 +1,10 @@
 //go:build linux && amd64
 
-// Package confine starts a program under a filter on the system calls that the
-// standing trial on the full fleet refuses: those that start other programs or
-// fork, io_uring, splice and sendfile, and Unix sockets. The filter is the
-// kernel's own (seccomp, mode filter; seccomp(2)) and needs no rights. It holds
-// for the process that calls Exec and for all that it becomes, and can't be
-// taken off again; a test calls it in a process of its own.
+// Package confine runs a program under a seccomp filter (seccomp(2)) that denies the
+// system calls denied by the standing trial on the full fleet: those that execute
+// programs or fork, io_uring, splice and sendfile, and Unix sockets. It needs no
+// privileges. The filter applies to the process that calls Exec and to the program that
+// replaces it, and can't be removed, so tests call Exec in a separate process.
 package confine
 
 import (
@@ -17,30 +16,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// Mode is what the kernel does with a call that the trial refuses.
+// Mode is what the kernel does with a denied call.
 type Mode int
 
 const (
-	// Trap ends the process by SIGSYS: the Go runtime prints the stacks.
+	// Trap ends the process with SIGSYS: the Go runtime prints the stacks.
 	Trap Mode = iota
-	// Refuse lets the call fail as the trial does: ENOSYS, for splice EINVAL.
+	// Refuse makes the call fail with the trial's errors: EAFNOSUPPORT for Unix sockets,
+	// EINVAL for splice, ENOSYS for the others.
 	Refuse
 )
 
 // Offsets in struct seccomp_data (linux/seccomp.h): the call's number, the
-// architecture, and the low halves of the first arguments.
+// architecture, and the low half of the first argument.
 const (
 	offNumber   = 0
 	offArch     = 4
 	offFirstArg = 16
 )
 
-// pathAt is where Exec's path lies: execve is let through for that address
-// alone. A program that has replaced this one has nothing there.
+// pathAddress is the address of Exec's path. The filter allows execve only with this
+// pointer; after the exec nothing is mapped there, so further calls fail.
 const pathAddress = 0x5a5a_0000
 
-// refused are the calls that never pass, whatever their arguments, and the
-// error of each under Refuse.
+// deniedCalls are the calls denied whatever their arguments, with the error of each under
+// Refuse.
 var deniedCalls = []struct {
 	number uint32
 	err    syscall.Errno
@@ -50,12 +50,12 @@
 	{unix.SYS_SPLICE, unix.EINVAL}, {unix.SYS_SENDFILE, unix.ENOSYS},
 }
 
-// program is the filter.
+// filter returns the BPF program.
 func filter(mode Mode) (f []unix.SockFilter) {
 	statement := func(code uint16, k uint32) { f = append(f, unix.SockFilter{Code: code, K: k}) }
 	load := func(at uint32) { statement(unix.BPF_LD|unix.BPF_W|unix.BPF_ABS, at) }
 	ret := func(k uint32) { statement(unix.BPF_RET|unix.BPF_K, k) }
-	unless := func(code uint16, k uint32, skip uint8) { // the test fails: passes over so many
+	skipUnless := func(code uint16, k uint32, skip uint8) { // if the test fails, skips that many instructions
 		f = append(f, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_K | code, Jf: skip, K: k})
 	}
 	deny := func(err syscall.Errno) {
@@ -67,29 +67,30 @@
 	}
 	load(offArch)
 	f = append(f, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: 1, K: unix.AUDIT_ARCH_X86_64})
-	ret(unix.SECCOMP_RET_KILL_PROCESS) // numbers of another architecture mean other calls
+	ret(unix.SECCOMP_RET_KILL_PROCESS) // call numbers differ between architectures
 	load(offNumber)
 	for _, r := range deniedCalls {
-		unless(unix.BPF_JEQ, r.number, 1)
+		skipUnless(unix.BPF_JEQ, r.number, 1)
 		deny(r.err)
 	}
-	// The C library makes threads by clone3, whose flags a filter can't read, and by clone where there is none.
-	unless(unix.BPF_JEQ, unix.SYS_CLONE3, 1)
+	// The C library creates threads with clone3, whose flags a filter can't read, and falls back to
+	// clone on ENOSYS.
+	skipUnless(unix.BPF_JEQ, unix.SYS_CLONE3, 1)
 	ret(unix.SECCOMP_RET_ERRNO | uint32(unix.ENOSYS))
-	unless(unix.BPF_JEQ, unix.SYS_CLONE, 4)
+	skipUnless(unix.BPF_JEQ, unix.SYS_CLONE, 4)
 	load(offFirstArg)
-	unless(unix.BPF_JSET, unix.CLONE_THREAD, 1)
+	skipUnless(unix.BPF_JSET, unix.CLONE_THREAD, 1)
 	ret(unix.SECCOMP_RET_ALLOW)
 	deny(unix.ENOSYS)
-	unless(unix.BPF_JEQ, unix.SYS_EXECVE, 4)
+	skipUnless(unix.BPF_JEQ, unix.SYS_EXECVE, 4)
 	load(offFirstArg)
-	unless(unix.BPF_JEQ, pathAddress, 1)
+	skipUnless(unix.BPF_JEQ, pathAddress, 1)
 	ret(unix.SECCOMP_RET_ALLOW)
 	deny(unix.ENOSYS)
 	for _, call := range []uint32{unix.SYS_SOCKET, unix.SYS_SOCKETPAIR} {
-		unless(unix.BPF_JEQ, call, 4)
+		skipUnless(unix.BPF_JEQ, call, 4)
 		load(offFirstArg)
-		unless(unix.BPF_JEQ, unix.AF_UNIX, 1)
+		skipUnless(unix.BPF_JEQ, unix.AF_UNIX, 1)
 		deny(unix.EAFNOSUPPORT)
 		ret(unix.SECCOMP_RET_ALLOW)
 	}
@@ -97,8 +98,8 @@
 	return f
 }
 
-// Exec replaces this process by the program at path under the filter. It
-// returns only an error.
+// Exec replaces this process with the program at path, under the filter. It returns only
+// on error.
 func Exec(mode Mode, path string, args, env []string) error {
 	runtime.LockOSThread()
 	name, err := unix.BytePtrFromString(path)
@@ -111,7 +112,7 @@
 		return fmt.Errorf("confine: memory for the path: %w", e)
 	}
 	if len(path) >= unix.Getpagesize() {
-		return fmt.Errorf("confine: path of %d bytes", len(path))
+		return fmt.Errorf("confine: path of %d bytes is too long", len(path))
 	}
 	argv, err := syscall.SlicePtrFromStrings(args)
 	if err != nil {
@@ -121,8 +122,8 @@
 	if err != nil {
 		return fmt.Errorf("confine: environment: %w", err)
 	}
-	// The page is none of the Go heap's, so the copy is made by the kernel: a
-	// pointer into it would be no valid one for the compiler's checks.
+	// The page is outside of the Go heap, so the kernel makes the copy: Go's pointer checks
+	// would reject a pointer into it.
 	local := unix.Iovec{Base: name}
 	local.SetLen(len(path) + 1)
 	if _, err := unix.ProcessVMWritev(unix.Getpid(), []unix.Iovec{local}, []unix.RemoteIovec{{Base: pathAddress, Len: len(path) + 1}}, 0); err != nil {
@@ -135,7 +136,7 @@
 	prog := unix.SockFprog{Len: uint16(len(f)), Filter: &f[0]}
 	_, _, e = unix.RawSyscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, unix.SECCOMP_FILTER_FLAG_TSYNC, uintptr(unsafe.Pointer(&prog)))
 	if e != 0 {
-		return fmt.Errorf("confine: filter: %w", e)
+		return fmt.Errorf("confine: install seccomp filter: %w", e)
 	}
 	_, _, e = unix.RawSyscall(unix.SYS_EXECVE, pathAddress, uintptr(unsafe.Pointer(&argv[0])), uintptr(unsafe.Pointer(&envp[0])))
 	return fmt.Errorf("confine: %s: %w", path, e)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Member is one backend as discovery lists it.
+// Member is one backend in a discovery list.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -20,7 +20,7 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Member is the backend as discovery lists it, serving.
+// Member returns the discovery entry of the backend, in phase SERVING.
 func (b *Backend) Member(id string) Member {
 	return Member{ID: id, HostPort: b.Addr, Locality: "a", Flavor: "std", Phase: "SERVING", Size: 1}
 }
@@ -28,25 +28,25 @@
 // FirstRevision is the revision of the list that a Discovery starts with.
 const FirstRevision = 7
 
-// Discovery serves one list, and watches that its owner feeds.
+// Discovery is a fake discovery service with a fixed list and watch streams that the test writes.
 type Discovery struct {
 	*httptest.Server
-	Lines   chan string // the next lines of the watch now open; "end" ends it
-	Watched chan string // the index from which each watch began
+	Lines   chan string // lines to send on the open watch; "end" ends the watch
+	Watched chan string // the start index of each watch
 
 	openOnce sync.Once
-	open     chan struct{} // closed when the list may be told
+	open     chan struct{} // closed when the list may be served
 	body     []byte
 }
 
-// NewDiscovery starts discovery with a list. It tells it once Open is called.
+// NewDiscovery starts a discovery with a list. Requests for the list block until Open is called.
 func NewDiscovery(members ...Member) *Discovery {
 	if members == nil {
 		members = []Member{}
 	}
 	body, err := json.Marshal(map[string]any{"revision": FirstRevision, "complete": true, "members": members})
 	if err != nil {
-		panic(err) // numbers and strings alone
+		panic(err) // can't fail: only numbers and strings
 	}
 	d := &Discovery{Lines: make(chan string), Watched: make(chan string, backlog), open: make(chan struct{}), body: body}
 	d.Server = NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -61,7 +61,7 @@
 		w.(http.Flusher).Flush()
 		select {
 		case d.Watched <- r.URL.Query().Get("index"):
-		default: // nobody looks
+		default: // the test does not read Watched
 		}
 		for {
 			select {
@@ -79,13 +79,13 @@
 	return d
 }
 
-// Addr is where it listens.
+// Addr returns the listen address.
 func (d *Discovery) Addr() string { return d.Listener.Addr().String() }
 
-// Open lets the list be told, from now on.
+// Open releases the requests for the list.
 func (d *Discovery) Open() { d.openOnce.Do(func() { close(d.open) }) }
 
-// Stop ends it and its connections.
+// Stop closes the server and its connections.
 func (d *Discovery) Stop() {
 	d.CloseClientConnections()
 	d.Close()
--- a/internal/standin/front.go
+++ b/internal/standin/front.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Front deals requests out among ingresses, as the platform's front does: it takes in
-// one that answers PING with +PONG, and leaves out one that does not.
+// Front distributes requests over ingresses as the platform's load balancer does: it uses
+// an ingress while PING is answered with +PONG, and skips it otherwise.
 type Front struct {
 	Addrs     []string
 	PerSecond float64
-	Payments  float64 // share of the requests that must not run twice
+	Payments  float64 // share of requests that must not be executed twice
 	Deadline  time.Duration
-	Effects   *Effects // of the backends behind
+	Effects   *Effects // executions at the backends behind the ingresses
 
 	mu    sync.Mutex
 	up    []bool
@@ -25,15 +25,15 @@
 	tally FrontTally
 }
 
-// FrontTally counts what became of requests.
+// FrontTally counts requests by outcome. Its fields are printed by name.
 type FrontTally struct {
 	Tally
-	Cut     int // lost with an ingress that was killed
-	MostOut int // ingresses that did not take clients, at once, as seen by PING
-	Nobody  int // requests for which no ingress was to be had
+	Cut     int // executed, but no reply: the connection ended, as when an ingress is killed
+	MostOut int // maximum number of ingresses unavailable at the same time, by PING
+	Nobody  int // requests for which no ingress was available
 }
 
-// Run sends until ctx ends, waits for what is open, and tells what was seen.
+// Run sends requests until ctx ends, waits for those in flight, and returns the tally.
 func (f *Front) Run(ctx context.Context) FrontTally {
 	f.up, f.idle = make([]bool, len(f.Addrs)), map[string][]*Client{}
 	var all, open sync.WaitGroup
@@ -61,14 +61,14 @@
 	return f.tally
 }
 
-// Seen is what was seen up to now.
+// Seen returns the tally up to now.
 func (f *Front) Seen() FrontTally {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tally
 }
 
-// Out is how many ingresses take no clients now, as seen by PING.
+// Unavailable returns how many ingresses currently fail PING.
 func (f *Front) Unavailable() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,11 +80,11 @@
 	return n
 }
 
-// pingTime is how long an answer to PING may take: long, as a machine that is kept
-// busy is no ingress that is out.
+// pingTimeout limits the wait for a reply to PING. It is long so that an overloaded test
+// machine does not make an ingress count as unavailable.
 const pingTimeout = 3 * time.Second
 
-// ping asks one ingress again and again whether it takes clients.
+// ping checks one ingress with PING until ctx ends.
 func (f *Front) ping(ctx context.Context, i int) {
 	var c *Client
 	for ctx.Err() == nil {
@@ -102,7 +102,7 @@
 		if err != nil && c != nil {
 			c.Close()
 			c = nil
-			if line == "" { // a connection at rest may be closed; a new one tells
+			if line == "" { // the ingress may have closed an idle connection: retry on a new one
 				if c, err = Dial(f.Addrs[i], pingTimeout); err == nil {
 					if err = c.Send("PING"); err == nil {
 						line, err = c.ReadReply()
@@ -117,9 +117,9 @@
 		f.mu.Lock()
 		f.up[i] = line == "+PONG"
 		f.mu.Unlock()
-		if out := f.Unavailable(); out < len(f.Addrs) { // not before the first has come up
+		if unavailable := f.Unavailable(); unavailable < len(f.Addrs) { // ignore the time before the first ingress is up
 			f.mu.Lock()
-			f.tally.MostOut = max(f.tally.MostOut, out)
+			f.tally.MostOut = max(f.tally.MostOut, unavailable)
 			f.mu.Unlock()
 		}
 		select {
@@ -132,14 +132,15 @@
 	}
 }
 
-// Mark begins the count of MostOut anew.
+// ResetMostOut sets MostOut back to 0.
 func (f *Front) ResetMostOut() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.tally.MostOut = 0
 }
 
-// take picks an ingress and a connection to it.
+// acquire picks a random available ingress and returns a connection to it (nil if dialing
+// fails), its address, and whether any ingress is available. With fresh it dials a new one.
 func (f *Front) acquire(fresh bool) (*Client, string, bool) {
 	f.mu.Lock()
 	var up []string
@@ -178,29 +179,29 @@
 	f.tally.Asked++
 	f.tally.Open++
 	f.mu.Unlock()
-	outcome, cut, nobody := Unsent, false, false
+	outcome, cut, noIngress := Unsent, false, false
 	end := time.Now().Add(f.Deadline)
 	var c *Client
 	var addr string
-	for try := 0; outcome == Unsent && !cut && time.Now().Before(end); try++ {
-		var some bool
-		if c, addr, some = f.acquire(try > 0); !some || c == nil {
-			nobody = !some
+	for attempt := 0; outcome == Unsent && !cut && time.Now().Before(end); attempt++ {
+		var available bool
+		if c, addr, available = f.acquire(attempt > 0); !available || c == nil {
+			noIngress = !available
 			time.Sleep(2 * time.Millisecond)
 			continue
 		}
-		nobody = false
+		noIngress = false
 		c.SetDeadline(time.Now().Add(f.Deadline + time.Second))
 		if outcome = c.Ask(id, words...); outcome == Unsent {
 			c.Close()
-			// A close may cross a request that was not read, which is then sent again. One
-			// that has run was taken: its ingress has been killed, or has lost it.
+			// An ingress may close a connection before it reads the request, which is then
+			// sent again. If the request was executed, its ingress was killed or lost it.
 			cut = f.Effects.Count(id) > 0
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.count(outcome, cut, nobody)
+	f.count(outcome, cut, noIngress)
 	if outcome > Failed || cut || c == nil {
 		if c != nil {
 			c.Close()
@@ -215,8 +216,8 @@
 	f.idle[addr] = append(f.idle[addr], c)
 }
 
-// Sound tells what may not be: requests lost, served wrongly or answered twice, and
-// more cut than were killed with their ingress.
+// Check returns an error if requests were lost, served with another request's value or
+// answered twice, or if any were cut off although no ingress was killed.
 func (t FrontTally) Check(killed bool) error {
 	u := t.Tally
 	u.Failed += t.Cut
@@ -224,13 +225,13 @@
 		return err
 	}
 	if t.Cut > 0 && !killed {
-		return fmt.Errorf("%d requests were cut off, and nothing was killed", t.Cut)
+		return fmt.Errorf("%d requests were cut off although no ingress was killed", t.Cut)
 	}
 	return nil
 }
 
-// Reserve finds an address on loopback of its own that nothing else listens on and that
-// can be listened on again and again: outgoing connections do not take ports there.
+// Reserve returns a free loopback address that can be listened on repeatedly. Outgoing
+// connections take no ports there: their local address is 127.0.0.1.
 func Reserve() (string, error) {
 	for range 100 {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 16+rand.IntN(200), rand.IntN(250), 2+rand.IntN(250)))
@@ -240,11 +241,11 @@
 		defer ln.Close()
 		return ln.Addr().String(), nil
 	}
-	return "", errors.New("no address on loopback is free")
+	return "", errors.New("found no free loopback address")
 }
 
-// count counts how a request ended. The caller holds the mutex.
-func (f *Front) count(outcome Outcome, cut, nobody bool) {
+// count records the outcome of a request. The caller holds the mutex.
+func (f *Front) count(outcome Outcome, cut, noIngress bool) {
 	f.tally.Open--
 	switch {
 	case cut:
@@ -261,7 +262,7 @@
 		f.tally.Lost++
 	default:
 		f.tally.Unreached++
-		if nobody {
+		if noIngress {
 			f.tally.Nobody++
 		}
 	}
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Link carries connections to an address and can fail as a network does.
+// Link is a TCP proxy to one address that can simulate network faults.
 type Link struct {
-	Addr string // connect here
+	Addr string // address to connect to
 
 	to     string
 	ln     net.Listener
 	mu     sync.Mutex
-	healed [2]chan struct{} // of what goes there, and of what comes back; nil while the link carries, closed when it does again
-	delay  time.Duration    // what each piece is held for
+	healed [2]chan struct{} // per direction: non-nil while silenced, closed by Heal
+	delay  time.Duration    // delay of each chunk
 	conns  map[net.Conn]struct{}
 	closed bool
 }
@@ -26,7 +26,7 @@
 	return newLink(ln, err, to)
 }
 
-// NewLinkAt starts a link at an address, where connections were refused until then.
+// NewLinkAt starts a link at a given address, where connections were refused until then.
 func NewLinkAt(at, to string) (*Link, error) {
 	ln, err := net.Listen("tcp", at)
 	return newLink(ln, err, to)
@@ -63,13 +63,14 @@
 	l.copy(near, far, reverse)
 }
 
-// The two ways of a link.
+// The two directions of a link: from the side that connects to the target address, and back.
 const (
 	forward = iota
 	reverse
 )
 
-// hold remembers an end, so that Reset and Close reach it.
+// track records a connection so that Reset and Close can end it. It closes the connection
+// and returns false if the link is closed.
 func (l *Link) track(nc net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,11 +89,11 @@
 	l.mu.Unlock()
 }
 
-func (l *Link) copy(to, from net.Conn, way int) {
+func (l *Link) copy(to, from net.Conn, direction int) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		l.wait(way) // what comes while the link is silent is held, and so is an end
+		l.wait(direction) // data and EOF are held while the link is silenced
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				break
@@ -110,61 +111,61 @@
 	l.drop(from)
 }
 
-// pass waits while the link is silent that way, and for as long as it delays.
-func (l *Link) wait(way int) {
+// wait blocks while the direction is silenced, and then for the delay.
+func (l *Link) wait(direction int) {
 	l.mu.Lock()
-	heal, late := l.healed[way], l.delay
+	healed, delay := l.healed[direction], l.delay
 	l.mu.Unlock()
-	if heal != nil {
-		<-heal
+	if healed != nil {
+		<-healed
 	}
-	if late > 0 {
-		time.Sleep(late)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
 }
 
-// Silence cuts the link as a lost network does: connections stay open, and
-// neither bytes nor ends come through until Heal.
+// Silence simulates a network partition: connections stay open, and neither data nor
+// EOF passes until Heal.
 func (l *Link) Silence() {
 	l.SilenceForward()
 	l.silence(reverse)
 }
 
-// SilenceThere cuts one way alone: what is sent does not arrive, answers do.
+// SilenceForward silences only the direction to the target; replies still arrive.
 func (l *Link) SilenceForward() { l.silence(forward) }
 
-// SilenceBack cuts the other way alone: what is sent arrives, answers do not.
+// SilenceReverse silences only the direction from the target; requests still arrive.
 func (l *Link) SilenceReverse() { l.silence(reverse) }
 
-func (l *Link) silence(way int) {
+func (l *Link) silence(direction int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.healed[way] == nil {
-		l.healed[way] = make(chan struct{})
+	if l.healed[direction] == nil {
+		l.healed[direction] = make(chan struct{})
 	}
 }
 
-// Delay holds each piece for so long, both ways, from now on.
+// Delay delays each chunk by d in both directions from now on.
 func (l *Link) Delay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// Heal lets through what was held, and all that comes, at once.
+// Heal ends silence and delay, and releases the data held back.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = 0
-	for way, heal := range l.healed {
-		if heal != nil {
-			close(heal)
-			l.healed[way] = nil
+	for direction, healed := range l.healed {
+		if healed != nil {
+			close(healed)
+			l.healed[direction] = nil
 		}
 	}
 }
 
-// Reset ends all connections by a reset, as a process that dies does.
+// Reset closes all connections with a TCP reset, as the death of a process does.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -175,7 +176,7 @@
 	}
 }
 
-// Close ends the link.
+// Close closes the listener and resets all connections.
 func (l *Link) Close() {
 	l.ln.Close()
 	l.mu.Lock()
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -10,62 +10,63 @@
 	"time"
 )
 
-// Load is a steady stream of requests from clients that keep connections and
-// open more when all are busy, as the platform's front does. It is open: a
-// request is due at its time, whether or not those before it are answered, and
-// its latency counts from then.
+// Load generates requests at a constant rate from clients that reuse connections and
+// open more when all are busy, as the platform's load balancer does. It is an open-loop
+// generator (Run): a request is due at its time whether or not earlier ones were
+// answered, and its latency counts from that time.
 type Load struct {
 	Addr        string
 	PerSecond   float64
-	Payments    float64 // share of the requests that must not run twice; the others are lookups
+	Payments    float64 // share of requests that must not be executed twice; the others are lookups
 	Deadline    time.Duration
-	Customers   []Customer // by weight; nil for one
-	NoKeepAlive bool       // a connection for each request
-	// Prompt is how soon on a new connection a client must ask for the ingress
-	// to owe it an answer; 0 for no bound. A client that was itself slower, as
-	// on a machine that is kept busy, and finds the connection closed is counted
-	// as Tardy and not as Unreached.
+	Customers   []Customer // chosen by weight; if nil, all requests are for customer 1
+	NoKeepAlive bool       // open a connection per request
+	// FirstRequestTimeout is the time from opening a connection within which the
+	// client must send for the ingress to owe it a reply; 0 for no limit. If the
+	// client itself was slower, as on an overloaded machine, and the connection is
+	// closed, the request counts as Tardy and not as Unreached.
 	FirstRequestTimeout time.Duration
 
 	mu        sync.Mutex
 	idle      []*Client
 	tally     Tally
 	latencies []time.Duration
-	lapStart  int // of late, where the part for Lap begins
+	lapStart  int // index in latencies where the next LapLatencies begins
 }
 
-// Customer is one of those in whose name requests are sent.
+// Customer is a customer for whom requests are sent.
 type Customer struct {
 	Number uint64
 	Weight float64
 }
 
-// Tally counts what became of requests, as their clients saw it.
+// Tally counts requests by outcome, as their clients saw it. Its fields are printed by name.
 type Tally struct {
 	Asked, Served, Refused, Failed int
-	Lost, Wrong                    int // these must stay 0
-	Unreached                      int // no connection was to be had
-	Tardy                          int // asked later than Load.Prompt, on a connection closed by then
-	Resent                         int // sent once more, as a close crossed them
-	Extra                          int // bytes that nobody asked for behind an answer
-	Open                           int // asked and not ended yet
+	Lost, Wrong                    int // must be 0
+	Unreached                      int // no connection could be opened, or it closed without a reply
+	Tardy                          int // sent later than Load.FirstRequestTimeout, on a connection closed by then
+	Resent                         int // sent again because the ingress closed a reused connection without a reply
+	Extra                          int // requests whose reply was followed by unexpected bytes
+	Open                           int // in flight
 }
 
-// Sound tells what no ingress may cause: lost, wrong or second answers.
+// Check returns an error if requests were lost, served with another request's value or
+// answered twice, or if the counts don't add up.
 func (t Tally) Check() error {
 	if t.Lost+t.Wrong+t.Extra > 0 {
-		return fmt.Errorf("%d requests lost, %d served with another's value, %d answered twice", t.Lost, t.Wrong, t.Extra)
+		return fmt.Errorf("%d requests lost, %d served with another request's value, %d answered twice", t.Lost, t.Wrong, t.Extra)
 	}
 	if ends := t.Served + t.Refused + t.Failed + t.Unreached + t.Tardy; ends+t.Open != t.Asked {
-		return fmt.Errorf("%d requests asked, %d ended and %d open", t.Asked, ends, t.Open)
+		return fmt.Errorf("%d requests sent, %d finished and %d in flight", t.Asked, ends, t.Open)
 	}
 	return nil
 }
 
-// PaymentID tells whether the id is that of a payment of a Load.
+// PaymentID reports whether an id is that of a payment sent by Load or Front.
 func PaymentID(id string) bool { return strings.HasPrefix(id, "f") }
 
-// Run sends until ctx ends, and then waits for what is open.
+// Run sends requests until ctx ends, and then waits for those in flight.
 func (l *Load) Run(ctx context.Context) {
 	var open sync.WaitGroup
 	start := time.Now()
@@ -88,8 +89,8 @@
 	l.closeIdle()
 }
 
-// RunClosed has so many clients ask one request after the other, each on a
-// connection of its own, until ctx ends. A connection that ends is opened anew.
+// RunClosed is a closed-loop load: each client sends one request after the other until
+// ctx ends, on at most one connection per client. Closed connections are reopened.
 func (l *Load) RunClosed(ctx context.Context, clients int) {
 	var all sync.WaitGroup
 	for range clients {
@@ -126,7 +127,7 @@
 	return 1
 }
 
-// one sends a request and follows it to its end.
+// sendOne sends a request and records its outcome.
 func (l *Load) sendOne(due time.Time) {
 	id := "0" + NewID()[1:]
 	words := Lookup(l.customer(), id, int(l.Deadline.Milliseconds()))
@@ -139,27 +140,27 @@
 	l.tally.Open++
 	l.mu.Unlock()
 	outcome, tardy := Unsent, false
-	ask := func(c *Client, begun time.Time) {
+	ask := func(c *Client, started time.Time) {
 		if c == nil {
 			return
 		}
 		c.SetDeadline(time.Now().Add(l.Deadline + time.Second))
 		sent := c.Send(words...)
-		tardy = l.FirstRequestTimeout > 0 && time.Since(begun) > l.FirstRequestTimeout
+		tardy = l.FirstRequestTimeout > 0 && time.Since(started) > l.FirstRequestTimeout
 		if sent == nil {
 			outcome = c.Outcome(id)
 		}
 	}
-	begun := time.Now()
-	c, kept := l.acquire()
-	ask(c, begun)
+	started := time.Now()
+	c, reused := l.acquire()
+	ask(c, started)
 	resent := false
-	if outcome == Unsent && kept { // once more, on a new connection
+	if outcome == Unsent && reused { // retry once, on a new connection
 		c.Close()
 		resent = true
-		begun = time.Now()
+		started = time.Now()
 		c, _ = l.dial()
-		ask(c, begun)
+		ask(c, started)
 	}
 	took := time.Since(due)
 	l.mu.Lock()
@@ -182,8 +183,8 @@
 	l.idle = append(l.idle, c)
 }
 
-// take gives the connection that was used last, or a new one.
-func (l *Load) acquire() (c *Client, kept bool) {
+// acquire returns the most recently used idle connection, or a new one.
+func (l *Load) acquire() (c *Client, reused bool) {
 	l.mu.Lock()
 	if n := len(l.idle); n > 0 {
 		c, l.idle = l.idle[n-1], l.idle[:n-1]
@@ -203,14 +204,14 @@
 	return c, false
 }
 
-// Tally is what was seen up to now.
+// Tally returns the counts up to now.
 func (l *Load) Tally() Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tally
 }
 
-// Lap gives the latencies of what was served since the last Lap, in order of size.
+// LapLatencies returns the sorted latencies of requests served since the last call.
 func (l *Load) LapLatencies() []time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,7 +221,7 @@
 	return part
 }
 
-// Latencies are those of all that was served, in order of size.
+// Latencies returns the sorted latencies of all served requests.
 func (l *Load) Latencies() []time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -229,8 +230,8 @@
 	return all
 }
 
-// Percentile takes the value below which a share of a sorted list lies, by the
-// nearest rank; 0 of an empty one.
+// Percentile returns the value below which the given share of a sorted list lies, by
+// nearest rank; 0 for an empty list.
 func Percentile(sorted []time.Duration, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -238,7 +239,7 @@
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
 }
 
-// count counts how a request ended, took being its time from when it was due. The caller
+// count records the outcome of a request. took is the time since it was due. The caller
 // holds the mutex.
 func (l *Load) count(outcome Outcome, took time.Duration, tardy bool) {
 	switch outcome {
--- a/internal/standin/meter.go
+++ b/internal/standin/meter.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Meter adds up each customer's units by period, over all backends, and tells
-// the use in the last finished one as a share of the rate.
+// Meter sums each customer's units per period, over all backends, and reports the usage
+// of the last complete period as a percentage of the rate.
 type Meter struct {
-	Rate   float64 // units a second
+	Rate   float64 // units per second
 	Period time.Duration
 
 	mu       sync.Mutex
@@ -18,7 +18,7 @@
 	previous map[string]float64
 }
 
-// Count counts units of a customer and returns the figure that goes with the answer.
+// Count adds units for a customer and returns the usage figure to send with the reply.
 func (m *Meter) Count(customer string, units float64) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// Process is the real program, started with the configuration of one node.
+// Process is a run of the real program with the configuration of one node.
 type Process struct {
-	Addr string // where it serves clients
+	Addr string // address for clients
 	Cmd  *exec.Cmd
 
 	exited chan struct{}
 	err    error
-	log    []string // the last lines it wrote; valid once it has ended
+	log    []string // the last lines of its log; read only after exit
 }
 
 const maxLogLines = 200
 
-// Start starts a program with a configuration, and waits until it tells its
+// Start starts a program with the node's configuration and waits until it logs its
 // address. The program is killed when ctx ends.
 func (n Node) Start(ctx context.Context, program []string, dir string, env ...string) (*Process, error) {
 	path, err := n.Write(dir)
@@ -33,7 +33,8 @@
 	}
 	p := &Process{Cmd: exec.CommandContext(ctx, program[0], program[1:]...), exited: make(chan struct{})}
 	p.Cmd.Env = append(append(os.Environ(), env...), "NODE_CONFIG="+path)
-	// A Ctrl-C at the terminal goes to this process alone, which then stops the others in order.
+	// In a process group of its own, the program gets no Ctrl-C from the terminal: only this
+	// process does, which then stops the others in order.
 	p.Cmd.ExtraFiles = n.Files
 	p.Cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	out, err := p.Cmd.StderrPipe()
@@ -48,7 +49,7 @@
 	if err := p.Cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start: %w", err)
 	}
-	told := make(chan string, 1)
+	address := make(chan string, 1)
 	go func() {
 		lines := bufio.NewScanner(out)
 		for lines.Scan() {
@@ -61,7 +62,7 @@
 			p.log = append(p.log, lines.Text())
 			if _, rest, ok := strings.Cut(lines.Text(), "address="); ok && strings.Contains(lines.Text(), "serving") {
 				select {
-				case told <- strings.Fields(rest)[0]:
+				case address <- strings.Fields(rest)[0]:
 				default:
 				}
 			}
@@ -70,14 +71,14 @@
 		close(p.exited)
 	}()
 	select {
-	case p.Addr = <-told:
+	case p.Addr = <-address:
 		return p, nil
 	case <-p.exited:
-		return nil, fmt.Errorf("the program ended at its start: %v: %s", p.err, strings.Join(p.log, "; "))
+		return nil, fmt.Errorf("the program exited before it was serving: %v: %s", p.err, strings.Join(p.log, "; "))
 	}
 }
 
-// HasEnded tells whether the program has ended.
+// Exited reports whether the program has exited.
 func (p *Process) Exited() bool {
 	select {
 	case <-p.exited:
@@ -87,10 +88,11 @@
 	}
 }
 
-// Stop sends SIGTERM and waits for the end. It returns what the program ended with.
-func (p *Process) Stop(patience time.Duration) error {
+// Stop sends SIGTERM and waits for the program to exit; it kills the program after the
+// timeout. It returns the exit error.
+func (p *Process) Stop(timeout time.Duration) error {
 	_ = p.Cmd.Process.Signal(syscall.SIGTERM)
-	err := p.Wait(patience)
+	err := p.Wait(timeout)
 	if errors.Is(err, errStillRunning) {
 		p.Cmd.Process.Kill()
 		<-p.exited
@@ -98,16 +100,16 @@
 	return err
 }
 
-var errStillRunning = errors.New("the program did not end in time")
+var errStillRunning = errors.New("the program did not exit before the timeout")
 
-// Log is the last lines that a program wrote which has ended.
+// Log returns the last lines that the program logged. Call it only after exit.
 func (p *Process) Log() []string { return p.log }
 
-// Wait waits for the end, and returns what the program ended with.
-func (p *Process) Wait(patience time.Duration) error {
+// Wait waits for the program to exit and returns its exit error.
+func (p *Process) Wait(timeout time.Duration) error {
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return errStillRunning
 	}
 	if p.err != nil {
@@ -116,18 +118,18 @@
 	return nil
 }
 
-// Usage is what a process has used and holds, as the kernel tells it.
+// Usage is the resource usage of a process as reported by the kernel.
 type Usage struct {
 	CPU      time.Duration // user and system
 	Resident int64         // bytes
-	Files    int           // descriptors
+	Files    int           // open file descriptors
 	Switches int64         // voluntary context switches of all threads: wakeups
 }
 
-// Usage reads the process's figures.
+// Usage returns the resource usage of the process.
 func (p *Process) Usage() (u Usage, err error) { return UsageOf(p.Cmd.Process.Pid) }
 
-// UsageOf reads the figures of a process from /proc.
+// UsageOf reads the resource usage of a process from /proc.
 func UsageOf(pid int) (u Usage, err error) {
 	base := fmt.Sprintf("/proc/%d", pid)
 	stat, err := os.ReadFile(base + "/stat")
@@ -150,17 +152,17 @@
 		return u, err
 	}
 	for _, t := range tasks {
-		// In nanoseconds; the process's own figure counts in ticks of 10 ms.
+		// schedstat is in nanoseconds; the CPU time in /proc/PID/stat has ticks of 10 ms.
 		if sched, err := os.ReadFile(base + "/task/" + t.Name() + "/schedstat"); err == nil {
 			var ns int64
 			if _, err := fmt.Sscan(string(sched), &ns); err != nil {
-				return u, fmt.Errorf("time on a processor: %w", err)
+				return u, fmt.Errorf("CPU time: %w", err)
 			}
 			u.CPU += time.Duration(ns)
 		}
 		status, err := os.ReadFile(base + "/task/" + t.Name() + "/status")
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
 		if _, v, ok := strings.Cut(string(status), "\nvoluntary_ctxt_switches:"); ok {
 			var n int64
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// emptyEvery is how often an empty line tells that a watch lives.
+// keepAliveInterval is the interval of the empty lines that show a watch is alive.
 const keepAliveInterval = 2 * time.Second
 
-// Registry is a discovery whose list changes and which tells each change to all
-// that watch.
+// Registry is a fake discovery service whose list can change. It sends each change to all
+// open watches.
 type Registry struct {
 	*httptest.Server
 
 	mu       sync.Mutex
 	revision int
 	members  map[string]Member
-	log      []Member // the changes, one a revision
+	log      []Member // all changes, one per revision
 	changed  chan struct{}
 }
 
-// NewRegistry starts one with no members.
+// NewRegistry starts a registry with no members.
 func NewRegistry() *Registry {
 	r := &Registry{members: map[string]Member{}, changed: make(chan struct{})}
 	r.Server = NewServer(http.HandlerFunc(r.serve))
 	return r
 }
 
-// Addr is where it listens.
+// Addr returns the listen address.
 func (r *Registry) Addr() string { return r.Listener.Addr().String() }
 
-// Set changes a member, or adds it; its phase DELETED takes it out.
+// Set adds or updates a member; phase DELETED removes it.
 func (r *Registry) Set(m Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,6 +48,8 @@
 	r.changed = make(chan struct{})
 }
 
+// list encodes the members (from < 0) or the changes since a revision. It returns the current
+// revision and a channel that is closed at the next change.
 func (r *Registry) list(from int) (b []byte, revision int, changed chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +64,7 @@
 	}
 	b, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // plain values alone
+		panic(err) // can't fail: only plain values
 	}
 	return append(b, '\n'), r.revision, r.changed
 }
@@ -91,7 +93,7 @@
 	}
 }
 
-// Stop ends it and its connections.
+// Stop closes the server and its connections.
 func (r *Registry) Stop() {
 	r.CloseClientConnections()
 	r.Close()
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -9,9 +9,10 @@
 	"path/filepath"
 )
 
-// Settings are an installation's settings for one ingress with one plan and two
-// classes, lookup (free) and payment (single_shot). %d stands for the time in
-// milliseconds after which backends close idle connections.
+// Settings is a format string for the settings of one ingress with one plan and two
+// classes, lookup (free) and payment (single_shot). Its arguments are the time in
+// milliseconds after which backends close idle connections, and the plan's quota rate
+// and burst.
 const Settings = `{"balancers":1,"self_index":0,"zone":0,"zones":["a"],"kinds":["std"],"tick_ms":2,"discovery":"push",
  "bounds":{"cancelling":true,"conn_idle_ms":%d,"connect_timeout_ms":5000,"max_retry_after_ms":1000,"probing":true,
   "retry_after":true,"second_copies":false,"try_limit":4},
@@ -23,22 +24,23 @@
  "specifics":{"max_units":1,"use_period_ms":500},
  "tiers_of_service":[{"name":"basic","quota_rate":%g,"burst":%g,"price":1}],"weights":"nominal"}`
 
-// Options are those of a request under Settings, ms its client's time for it.
+// Options returns the options of a request under Settings, with a deadline of ms milliseconds.
 func Options(class string, ms int) string {
 	return fmt.Sprintf("c=%s,t=basic,d=%d,units=1,spread=1,first=0", class, ms)
 }
 
-// Lookup and Payment are the words of a request of each class under Settings.
+// Lookup returns the words of a lookup request under Settings.
 func Lookup(customer uint64, id string, ms int) []string {
 	return []string{"Q.ASK", fmt.Sprintf("%016x", customer), id, Options("lookup", ms)}
 }
 
-// Payment is a request that must not run twice.
+// Payment returns the words of a payment request under Settings, which must not be executed
+// twice.
 func Payment(customer uint64, id string, ms int) []string {
 	return []string{"Q.DO", fmt.Sprintf("%016x", customer), id, Options("payment", ms), "BODY"}
 }
 
-// Node is the configuration of one ingress, as the platform writes it.
+// Node is the configuration of one ingress in the platform's format.
 type Node struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -46,25 +48,25 @@
 	Seed      string          `json:"seed"`
 	Limits    Limits          `json:"limits"`
 	Settings  json.RawMessage `json:"settings"`
-	Known     json.RawMessage `json:"known,omitempty"` // a list as discovery tells it
-	Files     []*os.File      `json:"-"`               // that the program inherits, from descriptor 3 on
+	Known     json.RawMessage `json:"known,omitempty"` // a member list in discovery's format
+	Files     []*os.File      `json:"-"`               // inherited by the program, from descriptor 3 on
 
-	// Log gets each line that the program writes; nil for nowhere.
+	// Log receives each line that the program writes to stderr, if not nil.
 	Log io.Writer `json:"-"`
 
-	// Prepare is called with the command before its start; nil for nothing to prepare.
+	// Prepare is called with the command before its start, if not nil.
 	Prepare func(*exec.Cmd) error `json:"-"`
 }
 
-// Limits are what one ingress may use.
+// Limits are the resource limits of one ingress.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Write writes the configuration to a file in dir and returns its path. A file
-// that is there is replaced as a whole.
+// Write writes the configuration to a file in dir and returns its path. It replaces an
+// existing file atomically.
 func (n Node) Write(dir string) (string, error) {
 	data, err := json.Marshal(n)
 	if err != nil {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,7 +1,7 @@
-// Package standin holds what stands in for the world round an ingress: clients,
-// backends, discovery, and the counts that are kept of them independently of
-// the program. Tests and long measurements share it. Everything listens on
-// loopback, each on an address of its own (Listen).
+// Package standin provides fakes of the systems around an ingress: clients, backends
+// and discovery. They count requests independently of the program under test. Tests
+// and long measurements share it. Every fake listens on a loopback address of its own
+// (see Listen).
 package standin
 
 import (
@@ -16,11 +16,10 @@
 	"github.com/tidwall/redcon"
 )
 
-// Listen listens on a loopback address that no other stand-in has (127.0.0.0/8 is
-// all of this machine), at a port that the system chooses. The system soon gives
-// out again a port that is given back, and who still calls it there, an ingress
-// that follows a discovery which has ended, would come to a stand-in that knows
-// nothing of it.
+// Listen listens on a random loopback address (all of 127.0.0.0/8 is local) and a port
+// chosen by the system. The system soon reuses a released port. If all fakes shared one
+// address, an ingress that still follows a discovery that has stopped could reconnect to
+// an unrelated fake.
 func Listen() (net.Listener, error) { return listen(&net.ListenConfig{}, 0) }
 
 func listen(how *net.ListenConfig, port int) (net.Listener, error) {
@@ -33,8 +32,8 @@
 	return ln, nil
 }
 
-// NewServer starts an HTTP server as Listen listens. It panics where nothing can
-// be listened on, as httptest does.
+// NewServer starts an HTTP server on an address of Listen. It panics if listening fails,
+// as httptest does.
 func NewServer(h http.Handler) *httptest.Server {
 	ln, err := Listen()
 	if err != nil {
@@ -45,10 +44,10 @@
 	return s
 }
 
-// NewID is the id of a new try, 16 hex digits.
+// NewID returns a random request id of 16 hex digits.
 func NewID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-// Encode is a command as a client sends it.
+// Encode encodes a command in RESP2.
 func Encode(words ...string) []byte {
 	b := redcon.AppendArray(nil, len(words))
 	for _, w := range words {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Who calls a port that was given back must not come to the stand-in that got it next.
-func TestPortThatWasGivenBackLeadsNowhere(t *testing.T) {
+// Guards against a client of a closed stand-in reaching another one that was given the same
+// port: each stand-in has an address of its own.
+func TestReusedPortDoesNotReachAnotherStandin(t *testing.T) {
 	before, err := Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -24,6 +25,6 @@
 		if err == nil {
 			nc.Close()
 		}
-		t.Errorf("who calls %v while %v is up gets %v, want a refusal", left, next.Addr(), err)
+		t.Errorf("dial to the closed %v while %v listens: got %v, want connection refused", left, next.Addr(), err)
 	}
 }
--- a/internal/standin/stopped.go
+++ b/internal/standin/stopped.go
@@ -9,31 +9,30 @@
 	"syscall"
 )
 
-// Point is where a stopped backend holds what comes to it, until Go.
+// StopPoint is where a stopped backend blocks until Resume.
 type StopPoint int
 
-// The points.
+// The points at which a backend can stop.
 const (
-	Connecting StopPoint = iota // connections do not come up
-	HalfRead                    // they do, and of a command of 64 KiB less than all can be written
+	Connecting StopPoint = iota // connections are not established
+	HalfRead                    // connections are established, but a command of 64 KiB can't be written in full
 )
 
-// stop is what holds a stopped backend.
+// stop is the state of a stopped backend.
 type stop struct {
 	started chan net.Conn
-	resumed chan struct{} // closed by Go
+	resumed chan struct{} // closed by Resume
 	once    sync.Once
-	filler  net.Conn // Connecting: what fills the queue
+	filler  net.Conn // Connecting: the connection that fills the accept queue
 }
 
-// NewStoppedBackend starts a backend that stops at a point and goes on at a
-// word. What the kernel would take ahead is kept small, so that the point is
-// reached every time.
+// NewStoppedBackend starts a backend that stops at a point until Resume is called. The
+// kernel's buffers and queues are kept small so that the point is always reached.
 func NewStoppedBackend(at StopPoint) (*Backend, error) {
 	how := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		if at == HalfRead {
 			failed := raw.Control(func(fd uintptr) {
-				// With segments this short the other side's kernel takes some tens of kilobytes at most.
+				// With segments this short the sender's kernel buffers some tens of kilobytes at most.
 				if err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, 88); err == nil {
 					err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1)
 				}
@@ -55,8 +54,8 @@
 		go b.accept()
 		return b, nil
 	}
-	// A queue for one, which a connection of our own fills: what comes then waits to come up, and
-	// asks again after a second.
+	// The accept queue holds one connection, and the filler takes that place: later connections
+	// are not established, and their SYN is sent again after a second.
 	if err = b.setAcceptQueue(0); err == nil {
 		b.stop.filler, err = net.Dial("tcp", b.Addr)
 	}
@@ -67,7 +66,7 @@
 	return b, nil
 }
 
-// queue sets how many connections may wait to be taken, and one more.
+// setAcceptQueue sets the listen backlog; the kernel queues n+1 connections.
 func (b *Backend) setAcceptQueue(n int) (err error) {
 	raw, err := b.ln.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -79,10 +78,10 @@
 	return err
 }
 
-// Begun hands out each connection to a stopped backend on which a command has begun to come.
+// CommandStarted delivers each connection to a stopped backend on which a first byte has arrived.
 func (b *Backend) CommandStarted() <-chan net.Conn { return b.stop.started }
 
-// Go lets a stopped backend go on, for good.
+// Resume lets a stopped backend continue; it can't be stopped again.
 func (b *Backend) Resume() {
 	b.stop.once.Do(func() {
 		close(b.stop.resumed)
@@ -98,7 +97,8 @@
 	})
 }
 
-// reader reads a connection, past the stop's first byte once it goes on.
+// reader waits for the first byte of a connection, and then for Resume. It returns a reader
+// of the whole stream, including that byte.
 func (s *stop) reader(nc net.Conn) io.Reader {
 	if s == nil {
 		return nc
--- a/internal/standin/traffic.go
+++ b/internal/standin/traffic.go
@@ -5,19 +5,19 @@
 	"sync/atomic"
 )
 
-// Traffic counts what passes connections, in bytes as their owner sees it.
+// Traffic counts the bytes that a set of connections reads (In) and writes (Out).
 type Traffic struct {
 	In, Out atomic.Int64
-	Conns   atomic.Int64 // opened
+	Conns   atomic.Int64 // connections opened
 }
 
-// Counted counts a connection, and all that passes it from now on.
+// WrapConn counts a connection and the bytes read from and written to the one it returns.
 func (t *Traffic) WrapConn(c net.Conn) net.Conn {
 	t.Conns.Add(1)
 	return countedConn{c, t}
 }
 
-// Listener counts all connections that a listener accepts.
+// WrapListener counts all connections that a listener accepts.
 func (t *Traffic) WrapListener(ln net.Listener) net.Listener { return countedListener{ln, t} }
 
 type countedConn struct {
--- a/internal/standin/traffic_test.go
+++ b/internal/standin/traffic_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Both ends count what passes, each as it sees it.
+// Both ends of a connection count its bytes, each from its own side.
 func TestTraffic(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
