--- a/internal/fleetproc/configured.go
+++ b/internal/fleetproc/configured.go
@@ -16,8 +16,8 @@
 )
 
 // StartConfigured starts coordinators, backends and ingresses that follow the configuration
-// which the coordinators give out, with no agents: the ingresses are in Programs, and the way
-// of each to each coordinator goes over a link in Links.
+// distributed by the coordinators, without agents. The ingresses are in Programs, and each
+// connects to each coordinator through a link of its own in Links.
 func StartConfigured(cfg Config) (*Fleet, error) {
 	f := newFleet(cfg)
 	if err := f.buildConfigured(); err != nil {
@@ -27,7 +27,7 @@
 	return f, nil
 }
 
-// StartCoordinators starts coordinators and nothing else, and waits until one leads.
+// StartCoordinators starts only coordinators and waits until one is the leader.
 func StartCoordinators(cfg Config) (*Fleet, error) {
 	f := newFleet(cfg)
 	if err := f.startCoordinators(); err != nil {
@@ -37,7 +37,7 @@
 	for end := time.Now().Add(time.Minute); f.Leader() < 0; time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
 			f.Stop()
-			return nil, fmt.Errorf("no coordinator leads: %s", f.Coordinators[0].Log())
+			return nil, fmt.Errorf("no coordinator became leader: %s", f.Coordinators[0].Log())
 		}
 	}
 	return f, nil
@@ -80,38 +80,38 @@
 		}
 	}
 	f.startFront()
-	return f.WaitConfig(time.Minute, "all follow", func(s distribution.Status) bool {
-		heard := 0
+	return f.WaitConfig(time.Minute, "all ingresses follow", func(s distribution.Status) bool {
+		inForce := 0
 		for _, x := range s.Followers {
 			if x.Sync == distribution.SyncInForce {
-				heard++
+				inForce++
 			}
 		}
-		return heard == f.Ingresses && f.Front.Unavailable() == 0
+		return inForce == f.Ingresses && f.Front.Unavailable() == 0
 	})
 }
 
-// run has the front send requests until Stop.
+// startFront starts the front, which sends requests until Stop.
 func (f *Fleet) startFront() {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	go func() { f.done <- f.Front.Run(ctx) }()
 }
 
-// ConfigDir is the folder in which an ingress keeps its configuration.
+// ConfigDir returns the directory in which an ingress stores its configuration.
 func (f *Fleet) ConfigDir(i int) string { return filepath.Join(f.Dir, fmt.Sprintf("n%d.config", i)) }
 
-// ConfigStatus is how configuration stands, asked of the leading coordinator directly.
-func (f *Fleet) ConfigStatus(patience time.Duration) (s distribution.Status, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// ConfigStatus requests the configuration status directly from the leader.
+func (f *Fleet) ConfigStatus(timeout time.Duration) (s distribution.Status, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	err = rolloutlink.CallLeader(ctx, f.http, f.Addresses, http.MethodGet, rolloutlink.PathConfigStatus, nil, &s, rolloutlink.MaxStatusBytes)
 	return s, err
 }
 
-// WaitConfig waits until configuration stands as wanted.
-func (f *Fleet) WaitConfig(patience time.Duration, what string, is func(distribution.Status) bool) error {
-	end := time.Now().Add(patience)
+// WaitConfig waits until the configuration status fulfils a condition; what names the condition.
+func (f *Fleet) WaitConfig(timeout time.Duration, what string, is func(distribution.Status) bool) error {
+	end := time.Now().Add(timeout)
 	last := ""
 	for time.Now().Before(end) {
 		s, err := f.ConfigStatus(2 * time.Second)
@@ -123,25 +123,26 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("waited %v in vain until %s: %s; %d ingresses out", patience, what, last, f.Front.Unavailable())
+	return fmt.Errorf("timed out after %v waiting until %s: %s; %d ingresses unavailable", timeout, what, last, f.Front.Unavailable())
 }
 
-// Siege is one customer who asks at every ingress as fast as it is told to, and what came of it.
+// CustomerLoad sends requests of one customer to every ingress at a given rate, and counts
+// the results.
 type CustomerLoad struct {
 	Plan      string
 	PerSecond float64 // at each ingress
 
 	mu       sync.Mutex
-	arrivals []time.Time // of what reached a backend
+	arrivals []time.Time // arrival times of requests at backends
 	outcomes [5]int      // by standin.Outcome
 	stop     context.CancelFunc
 	all      sync.WaitGroup
 }
 
-// siegeCustomer is nobody of the front's.
+// loadCustomer is the customer number of a CustomerLoad; the front does not use it.
 const loadCustomer = 0xbe51e9e
 
-// Lay begins a siege of a fleet's ingresses.
+// StartCustomerLoad starts a load on all of the fleet's ingresses.
 func (f *Fleet) StartCustomerLoad(s *CustomerLoad) {
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
@@ -185,21 +186,22 @@
 	}
 }
 
-// reached notes a request that has reached a backend.
+// recordArrival records that a request has reached a backend.
 func (s *CustomerLoad) recordArrival() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrivals = append(s.arrivals, time.Now())
 }
 
-// End ends a siege.
+// End stops the load and waits for its clients.
 func (s *CustomerLoad) End() {
 	s.stop()
 	s.all.Wait()
 }
 
-// Count is how many requests reached backends from a time on, and how they were answered in all.
-func (s *CustomerLoad) Count(from time.Time) (reached int, answers [5]int) {
+// Count returns how many requests reached backends since a time, and the outcomes of all
+// requests, by standin.Outcome.
+func (s *CustomerLoad) Count(from time.Time) (reached int, results [5]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range s.arrivals {
@@ -210,19 +212,20 @@
 	return reached, s.outcomes
 }
 
-// Over is by how much what reached backends between two times passed a ceiling's bucket that was
-// full at first: units beyond it, at worst.
+// MaxExcess replays the requests that reached backends between two times against a token
+// bucket with the rate and burst of a ceiling, full at first. It returns the largest number
+// of units by which they exceeded it.
 func (s *CustomerLoad) MaxExcess(from, to time.Time, rate, burst float64) (worst float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, last := burst, from
+	level, last := burst, from
 	for _, t := range s.arrivals {
 		if t.Before(from) || t.After(to) {
 			continue
 		}
-		held = min(burst, held+t.Sub(last).Seconds()*rate) - 1
+		level = min(burst, level+t.Sub(last).Seconds()*rate) - 1
 		last = t
-		worst = max(worst, -held)
+		worst = max(worst, -level)
 	}
 	return worst
 }
--- a/internal/fleetproc/configured_test.go
+++ b/internal/fleetproc/configured_test.go
@@ -12,7 +12,8 @@
 	"wickarch/distribution"
 )
 
-// file writes a configuration whose plan "gold" has a ceiling, with more lines behind.
+// writeConfig writes a configuration file whose plan "gold" has a ceiling, followed by the
+// lines in more.
 func (f *Fleet) writeConfig(t *testing.T, ceiling float64, more string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "configuration.toml")
@@ -30,7 +31,7 @@
 	}
 }
 
-func followerStatus(s distribution.Status, name string) distribution.FollowerStatus {
+func follower(s distribution.Status, name string) distribution.FollowerStatus {
 	for _, x := range s.Followers {
 		if x.Name == name {
 			return x
@@ -39,7 +40,7 @@
 	return distribution.FollowerStatus{}
 }
 
-// everywhere tells whether a version is in force at all ingresses.
+// inForceEverywhere returns a condition: the version is settled and in force at all ingresses.
 func (f *Fleet) inForceEverywhere(version uint64) func(distribution.Status) bool {
 	return func(s distribution.Status) bool {
 		n := 0
@@ -52,7 +53,7 @@
 	}
 }
 
-// lead is the number of the coordinator that leads, from 0.
+// waitLeader waits for a leader and returns the index of its coordinator, from 0.
 func (f *Fleet) waitLeader(t *testing.T) int {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -60,13 +61,13 @@
 			return l
 		}
 	}
-	t.Fatal("nobody leads")
+	t.Fatal("no coordinator became leader")
 	return 0
 }
 
-// Three coordinators give configuration out to twelve ingresses under load, while every part
-// fails in turn: a version is in force at all that can be reached, whole or not at all, the
-// ceiling holds over old and new, and of what clients ask nothing is lost or runs twice.
+// Guards against partly applied versions, exceeded ceilings, and lost or repeated requests
+// when links, coordinators and ingresses fail during the distribution of configuration to
+// twelve ingresses under load. A version must come into force at all reachable ingresses.
 func TestConfigurationReachesAllIngresses(t *testing.T) {
 	bin := t.TempDir()
 	if err := Build(bin); err != nil {
@@ -91,14 +92,14 @@
 		}
 	})
 	f.mustRun(t, 0, "config", "push", f.writeConfig(t, 24, ""), "--wait", "60s")
-	siege := &CustomerLoad{Plan: "gold", PerSecond: 15}
-	f.StartCustomerLoad(siege)
-	defer siege.End()
+	load := &CustomerLoad{Plan: "gold", PerSecond: 15}
+	f.StartCustomerLoad(load)
+	defer load.End()
 	began := time.Now()
 
-	t.Run("a lower ceiling, while links fail and the leader dies", func(t *testing.T) {
-		// n0 hears no coordinator; n1 only what it is sent late; n2's connections are reset; the
-		// leader dies with the push just taken.
+	t.Run("lower a ceiling while links fail and the leader is killed", func(t *testing.T) {
+		// n0 can't reach any coordinator; n1's links are delayed; n2's connections are reset; the
+		// leader is killed right after it accepts the push.
 		for _, l := range f.Links[0] {
 			l.Silence()
 		}
@@ -111,14 +112,14 @@
 		for _, l := range f.Links[2] {
 			l.Reset()
 		}
-		f.waitConfig(t, "all but the one cut off have it", func(s distribution.Status) bool {
+		f.waitConfig(t, "all ingresses but n0 have version 2 in force", func(s distribution.Status) bool {
 			n := 0
 			for _, x := range s.Followers {
 				if x.Sync == distribution.SyncInForce && x.Version == 2 {
 					n++
 				}
 			}
-			return n == f.Ingresses-1 && s.Settled == 2 && followerStatus(s, "n0").Version < 2 && followerStatus(s, "n0").Sync != distribution.SyncInForce
+			return n == f.Ingresses-1 && s.Settled == 2 && follower(s, "n0").Version < 2 && follower(s, "n0").Sync != distribution.SyncInForce
 		})
 		if err := f.Coordinators[lead].Start(); err != nil {
 			t.Fatal(err)
@@ -128,14 +129,14 @@
 				l.Heal()
 			}
 		}
-		f.waitConfig(t, "the one that was cut off has it", f.inForceEverywhere(2))
+		f.waitConfig(t, "version 2 is in force everywhere", f.inForceEverywhere(2))
 	})
 	lowered := time.Now()
 
-	t.Run("a ceiling is raised only when all that are heard have it", func(t *testing.T) {
-		f.Programs[3].Signal(syscall.SIGSTOP) // it keeps its lease for a while
+	t.Run("a ceiling is raised only when all connected ingresses have it", func(t *testing.T) {
+		f.Programs[3].Signal(syscall.SIGSTOP) // it keeps its lease until that expires
 		f.mustRun(t, 0, "config", "push", f.writeConfig(t, 120, ""), "--wait", "0s")
-		f.waitConfig(t, "the others have it", func(s distribution.Status) bool {
+		f.waitConfig(t, "the other ingresses have version 3", func(s distribution.Status) bool {
 			n := 0
 			for _, x := range s.Followers {
 				if x.Version == 3 {
@@ -150,44 +151,45 @@
 		}
 		settled := s.Settled == 3
 		raised := time.Now()
-		if over := siege.MaxExcess(lowered, raised, 12, 12); !settled && over > 12*slackSeconds {
-			t.Errorf("%v units beyond the ceiling of 12 while it was being raised", over)
+		if over := load.MaxExcess(lowered, raised, 12, 12); !settled && over > 12*slackSeconds {
+			t.Errorf("exceeded the ceiling of 12 by %v units before the raise settled", over)
 		}
 		f.Programs[3].Signal(syscall.SIGCONT)
-		f.waitConfig(t, "all have it", f.inForceEverywhere(3))
+		f.waitConfig(t, "version 3 is in force everywhere", f.inForceEverywhere(3))
 		from := time.Now()
 		for end := from.Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) {
-			if n, _ := siege.Count(from); float64(n) > 3*12 {
-				break // more than the one before would have let through in so short a time
+			if n, _ := load.Count(from); float64(n) > 3*12 {
+				break // more than the previous ceiling admits in so short a time
 			} else if time.Now().After(end) {
-				t.Fatalf("%d units in %v at a ceiling of 120", n, waitTimeout)
+				t.Fatalf("%d units admitted in %v at a ceiling of 120, want more than 36", n, waitTimeout)
 			}
 		}
 	})
 
-	t.Run("a version that can't be used is halted, with resource and line", func(t *testing.T) {
+	t.Run("an invalid version is halted, with resource and line", func(t *testing.T) {
 		bad := f.writeConfig(t, 120, "[service.accounts]\naim_ms = 200\n\n[route.accounts]\nservice = \"accounts\"\nprefix = \"0\"\nclass = \"nonesuch\"\n")
 		out := f.mustRun(t, 3, "config", "push", bad, "--wait", "60s")
 		if !strings.Contains(out, "HALTED") || !strings.Contains(out, "route/accounts (line 14)") || !strings.Contains(out, "nonesuch") {
-			t.Errorf("it is told as %s", out)
+			t.Errorf("push of an invalid version printed %s, want HALTED, route/accounts (line 14) and nonesuch", out)
 		}
 		if s, err := f.ConfigStatus(waitTimeout); err != nil || s.Settled != 3 {
-			t.Errorf("settled is version %d, %v", s.Settled, err)
+			t.Errorf("settled version is %d, want 3 (error: %v)", s.Settled, err)
 		}
 		if out := f.mustRun(t, 7, "config", "push", f.writeConfig(t, 60, ""), "--base", "3"); !strings.Contains(out, "Conflict") {
-			t.Errorf("a push on an older version is told as %s", out)
+			t.Errorf("push based on an older version printed %s, want Conflict", out)
 		}
 		f.mustRun(t, 0, "config", "back", "--to", "3", "--wait", "60s")
-		f.waitConfig(t, "the way back is in force", f.inForceEverywhere(5))
+		f.waitConfig(t, "the version of the rollback is in force everywhere", f.inForceEverywhere(5))
 	})
 
-	t.Run("an ingress starts by what it kept, and the fleet serves on, with no coordinator", func(t *testing.T) {
+	t.Run("without coordinators, an ingress starts with its stored configuration and the fleet keeps serving", func(t *testing.T) {
 		for _, p := range f.Coordinators {
 			p.Kill()
 		}
 		f.KillIngress(4)
 		f.KillIngress(5)
-		// The one has a bit turned, the other's folder is gone: they take what the platform states.
+		// Corrupt the stored configuration of n5: it must report the damage and start with the
+		// platform's configuration. n4 starts with its stored configuration.
 		path := filepath.Join(f.ConfigDir(5), "config.db")
 		b, err := os.ReadFile(path)
 		if err != nil {
@@ -195,7 +197,7 @@
 		}
 		at := strings.LastIndex(string(b), "ceiling_rate")
 		if at < 0 {
-			t.Fatal("nothing is kept")
+			t.Fatal("config.db holds no ceiling_rate")
 		}
 		for i := range b {
 			if strings.HasPrefix(string(b[i:min(len(b), i+12)]), "ceiling_rate") {
@@ -210,18 +212,19 @@
 				t.Fatal(err)
 			}
 		}
-		// Their logs tell before they serve; the front may not have seen that they were gone.
+		// Wait for their log lines, as the front may not have noticed that they were down.
 		for i, want := range map[int]string{4: `configured by what was kept follower=n4 in_force="version 5`, 5: "damaged"} {
 			for end := time.Now().Add(waitTimeout); !strings.Contains(f.Programs[i].Log(), want); time.Sleep(20 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("waited in vain for %q: %s", want, f.Programs[i].Log())
+					t.Fatalf("timed out waiting for log line %q: %s", want, f.Programs[i].Log())
 				}
 			}
 		}
 		before := f.Front.Seen().Served
-		for end := time.Now().Add(waitTimeout); f.Front.Unavailable() > 0 || f.Front.Seen().Served < before+100; time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); f.Front.Unavailable() > 0 ||
+			f.Front.Seen().Served < before+100; time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("the ingresses do not serve without a coordinator")
+				t.Fatal("the ingresses do not serve without coordinators")
 			}
 		}
 		for _, p := range f.Coordinators {
@@ -229,17 +232,17 @@
 				t.Fatal(err)
 			}
 		}
-		f.waitConfig(t, "all follow again", f.inForceEverywhere(5))
+		f.waitConfig(t, "all ingresses follow again", f.inForceEverywhere(5))
 		f.mustRun(t, 0, "config", "push", f.writeConfig(t, 12, ""), "--wait", "60s")
 	})
 	ended := time.Now()
-	if over := siege.MaxExcess(began, ended, 120, 120); over > 120*slackSeconds {
-		t.Errorf("%v units beyond the highest ceiling", over)
+	if over := load.MaxExcess(began, ended, 120, 120); over > 120*slackSeconds {
+		t.Errorf("exceeded the highest ceiling by %v units", over)
 	}
-	_, answers := siege.Count(began)
-	t.Logf("the siege: %v", answers)
+	_, answers := load.Count(began)
+	t.Logf("outcomes of the customer load: %v", answers)
 }
 
-// slack is how long a request may be on its way to a backend beside others that are not, in
-// seconds: so much of a ceiling's rate may seem to come at once.
+// slackSeconds is the assumed maximum difference between the transit times of requests to
+// backends: this many seconds' worth of a ceiling's rate may arrive at once.
 const slackSeconds = 1.0
--- a/internal/fleetproc/fleet.go
+++ b/internal/fleetproc/fleet.go
@@ -1,7 +1,7 @@
-// Package fleetproc runs a whole fleet as processes of the machine: coordinators,
-// agents, ingresses, stand-in backends and clients, each link through a stand-in that
-// can cut, delay and half-close. Tests and long measurements share it. Everything
-// listens on loopback.
+// Package fleetproc runs a whole fleet on one machine: coordinators, agents and ingresses
+// as processes, with fake backends and clients. Connections to coordinators pass through
+// proxies that can silence (also one direction alone), delay and reset them. Tests and long
+// measurements share it. Everything listens on loopback.
 package fleetproc
 
 import (
@@ -24,33 +24,33 @@
 	"wickarch/internal/standin"
 )
 
-// Config is the size of a fleet.
+// Config is the size and the load of a fleet.
 type Config struct {
-	Dir          string // for everything that is written
-	Bin          string // holds wickarch, coordinator, agent, wickarch-fleet and rollouts
+	Dir          string // for all files that are written
+	Bin          string // directory with wickarch, coordinator, agent, wickarch-fleet and rollouts
 	Coordinators int
 	Ingresses    int
 	Backends     int
 	Zones        int
-	Budgets      string // as in the coordinators' file
+	Budgets      string // in the format of the coordinators' file
 	PerSecond    float64
 	Payments     float64
 	Prove        time.Duration
 	Report       time.Duration
 }
 
-// Fleet is one that runs.
+// Fleet is a running fleet.
 type Fleet struct {
 	Config
 	Coordinators []*Process
 	Agents       []*Process // of the ingresses, then of the backends
-	Programs     []*Process // ingresses that no agent starts
+	Programs     []*Process // ingresses started without an agent
 	Front        *standin.Front
 	Effects      standin.Effects
 	Backends     []*Backend
-	Links        [][]*standin.Link // from an agent to each coordinator
-	PeerLinks    [][]*standin.Link // from a coordinator to each other
-	Addresses    []string          // of the coordinators
+	Links        [][]*standin.Link // from each agent, or each of Programs, to each coordinator
+	PeerLinks    [][]*standin.Link // from each coordinator to each other one
+	Addresses    []string          // addresses of the coordinators
 
 	registry     *standin.Registry
 	hookServer   *httptest.Server
@@ -62,7 +62,7 @@
 	customerLoad *CustomerLoad
 }
 
-// Process is one of the fleet's own that can be killed, paused and started again.
+// Process is a process of the fleet that can be killed, paused and restarted.
 type Process struct {
 	Name string
 	args []string
@@ -73,7 +73,7 @@
 	done chan struct{}
 }
 
-// Start starts it. It is killed with the process that started it.
+// Start starts the process. It is killed when the process that started it dies.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the program has a descriptor of its own
+	defer func() { _ = log.Close() }() // the program has its own descriptor
 	cmd := exec.Command(p.args[0], p.args[1:]...)
 	cmd.Env, cmd.Stdout, cmd.Stderr = append(os.Environ(), p.env...), log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// PID is its number; 0 before it was started.
+// PID returns the process id; 0 before the first start.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +104,7 @@
 	return p.cmd.Process.Pid
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the process, if it was started.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 }
 
-// Kill kills it as by kill -9, and waits for its end.
+// Kill sends SIGKILL, also to a paused process, and waits for its exit.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGKILL)
@@ -125,7 +125,7 @@
 	}
 }
 
-// Log is what it has written.
+// Log returns the process's output, or the error of reading it.
 func (p *Process) Log() string {
 	b, err := os.ReadFile(p.log)
 	if err != nil {
@@ -134,7 +134,7 @@
 	return string(b)
 }
 
-// Backend is a stand-in backend with an owner whose commands drain, stop and start it.
+// Backend is a fake backend that is drained, stopped and started by its owner's hook commands.
 type Backend struct {
 	Name string
 
@@ -142,12 +142,12 @@
 	mu           sync.Mutex
 	server       *standin.Backend
 	version      string
-	drained      time.Time // when all were told that it drains; zero while not
-	lateRequests int       // requests that came over 550 ms after that
+	drained      time.Time // when the registry announced draining; zero if not draining
+	lateRequests int       // requests received more than 550 ms after drained
 	drains       int
 }
 
-// Start starts a fleet and waits until all of it serves.
+// Start starts a fleet and waits until all members serve.
 func Start(cfg Config) (*Fleet, error) {
 	f := newFleet(cfg)
 	if err := f.build(); err != nil {
@@ -187,18 +187,18 @@
 		}
 	}
 	f.startFront()
-	return f.Wait(time.Minute, "all serve", func(s rolloutlink.Status) bool {
-		in := 0
+	return f.Wait(time.Minute, "all members serve", func(s rolloutlink.Status) bool {
+		serving := 0
 		for _, m := range s.Members {
 			if m.Out == "" {
-				in++
+				serving++
 			}
 		}
-		return in == f.Ingresses+f.Config.Backends && f.Front.Unavailable() == 0
+		return serving == f.Ingresses+f.Config.Backends && f.Front.Unavailable() == 0
 	})
 }
 
-// startBackends starts the stand-in backends.
+// startBackends starts the fake backends.
 func (f *Fleet) startBackends() error {
 	for i := range f.Config.Backends {
 		b := &Backend{Name: fmt.Sprint("b", i), fleet: f}
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// startCoordinators starts the coordinators, each with a link of its own to each other.
+// startCoordinators starts the coordinators, each with a link of its own to each other one.
 func (f *Fleet) startCoordinators() error {
 	for range f.Config.Coordinators {
 		a, err := standin.Reserve()
@@ -255,7 +255,8 @@
 
 func (f *Fleet) bin(name string) string { return filepath.Join(f.Bin, name) }
 
-// agentFile is the part of an agent's file that all have.
+// agentFile returns the part of an agent's configuration file that all agents share. It adds
+// the agent's links to Links.
 func (f *Fleet) agentFile(name, role string, i int, version string) string {
 	r := f.Report.Milliseconds()
 	links := make([]string, 0, len(f.Addresses))
@@ -263,7 +264,7 @@
 	for _, a := range f.Addresses {
 		l, err := standin.NewLink(a)
 		if err != nil {
-			panic(err) // loopback has no port left
+			panic(err) // no free port on loopback
 		}
 		own = append(own, l)
 		links = append(links, fmt.Sprintf("%q", l.Addr))
@@ -283,8 +284,8 @@
 	return p.Start()
 }
 
-// node configures an ingress, and returns the environment that it is started with and its
-// second address.
+// configureIngress writes the configuration of an ingress and returns its environment and
+// its management address.
 func (f *Fleet) configureIngress(i int) (env []string, admin string, err error) {
 	listen, err := standin.Reserve()
 	if err != nil {
@@ -301,7 +302,7 @@
 	return []string{"NODE_CONFIG=" + path, "NODE_MGMT=" + admin}, admin, err
 }
 
-// ingress configures an ingress and starts its agent, which starts it.
+// startIngressAgent configures an ingress and starts its agent, which starts the ingress.
 func (f *Fleet) startIngressAgent(i int) error {
 	name := fmt.Sprint("n", i)
 	env, admin, err := f.configureIngress(i)
@@ -317,17 +318,17 @@
 	return f.startAgent(name, text, nil)
 }
 
-// Status is how the leading coordinator sees the fleet, asked directly.
-func (f *Fleet) Status(patience time.Duration) (s rolloutlink.Status, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// Status requests the fleet's status directly from the leader.
+func (f *Fleet) Status(timeout time.Duration) (s rolloutlink.Status, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	err = rolloutlink.CallLeader(ctx, f.http, f.Addresses, http.MethodGet, rolloutlink.PathStatus, nil, &s, rolloutlink.MaxStatusBytes)
 	return s, err
 }
 
-// Wait waits until the fleet stands as wanted.
-func (f *Fleet) Wait(patience time.Duration, what string, is func(rolloutlink.Status) bool) error {
-	end := time.Now().Add(patience)
+// Wait waits until the fleet's status fulfils a condition; what names the condition.
+func (f *Fleet) Wait(timeout time.Duration, what string, is func(rolloutlink.Status) bool) error {
+	end := time.Now().Add(timeout)
 	var last string
 	for time.Now().Before(end) {
 		s, err := f.Status(2 * time.Second)
@@ -349,10 +350,12 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("waited %v in vain until %s: %s; %d ingresses out, %+v", patience, what, last, f.Front.Unavailable(), f.Front.Seen())
+	return fmt.Errorf("timed out after %v waiting until %s: %s; %d ingresses unavailable, %+v",
+		timeout, what, last, f.Front.Unavailable(), f.Front.Seen())
 }
 
-// Order runs the operators' command and gives its exit code.
+// RunOperator runs the operators' command wickarch-fleet and returns its exit code and output;
+// the code is -1 if the command can't be run.
 func (f *Fleet) RunOperator(args ...string) (code int, out string) {
 	cmd := exec.Command(f.bin("wickarch-fleet"), args...)
 	cmd.Env = append(os.Environ(), "WICKARCH_COORDINATORS="+strings.Join(f.Addresses, ","))
@@ -367,7 +370,7 @@
 	return 0, string(b)
 }
 
-// Leader is the number of the coordinator that leads, from 0; -1 if none does.
+// Leader returns the index of the leading coordinator, from 0; -1 if there is none.
 func (f *Fleet) Leader() int {
 	s, err := f.Status(5 * time.Second)
 	if err != nil {
@@ -376,7 +379,7 @@
 	return int(s.Coordinator) - 1
 }
 
-// KillIngress kills an ingress as by kill -9, and tells whether there was one.
+// KillIngress sends SIGKILL to an ingress, and reports whether there was one to kill.
 func (f *Fleet) KillIngress(i int) bool {
 	if i < len(f.Programs) {
 		f.mu.Lock()
@@ -396,34 +399,37 @@
 	return syscall.Kill(p.PID, syscall.SIGKILL) == nil
 }
 
-// Sound tells what may never be, as counted at the stand-ins.
+// Check returns an error for each violation of an invariant, as counted by the fakes:
+// requests lost, or answered twice or wrongly, payments executed twice, and requests to a
+// backend after its drain.
 func (f *Fleet) Check() error {
 	f.mu.Lock()
 	killed := f.killed
 	f.mu.Unlock()
 	t := f.Front.Seen()
-	var faults []error
+	var violations []error
 	if err := t.Check(killed); err != nil {
-		faults = append(faults, err)
+		violations = append(violations, err)
 	}
-	if twice := f.Effects.Duplicates(); len(twice) > 0 {
-		for _, id := range twice {
+	if duplicates := f.Effects.Duplicates(); len(duplicates) > 0 {
+		for _, id := range duplicates {
 			if standin.PaymentID(id) {
-				faults = append(faults, fmt.Errorf("payment %s ran %d times", id, f.Effects.Count(id)))
+				violations = append(violations, fmt.Errorf("payment %s was executed %d times", id, f.Effects.Count(id)))
 			}
 		}
 	}
 	for _, b := range f.Backends {
 		b.mu.Lock()
 		if b.lateRequests > 0 {
-			faults = append(faults, fmt.Errorf("%s got %d requests over 550 ms after it was told draining", b.Name, b.lateRequests))
+			violations = append(violations, fmt.Errorf("%s received %d requests more than 550 ms after discovery announced its drain",
+				b.Name, b.lateRequests))
 		}
 		b.mu.Unlock()
 	}
-	return errors.Join(faults...)
+	return errors.Join(violations...)
 }
 
-// Stop ends everything, and tells what the clients saw.
+// Stop stops everything and returns the front's tally.
 func (f *Fleet) Stop() (t standin.FrontTally) {
 	if f.stop != nil {
 		f.stop()
@@ -457,7 +463,7 @@
 	return t
 }
 
-// hook does what a backend's owner's command asks for.
+// hook serves the hook commands of the backends' owners.
 func (f *Fleet) hook(w http.ResponseWriter, r *http.Request) {
 	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	for _, b := range f.Backends {
@@ -498,9 +504,9 @@
 		b.mu.Unlock()
 		if len(r.Args) > 1 && r.Args[1] == fmt.Sprintf("%016x", loadCustomer) {
 			b.fleet.mu.Lock()
-			siege := b.fleet.customerLoad
+			load := b.fleet.customerLoad
 			b.fleet.mu.Unlock()
-			siege.recordArrival()
+			load.recordArrival()
 		}
 		work(r)
 	})
@@ -545,7 +551,7 @@
 	b.server = nil
 }
 
-// Version is what it serves; "" while it does not run.
+// Version returns the version that the backend serves; "" while it is not running.
 func (b *Backend) Version() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -555,7 +561,7 @@
 	return b.version
 }
 
-// Build builds the programs that a fleet needs into a folder.
+// Build builds the programs that a fleet needs into a directory.
 func Build(dir string) error {
 	var out bytes.Buffer
 	cmd := exec.Command("go", "build", "-o", dir+"/", "wickarch/cmd/wickarch", "wickarch/cmd/coordinator", "wickarch/cmd/agent", "wickarch/cmd/wickarch-fleet",
