--- a/cmd/wickarch/descriptors_test.go
+++ b/cmd/wickarch/descriptors_test.go
@@ -161,7 +161,7 @@
 
 			// While discovery was down, another backend replaced the one that serves.
 			var effects standin.Effects
-			other, err := standin.NewBackend(effects.Work(func() time.Duration { return 0 }, nil))
+			other, err := standin.NewBackend(effects.Handler(func() time.Duration { return 0 }, nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -188,7 +188,7 @@
 			for range cap(ended) {
 				c := s.dial()
 				s.lookup(c)
-				go func() { ended <- c.Ended() }()
+				go func() { ended <- c.ExpectClosed() }()
 			}
 			if err := s.Stop(waitTimeout); err != nil {
 				t.Errorf("process exit after the drain: %v", err)
--- a/cmd/wickarch/faults_test.go
+++ b/cmd/wickarch/faults_test.go
@@ -127,7 +127,7 @@
 // expectNoViolations checks that the ingress has counted no violation of the request lifecycle.
 func (f *tracedEnv) expectNoViolations() {
 	f.Helper()
-	if f.HasEnded() {
+	if f.Exited() {
 		return
 	}
 	for v := lifecycle.None + 1; v < lifecycle.NumViolations; v++ {
--- a/cmd/wickarch/fleet_test.go
+++ b/cmd/wickarch/fleet_test.go
@@ -34,7 +34,7 @@
 func newFleet(t *testing.T, balancers int, cold func(backend int) bool) *fleet {
 	h := &fleet{T: t, balancers: balancers, received: make([]atomic.Int32, 24), processes: make([]*standin.Process, fleetSize)}
 	var members []standin.Member
-	work := h.effects.Work(func() time.Duration { return 2 * time.Millisecond }, nil)
+	work := h.effects.Handler(func() time.Duration { return 2 * time.Millisecond }, nil)
 	for i := range h.received {
 		b, err := standin.NewBackend(func(r standin.Received) {
 			h.received[i].Add(1)
@@ -103,7 +103,7 @@
 
 func (h *fleet) connections() (n int) {
 	for _, b := range h.backends {
-		n += b.Met()
+		n += b.Accepted()
 	}
 	return n
 }
@@ -140,8 +140,8 @@
 					warm++
 				}
 			}
-			if total != fleetSize*requestsPerProcess*2 || len(h.effects.Twice()) > 0 {
-				t.Errorf("%d requests ran %d times, %v more than once", fleetSize*requestsPerProcess*2, total, h.effects.Twice())
+			if total != fleetSize*requestsPerProcess*2 || len(h.effects.Duplicates()) > 0 {
+				t.Errorf("%d requests ran %d times, %v more than once", fleetSize*requestsPerProcess*2, total, h.effects.Duplicates())
 			}
 			if toCold > total/8 { // a quarter of the backends are cold
 				t.Errorf("cold backends got %d of %d requests", toCold, total)
--- a/cmd/wickarch/idle_test.go
+++ b/cmd/wickarch/idle_test.go
@@ -91,18 +91,18 @@
 func newTestEnv(t *testing.T, limits standin.Limits) *testEnv {
 	t.Helper()
 	s := &testEnv{T: t, dir: t.TempDir()}
-	work := s.effects.Work(func() time.Duration { return time.Duration(rand.IntN(5)) * time.Millisecond }, nil)
+	work := s.effects.Handler(func() time.Duration { return time.Duration(rand.IntN(5)) * time.Millisecond }, nil)
 	backend, err := standin.NewBackend(func(r standin.Received) {
 		s.recordDeadline(r)
 		switch r.Args[1] {
 		case fmt.Sprintf("%016x", unansweredCustomer):
-			s.effects.Run(r.ID())
+			s.effects.Record(r.ID())
 		case fmt.Sprintf("%016x", largeValueCustomer):
-			s.effects.Run(r.ID())
+			s.effects.Record(r.ID())
 			r.Answer(strings.Repeat("x", 60_000))
 		case fmt.Sprintf("%016x", ambiguousRefusalCustomer):
-			s.effects.Run(r.ID())
-			r.Line("-BUSY\r\n*3\r\n$2\r\nok\r\n$-1\r\n$-1")
+			s.effects.Record(r.ID())
+			r.Reply("-BUSY\r\n*3\r\n$2\r\nok\r\n$-1\r\n$-1")
 		default:
 			work(r)
 		}
@@ -138,7 +138,7 @@
 
 // startLoad starts a steady load of well-behaved clients. The returned function stops it and checks the outcomes.
 func (s *testEnv) startLoad(perSecond float64, change ...func(*standin.Load)) func() *standin.Load {
-	load := &standin.Load{Addr: s.Addr, PerSecond: perSecond, Payments: 0.3, Deadline: clientDeadline, Prompt: minFirstRequestTime}
+	load := &standin.Load{Addr: s.Addr, PerSecond: perSecond, Payments: 0.3, Deadline: clientDeadline, FirstRequestTimeout: minFirstRequestTime}
 	for _, apply := range change {
 		apply(load)
 	}
@@ -153,7 +153,7 @@
 		stop()
 		<-done
 		t := load.Tally()
-		if err := t.Sound(); err != nil {
+		if err := t.Check(); err != nil {
 			s.Errorf("well-behaved clients: %v", err)
 		}
 		if t.Unreached > 0 || t.Failed > 0 {
@@ -167,9 +167,9 @@
 // expectNoPaymentTwice checks that no payment ran more than once.
 func (s *testEnv) expectNoPaymentTwice() {
 	s.Helper()
-	for _, id := range s.effects.Twice() {
+	for _, id := range s.effects.Duplicates() {
 		if standin.PaymentID(id) {
-			s.Errorf("payment %s ran %d times", id, s.effects.Of(id))
+			s.Errorf("payment %s ran %d times", id, s.effects.Count(id))
 		}
 	}
 }
@@ -248,7 +248,7 @@
 					if err := last.Send("PING"); err != nil {
 						t.Fatal(err)
 					}
-					if line, err := last.Line(); err != nil || line != "+PONG" {
+					if line, err := last.ReadReply(); err != nil || line != "+PONG" {
 						t.Fatalf("PING got the response %q, %v", line, err)
 					}
 					if err := s.Cmd.Process.Signal(syscall.SIGSTOP); err != nil {
@@ -376,7 +376,7 @@
 	s.openConnections(300, func(c *standin.Client) { s.lookup(c) })() // more than there are slots, within the partial command's timeout
 	_, _ = half.Write(command[len(command)/2:])                       // may fail: on a slow machine it may be closed by then
 	if time.Since(start) < 2*time.Second {
-		if line, err := half.Line(); err != nil || !strings.HasSuffix(line, id) {
+		if line, err := half.ReadReply(); err != nil || !strings.HasSuffix(line, id) {
 			t.Errorf("the command sent in two halves got the response %q, %v", line, err)
 		}
 	}
@@ -393,17 +393,17 @@
 		if err := c.Send(standin.Payment(unansweredCustomer, id, ms)...); err != nil {
 			s.Fatal(err)
 		}
-		for s.effects.Of(id) == 0 && c.In.Buffered() == 0 {
+		for s.effects.Count(id) == 0 && c.In.Buffered() == 0 {
 			_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 			if _, err := c.In.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) || time.Now().After(end) {
 				s.Fatalf("the payment was not forwarded to a backend: %v", err)
 			}
 		}
 		_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
-		if s.effects.Of(id) == 1 {
+		if s.effects.Count(id) == 1 {
 			return
 		}
-		if line, err := c.Line(); err != nil || time.Now().After(end) {
+		if line, err := c.ReadReply(); err != nil || time.Now().After(end) {
 			s.Fatalf("the payment got the response %q, %v, and was never forwarded", line, err)
 		}
 	}
@@ -435,7 +435,7 @@
 func TestDescriptorExhaustion(t *testing.T) {
 	s := startTestEnv(t, defaultLimits, "")
 	setDescriptorLimit(t, s.Cmd.Process.Pid, 60)
-	stopLoad := s.startLoad(100, func(l *standin.Load) { l.NoKeep = true })
+	stopLoad := s.startLoad(100, func(l *standin.Load) { l.NoKeepAlive = true })
 	s.openConnections(400, func(c *standin.Client) { s.lookup(c) })()
 	second := standin.NewDiscovery(s.member)
 	t.Cleanup(second.Stop)
@@ -541,7 +541,7 @@
 	c := s.dial()
 	s.sendHangingPayment(c, 300)
 	close(closeAll)
-	if line, err := c.Line(); err != nil || line != "-ERR failed" {
+	if line, err := c.ReadReply(); err != nil || line != "-ERR failed" {
 		t.Errorf("at its deadline the request got the response %q, %v", line, err)
 	}
 	wait()
@@ -557,7 +557,7 @@
 	wait := s.openConnections(3000, func(c *standin.Client) {
 		s.lookup(c)
 		ready <- struct{}{}
-		if c.Ended() == nil {
+		if c.ExpectClosed() == nil {
 			clean.Add(1)
 		} else {
 			other.Add(1)
@@ -570,7 +570,7 @@
 	s.sendHangingPayment(open, 1000)
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(waitTimeout) }()
-	if line, err := open.Line(); err != nil || line != "-ERR failed" {
+	if line, err := open.ReadReply(); err != nil || line != "-ERR failed" {
 		t.Errorf("the open request got the response %q, %v", line, err)
 	}
 	wait()
--- a/cmd/wickarch/replace_test.go
+++ b/cmd/wickarch/replace_test.go
@@ -90,7 +90,7 @@
 	before.Cmd.Process.Kill()
 	// The next process may not know a backend yet, and then refuses the request.
 	got := c.Outcome(id)
-	if ran := s.effects.Of(id); got != standin.Served && got != standin.Refused || (got == standin.Served) != (ran == 1) {
+	if ran := s.effects.Count(id); got != standin.Served && got != standin.Refused || (got == standin.Served) != (ran == 1) {
 		t.Errorf("request outcome %v after %d runs, want served after one or refused after none", got, ran)
 	}
 	if err := next.Stop(waitTimeout); err != nil {
--- a/cmd/wickarch/starts_test.go
+++ b/cmd/wickarch/starts_test.go
@@ -67,7 +67,7 @@
 		c, err := standin.Dial(addr, timeout)
 		if err == nil {
 			if err = c.Send("PING"); err == nil {
-				line, err = c.Line()
+				line, err = c.ReadReply()
 			}
 			c.Close()
 		}
--- a/cmd/wickarch/stop_test.go
+++ b/cmd/wickarch/stop_test.go
@@ -48,11 +48,11 @@
 				defer clients.Done()
 				for id := range sent {
 					// Responses come in the order of the requests, so after the first error none follows.
-					if _, err := c.Line(); err != nil {
+					if _, err := c.ReadReply(); err != nil {
 						c.Close() // stops the sender
 						<-ended
 						for ok := true; ok; id, ok = <-sent {
-							if s.effects.Of(id) > 0 {
+							if s.effects.Count(id) > 0 {
 								t.Errorf("request %s has run and got no response", id)
 							}
 						}
--- a/internal/soak/ingress.go
+++ b/internal/soak/ingress.go
@@ -192,10 +192,10 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	err := process.Wait(time.Until(now.Add(i.run.cfg.maxTimeout() + killGrace)))
-	if err != nil && !process.HasEnded() {
+	if err != nil && !process.Exited() {
 		err = process.Wait(i.run.maxStall(now, time.Now()))
 	}
-	if err != nil && !process.HasEnded() {
+	if err != nil && !process.Exited() {
 		_ = process.Cmd.Process.Kill()
 		_ = process.Wait(exitTimeout)
 		i.run.addViolation(nil, "%s has not exited %v after SIGTERM", i.node.Name, i.run.cfg.maxTimeout()+killGrace)
--- a/internal/standin/front.go
+++ b/internal/standin/front.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// Front deals requests out among ingresses, as the platform's front does: it takes in
-// one that answers PING with +PONG, and leaves out one that does not.
+// Front distributes requests over ingresses as the platform's load balancer does: it uses
+// an ingress while PING is answered with +PONG, and skips it otherwise.
 type Front struct {
 	Addrs     []string
 	PerSecond float64
-	Payments  float64 // share of the requests that must not run twice
+	Payments  float64 // share of requests that must not be executed twice
 	Deadline  time.Duration
-	Effects   *Effects // of the backends behind
+	Effects   *Effects // executions at the backends behind the ingresses
 
-	mu   sync.Mutex
-	up   []bool
-	idle map[string][]*Client
-	seen FrontTally
+	mu    sync.Mutex
+	up    []bool
+	idle  map[string][]*Client
+	tally FrontTally
 }
 
-// FrontTally counts what became of requests.
+// FrontTally counts requests by outcome. Its fields are printed by name.
 type FrontTally struct {
 	Tally
-	Cut     int // lost with an ingress that was killed
-	MostOut int // ingresses that did not take clients, at once, as seen by PING
-	Nobody  int // requests for which no ingress was to be had
+	Cut     int // executed, but no reply: the connection ended, as when an ingress is killed
+	MostOut int // maximum number of ingresses unavailable at the same time, by PING
+	Nobody  int // requests for which no ingress was available
 }
 
-// Run sends until ctx ends, waits for what is open, and tells what was seen.
+// Run sends requests until ctx ends, waits for those in flight, and returns the tally.
 func (f *Front) Run(ctx context.Context) FrontTally {
 	f.up, f.idle = make([]bool, len(f.Addrs)), map[string][]*Client{}
 	var all, open sync.WaitGroup
@@ -47,7 +47,7 @@
 			continue
 		case <-time.After(time.Until(start.Add(time.Duration(float64(n) / f.PerSecond * float64(time.Second))))):
 		}
-		open.Go(f.one)
+		open.Go(f.sendOne)
 	}
 	open.Wait()
 	all.Wait()
@@ -58,18 +58,18 @@
 			c.Close()
 		}
 	}
-	return f.seen
+	return f.tally
 }
 
-// Seen is what was seen up to now.
+// Seen returns the tally up to now.
 func (f *Front) Seen() FrontTally {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen
+	return f.tally
 }
 
-// Out is how many ingresses take no clients now, as seen by PING.
-func (f *Front) Out() (n int) {
+// Unavailable returns how many ingresses currently fail PING.
+func (f *Front) Unavailable() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, up := range f.up {
@@ -80,32 +80,32 @@
 	return n
 }
 
-// pingTime is how long an answer to PING may take: long, as a machine that is kept
-// busy is no ingress that is out.
-const pingTime = 3 * time.Second
+// pingTimeout limits the wait for a reply to PING. It is long so that an overloaded test
+// machine does not make an ingress count as unavailable.
+const pingTimeout = 3 * time.Second
 
-// ping asks one ingress again and again whether it takes clients.
+// ping checks one ingress with PING until ctx ends.
 func (f *Front) ping(ctx context.Context, i int) {
 	var c *Client
 	for ctx.Err() == nil {
 		line := ""
 		var err error
 		if c == nil {
-			c, err = Dial(f.Addrs[i], pingTime)
+			c, err = Dial(f.Addrs[i], pingTimeout)
 		}
 		if err == nil {
-			c.SetDeadline(time.Now().Add(pingTime))
+			c.SetDeadline(time.Now().Add(pingTimeout))
 			if err = c.Send("PING"); err == nil {
-				line, err = c.Line()
+				line, err = c.ReadReply()
 			}
 		}
 		if err != nil && c != nil {
 			c.Close()
 			c = nil
-			if line == "" { // a connection at rest may be closed; a new one tells
-				if c, err = Dial(f.Addrs[i], pingTime); err == nil {
+			if line == "" { // the ingress may have closed an idle connection: retry on a new one
+				if c, err = Dial(f.Addrs[i], pingTimeout); err == nil {
 					if err = c.Send("PING"); err == nil {
-						line, err = c.Line()
+						line, err = c.ReadReply()
 					}
 				}
 				if err != nil && c != nil {
@@ -117,9 +117,9 @@
 		f.mu.Lock()
 		f.up[i] = line == "+PONG"
 		f.mu.Unlock()
-		if out := f.Out(); out < len(f.Addrs) { // not before the first has come up
+		if unavailable := f.Unavailable(); unavailable < len(f.Addrs) { // ignore the time before the first ingress is up
 			f.mu.Lock()
-			f.seen.MostOut = max(f.seen.MostOut, out)
+			f.tally.MostOut = max(f.tally.MostOut, unavailable)
 			f.mu.Unlock()
 		}
 		select {
@@ -132,15 +132,16 @@
 	}
 }
 
-// Mark begins the count of MostOut anew.
-func (f *Front) Mark() {
+// ResetMostOut sets MostOut back to 0.
+func (f *Front) ResetMostOut() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen.MostOut = 0
+	f.tally.MostOut = 0
 }
 
-// take picks an ingress and a connection to it.
-func (f *Front) take(fresh bool) (*Client, string, bool) {
+// acquire picks a random available ingress and returns a connection to it (nil if dialing
+// fails), its address, and whether any ingress is available. With fresh it dials a new one.
+func (f *Front) acquire(fresh bool) (*Client, string, bool) {
 	f.mu.Lock()
 	var up []string
 	for i, ok := range f.up {
@@ -167,7 +168,7 @@
 	return c, addr, true
 }
 
-func (f *Front) one() {
+func (f *Front) sendOne() {
 	id := "0" + NewID()[1:]
 	words := Lookup(uint64(1+rand.IntN(50)), id, int(f.Deadline.Milliseconds()))
 	if rand.Float64() < f.Payments {
@@ -175,32 +176,32 @@
 		words = Payment(uint64(1+rand.IntN(50)), id, int(f.Deadline.Milliseconds()))
 	}
 	f.mu.Lock()
-	f.seen.Asked++
-	f.seen.Open++
+	f.tally.Asked++
+	f.tally.Open++
 	f.mu.Unlock()
-	outcome, cut, nobody := Unsent, false, false
+	outcome, cut, noIngress := Unsent, false, false
 	end := time.Now().Add(f.Deadline)
 	var c *Client
 	var addr string
-	for try := 0; outcome == Unsent && !cut && time.Now().Before(end); try++ {
-		var some bool
-		if c, addr, some = f.take(try > 0); !some || c == nil {
-			nobody = !some
+	for attempt := 0; outcome == Unsent && !cut && time.Now().Before(end); attempt++ {
+		var available bool
+		if c, addr, available = f.acquire(attempt > 0); !available || c == nil {
+			noIngress = !available
 			time.Sleep(2 * time.Millisecond)
 			continue
 		}
-		nobody = false
+		noIngress = false
 		c.SetDeadline(time.Now().Add(f.Deadline + time.Second))
 		if outcome = c.Ask(id, words...); outcome == Unsent {
 			c.Close()
-			// A close may cross a request that was not read, which is then sent again. One
-			// that has run was taken: its ingress has been killed, or has lost it.
-			cut = f.Effects.Of(id) > 0
+			// An ingress may close a connection before it reads the request, which is then
+			// sent again. If the request was executed, its ingress was killed or lost it.
+			cut = f.Effects.Count(id) > 0
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.count(outcome, cut, nobody)
+	f.count(outcome, cut, noIngress)
 	if outcome > Failed || cut || c == nil {
 		if c != nil {
 			c.Close()
@@ -208,29 +209,29 @@
 		return
 	}
 	if c.In.Buffered() > 0 {
-		f.seen.Extra++
+		f.tally.Extra++
 		c.Close()
 		return
 	}
 	f.idle[addr] = append(f.idle[addr], c)
 }
 
-// Sound tells what may not be: requests lost, served wrongly or answered twice, and
-// more cut than were killed with their ingress.
-func (t FrontTally) Sound(killed bool) error {
+// Check returns an error if requests were lost, served with another request's value or
+// answered twice, or if any were cut off although no ingress was killed.
+func (t FrontTally) Check(killed bool) error {
 	u := t.Tally
 	u.Failed += t.Cut
-	if err := u.Sound(); err != nil {
+	if err := u.Check(); err != nil {
 		return err
 	}
 	if t.Cut > 0 && !killed {
-		return fmt.Errorf("%d requests were cut off, and nothing was killed", t.Cut)
+		return fmt.Errorf("%d requests were cut off although no ingress was killed", t.Cut)
 	}
 	return nil
 }
 
-// Reserve finds an address on loopback of its own that nothing else listens on and that
-// can be listened on again and again: outgoing connections do not take ports there.
+// Reserve returns a free loopback address that can be listened on repeatedly. Outgoing
+// connections take no ports there: their local address is 127.0.0.1.
 func Reserve() (string, error) {
 	for range 100 {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 16+rand.IntN(200), rand.IntN(250), 2+rand.IntN(250)))
@@ -240,29 +241,29 @@
 		defer ln.Close()
 		return ln.Addr().String(), nil
 	}
-	return "", errors.New("no address on loopback is free")
+	return "", errors.New("found no free loopback address")
 }
 
-// count counts how a request ended. The caller holds the mutex.
-func (f *Front) count(outcome Outcome, cut, nobody bool) {
-	f.seen.Open--
+// count records the outcome of a request. The caller holds the mutex.
+func (f *Front) count(outcome Outcome, cut, noIngress bool) {
+	f.tally.Open--
 	switch {
 	case cut:
-		f.seen.Cut++
+		f.tally.Cut++
 	case outcome == Served:
-		f.seen.Served++
+		f.tally.Served++
 	case outcome == Refused:
-		f.seen.Refused++
+		f.tally.Refused++
 	case outcome == Failed:
-		f.seen.Failed++
+		f.tally.Failed++
 	case outcome == Wrong:
-		f.seen.Wrong++
+		f.tally.Wrong++
 	case outcome == Lost:
-		f.seen.Lost++
+		f.tally.Lost++
 	default:
-		f.seen.Unreached++
-		if nobody {
-			f.seen.Nobody++
+		f.tally.Unreached++
+		if noIngress {
+			f.tally.Nobody++
 		}
 	}
 }
--- a/internal/standin/stopped.go
+++ b/internal/standin/stopped.go
@@ -9,31 +9,30 @@
 	"syscall"
 )
 
-// Point is where a stopped backend holds what comes to it, until Go.
-type Point int
+// StopPoint is where a stopped backend blocks until Resume.
+type StopPoint int
 
-// The points.
+// The points at which a backend can stop.
 const (
-	Connecting Point = iota // connections do not come up
-	HalfRead                // they do, and of a command of 64 KiB less than all can be written
+	Connecting StopPoint = iota // connections are not established
+	HalfRead                    // connections are established, but a command of 64 KiB can't be written in full
 )
 
-// stop is what holds a stopped backend.
+// stop is the state of a stopped backend.
 type stop struct {
-	begun  chan net.Conn
-	gone   chan struct{} // closed by Go
-	once   sync.Once
-	filler net.Conn // Connecting: what fills the queue
+	started chan net.Conn
+	resumed chan struct{} // closed by Resume
+	once    sync.Once
+	filler  net.Conn // Connecting: the connection that fills the accept queue
 }
 
-// NewStoppedBackend starts a backend that stops at a point and goes on at a
-// word. What the kernel would take ahead is kept small, so that the point is
-// reached every time.
-func NewStoppedBackend(at Point) (*Backend, error) {
+// NewStoppedBackend starts a backend that stops at a point until Resume is called. The
+// kernel's buffers and queues are kept small so that the point is always reached.
+func NewStoppedBackend(at StopPoint) (*Backend, error) {
 	how := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		if at == HalfRead {
 			failed := raw.Control(func(fd uintptr) {
-				// With segments this short the other side's kernel takes some tens of kilobytes at most.
+				// With segments this short the sender's kernel buffers some tens of kilobytes at most.
 				if err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, 88); err == nil {
 					err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1)
 				}
@@ -50,14 +49,14 @@
 		return nil, err
 	}
 	b := newBackend(ln, nil)
-	b.stop = &stop{begun: make(chan net.Conn, backlog), gone: make(chan struct{})}
+	b.stop = &stop{started: make(chan net.Conn, backlog), resumed: make(chan struct{})}
 	if at == HalfRead {
 		go b.accept()
 		return b, nil
 	}
-	// A queue for one, which a connection of our own fills: what comes then waits to come up, and
-	// asks again after a second.
-	if err = b.queue(0); err == nil {
+	// The accept queue holds one connection, and the filler takes that place: later connections
+	// are not established, and their SYN is sent again after a second.
+	if err = b.setAcceptQueue(0); err == nil {
 		b.stop.filler, err = net.Dial("tcp", b.Addr)
 	}
 	if err != nil {
@@ -67,8 +66,8 @@
 	return b, nil
 }
 
-// queue sets how many connections may wait to be taken, and one more.
-func (b *Backend) queue(n int) (err error) {
+// setAcceptQueue sets the listen backlog; the kernel queues n+1 connections.
+func (b *Backend) setAcceptQueue(n int) (err error) {
 	raw, err := b.ln.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return err
@@ -79,13 +78,13 @@
 	return err
 }
 
-// Begun hands out each connection to a stopped backend on which a command has begun to come.
-func (b *Backend) Begun() <-chan net.Conn { return b.stop.begun }
+// CommandStarted delivers each connection to a stopped backend on which a first byte has arrived.
+func (b *Backend) CommandStarted() <-chan net.Conn { return b.stop.started }
 
-// Go lets a stopped backend go on, for good.
-func (b *Backend) Go() {
+// Resume lets a stopped backend continue; it can't be stopped again.
+func (b *Backend) Resume() {
 	b.stop.once.Do(func() {
-		close(b.stop.gone)
+		close(b.stop.resumed)
 		if b.stop.filler == nil {
 			return
 		}
@@ -93,12 +92,13 @@
 		if nc, err := b.ln.Accept(); err == nil {
 			nc.Close() // the filler
 		}
-		_ = b.queue(backlog)
+		_ = b.setAcceptQueue(backlog)
 		go b.accept()
 	})
 }
 
-// reader reads a connection, past the stop's first byte once it goes on.
+// reader waits for the first byte of a connection, and then for Resume. It returns a reader
+// of the whole stream, including that byte.
 func (s *stop) reader(nc net.Conn) io.Reader {
 	if s == nil {
 		return nc
@@ -106,8 +106,8 @@
 	var first [1]byte
 	n, _ := nc.Read(first[:])
 	if n > 0 {
-		s.begun <- nc
+		s.started <- nc
 	}
-	<-s.gone
+	<-s.resumed
 	return io.MultiReader(bytes.NewReader(first[:n]), nc)
 }
