--- a/cmd/bench/mutants/main.go
+++ b/cmd/bench/mutants/main.go
@@ -1,9 +1,9 @@
-// Command mutants takes guards out of the program, one at a time, and tells
-// which seed of the simulation notices each. It works on a copy in a temporary
-// folder. It is a long measurement, and no part of CI.
+// Command mutants removes safeguards from the program, one at a time, and prints
+// which seed of the simulation detects each removal. It works on a copy in a
+// temporary folder. It takes long and is not part of CI.
 //
-//	mutants                 all of internal/simulate/mutants.txt
-//	mutants -only history   those whose name holds a word
+//	mutants                 all mutants of internal/simulate/mutants.txt
+//	mutants -only history   those whose name contains a word
 //	mutants -list internal/fleetsim/mutants.txt
 package main
 
@@ -23,17 +23,17 @@
 	"time"
 )
 
-// mutant is one guard taken out: in a file, one text in place of another.
+// mutant is one change of a file that removes a safeguard: a text and its replacement.
 type mutant struct {
 	name, file, old, new string
-	drawn                string   // the flag of cmd/bench/seeds that draws what notices it; "": none
-	play                 []string // what plays: a package, and its arguments; nil for cmd/bench/seeds
+	drawFlag             string   // the flag of cmd/bench/seeds for scenarios that detect it; "": none
+	runner               []string // the program to run: a package and its arguments; nil for cmd/bench/seeds
 }
 
 func main() {
-	list := flag.String("list", "internal/simulate/mutants.txt", "the guards, and how each is taken out")
-	only := flag.String("only", "", "play those alone whose name holds this")
-	count := flag.Int("count", 1000, "seeds to play at most")
+	list := flag.String("list", "internal/simulate/mutants.txt", "file that lists the mutants")
+	only := flag.String("only", "", "run only mutants whose name contains this")
+	count := flag.Int("count", 1000, "maximum number of seeds to run")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -44,7 +44,7 @@
 }
 
 func run(ctx context.Context, list, only string, count int) error {
-	mutants, err := read(list)
+	mutants, err := parseList(list)
 	if err != nil {
 		return err
 	}
@@ -61,32 +61,32 @@
 		if !strings.Contains(m.name, only) {
 			continue
 		}
-		found, err := m.notice(ctx, dir, count)
+		found, err := m.detect(ctx, dir, count)
 		if err != nil {
-			found = "NOT PLAYED: " + err.Error()
+			found = "NOT RUN: " + err.Error()
 			missed++
 		}
 		if found == "" {
 			missed++
-			found = "NOT NOTICED"
+			found = "NOT DETECTED"
 		}
 		fmt.Printf("%-52s %s\n", m.name, found)
 	}
 	if missed > 0 {
-		return fmt.Errorf("%d not noticed within %d seeds, or not played", missed, count)
+		return fmt.Errorf("%d not detected within %d seeds, or not run", missed, count)
 	}
 	return nil
 }
 
-// read reads the list: a line "# name", one "@ file", lines "- old" and "+ new",
-// and "! crowd" or "! throng" for those that show in such installations. A line "% package
-// arguments" before them names what plays; it gets "--count N" behind.
-func read(path string) (all []mutant, err error) {
+// parseList reads a list of mutants: a line "# name", one "@ file", lines "- old" and "+ new",
+// and "! crowd" or "! throng" if such scenarios detect it. A line "% package arguments" before
+// them names the program to run; "--count N" is appended to its arguments.
+func parseList(path string) (all []mutant, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // only read from
+	defer func() { _ = f.Close() }() // opened only for reading
 	lines := bufio.NewScanner(f)
 	var play []string
 	for n := 1; lines.Scan(); n++ {
@@ -100,31 +100,31 @@
 			continue
 		}
 		if kind == "#" {
-			all = append(all, mutant{name: rest, play: play})
+			all = append(all, mutant{name: rest, runner: play})
 			continue
 		}
 		if len(all) == 0 {
-			return nil, fmt.Errorf("%s:%d: no name before it", path, n)
+			return nil, fmt.Errorf("%s:%d: no line with a name before it", path, n)
 		}
 		m := &all[len(all)-1]
 		switch kind {
 		case "@":
 			m.file = rest
 		case "!":
-			m.drawn = "-" + rest
+			m.drawFlag = "-" + rest
 		case "-":
 			m.old += rest + "\n"
 		case "+":
 			m.new += rest + "\n"
 		default:
-			return nil, fmt.Errorf("%s:%d: begins with %q", path, n, kind)
+			return nil, fmt.Errorf("%s:%d: unknown kind of line %q", path, n, kind)
 		}
 	}
 	return all, lines.Err()
 }
 
-// notice builds the program without the guard, and plays seeds until one shows it.
-func (m mutant) notice(ctx context.Context, dir string, count int) (found string, err error) {
+// detect builds the program without the safeguard, and runs seeds until one shows a fault.
+func (m mutant) detect(ctx context.Context, dir string, count int) (found string, err error) {
 	path := filepath.Join(dir, m.file)
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -132,21 +132,21 @@
 	}
 	old := strings.TrimSuffix(m.old, "\n")
 	if n := strings.Count(string(text), old); n != 1 {
-		return "", fmt.Errorf("%s holds the text %d times, want once", m.file, n)
+		return "", fmt.Errorf("%s contains the text %d times, want once", m.file, n)
 	}
 	defer func() {
-		// A guard that stays out would show in the mutants that come after it.
+		// A change that is not undone would affect the mutants after it.
 		err = errors.Join(err, os.WriteFile(path, text, 0o600))
 	}()
 	if err = os.WriteFile(path, []byte(strings.Replace(string(text), old, strings.TrimSuffix(m.new, "\n"), 1)), 0o600); err != nil {
 		return "", err
 	}
 	target, args := "./cmd/bench/seeds", []string{"-first", "-count", fmt.Sprint(count)}
-	if m.drawn != "" {
-		args = append(args, m.drawn)
+	if m.drawFlag != "" {
+		args = append(args, m.drawFlag)
 	}
-	if m.play != nil {
-		target, args = m.play[0], append(slices.Clone(m.play[1:]), "--count", fmt.Sprint(count))
+	if m.runner != nil {
+		target, args = m.runner[0], append(slices.Clone(m.runner[1:]), "--count", fmt.Sprint(count))
 	}
 	build := exec.CommandContext(ctx, "go", "build", "-o", "seeds", target)
 	build.Dir = dir
@@ -173,7 +173,7 @@
 	return "ended with " + exit.Error(), nil
 }
 
-// copyTree copies the sources.
+// copyTree copies the source files.
 func copyTree(from, to string) error {
 	return filepath.WalkDir(from, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
--- a/cmd/bench/seeds/main.go
+++ b/cmd/bench/seeds/main.go
@@ -1,8 +1,8 @@
-// Command seeds plays simulated installations (internal/simulate), many seeds or
-// one. It is a long measurement, and no part of CI, which plays a thousand.
+// Command seeds runs simulated installations (internal/simulate), for many seeds or
+// one. It takes long and is not part of CI, which runs a thousand seeds.
 //
-//	seeds -count 100000        play so many, and print each that shows a fault
-//	seeds -seed 17 -trace      play one alone, and print all that happens in it
+//	seeds -count 100000        run this many seeds, and print each that shows a fault
+//	seeds -seed 17 -trace      run one seed, and print every event
 package main
 
 import (
@@ -19,15 +19,15 @@
 var draw = simulate.Draw
 
 func main() {
-	from := flag.Uint64("from", 1, "the first seed")
-	count := flag.Uint64("count", 1000, "how many seeds")
-	jobs := flag.Int("jobs", runtime.NumCPU(), "how many at a time")
-	seed := flag.Uint64("seed", 0, "play this one alone")
+	from := flag.Uint64("from", 1, "first seed")
+	count := flag.Uint64("count", 1000, "number of seeds")
+	jobs := flag.Int("jobs", runtime.NumCPU(), "seeds run in parallel")
+	seed := flag.Uint64("seed", 0, "run only this seed")
 	first := flag.Bool("first", false, "stop at the first fault")
-	trace := flag.Bool("trace", false, "with -seed: print all that happens")
-	crowd := flag.Bool("crowd", false, "of large installations in which much happens to many at once")
-	throng := flag.Bool("throng", false, "of twenty to thirty ingresses before backends that start cold, under a burst")
-	replaced := flag.Int("replaced", 0, "so many backends are replaced within a second, whatever was drawn")
+	trace := flag.Bool("trace", false, "with -seed: print every event")
+	crowd := flag.Bool("crowd", false, "draw large installations in which many members fail or change at once")
+	throng := flag.Bool("throng", false, "draw installations of 20 to 30 ingresses with backends that start cold, under a burst")
+	replaced := flag.Int("replaced", 0, "replace this many backends within a second, whatever was drawn")
 	flag.Parse()
 	if *crowd {
 		draw = simulate.DrawCrowd
@@ -44,31 +44,31 @@
 		}
 	}
 	if *seed > 0 {
-		one(*seed, *trace)
+		playOne(*seed, *trace)
 		return
 	}
-	if !many(*from, *count, *jobs, *first) {
+	if !playMany(*from, *count, *jobs, *first) {
 		os.Exit(1)
 	}
 }
 
-// one plays a seed alone.
-func one(seed uint64, trace bool) {
-	var tell func(time.Duration, string)
+// playOne runs one seed.
+func playOne(seed uint64, trace bool) {
+	var printEvent func(time.Duration, string)
 	if trace {
-		tell = func(at time.Duration, line string) { fmt.Printf("%12.6f %s\n", at.Seconds()*1000, line) }
+		printEvent = func(at time.Duration, line string) { fmt.Printf("%12.6f %s\n", at.Seconds()*1000, line) }
 	}
 	s := draw(seed)
 	fmt.Printf("%+v\n", s)
-	r := simulate.Run(s, tell)
+	r := simulate.Run(s, printEvent)
 	fmt.Printf("%+v\n", r)
 	if len(r.Faults) > 0 {
 		os.Exit(1)
 	}
 }
 
-// many plays seeds side by side, and tells whether all are without a fault.
-func many(from, count uint64, jobs int, first bool) bool {
+// playMany runs seeds in parallel, and reports whether none shows a fault.
+func playMany(from, count uint64, jobs int, first bool) bool {
 	began := time.Now()
 	bad := 0
 	var sum simulate.Report
@@ -86,7 +86,7 @@
 	fmt.Printf("%d requests: %d served, %d refused, %d failed, %d unreached, %d excused; %d runs at backends\n",
 		sum.Requests, sum.Served, sum.Refused, sum.Failed, sum.Unreached, sum.Excused, sum.Runs)
 	if sum.Coldest > 0 {
-		fmt.Printf("cold backends: %d fell; at most %.2f of what one bears, where over two thirds came from ingresses told of its start\n",
+		fmt.Printf("cold backends: %d crashed; highest load %.2f of the limit, where over two thirds came from ingresses notified of the start\n",
 			sum.Fallen, sum.Coldest)
 	}
 	return bad == 0
--- a/cmd/tryout/config.go
+++ b/cmd/tryout/config.go
@@ -35,7 +35,7 @@
 	} `toml:"backend"`
 }
 
-// parse reads a configuration. An error names the line, or the key that is out
+// parse parses and checks a configuration. An error names the line, or the key that is out
 // of range or unknown.
 func parse(text string) (c config, err error) {
 	meta, err := toml.Decode(text, &c)
@@ -67,12 +67,12 @@
 		{"one to 50 of [[backend]]", len(c.Backends) >= 1 && len(c.Backends) <= 50},
 	} {
 		if !check.ok {
-			return c, fmt.Errorf("wanted: %s", check.key)
+			return c, fmt.Errorf("want %s", check.key)
 		}
 	}
 	for i, b := range c.Backends {
 		if b.Takes[0] < 0 || b.Takes[1] < b.Takes[0] || b.Takes[1] > 10_000 {
-			return c, fmt.Errorf("wanted: takes_ms of backend %d, two times in order, 0 to 10,000", i+1)
+			return c, fmt.Errorf("want takes_ms of backend %d to be two times in ascending order, 0 to 10,000", i+1)
 		}
 	}
 	return c, nil
--- a/cmd/tryout/main.go
+++ b/cmd/tryout/main.go
@@ -1,8 +1,8 @@
-// Command tryout shows wickarch at work on this machine alone: it builds the
-// program, starts an ingress between stand-ins for discovery, backends and
-// clients on loopback, prints what is asked, served and refused each second,
-// and ends with the figures. It exits with 0 when these hold: every request had
-// its one answer, and no payment ran twice.
+// Command tryout demonstrates wickarch on one machine: it builds the program,
+// starts an ingress with simulated discovery, backends and clients on loopback,
+// prints the counts of requests, served and refused each second, and a summary
+// at the end. It exits with 0 if every request had exactly one answer and no
+// payment ran twice.
 package main
 
 import (
@@ -23,7 +23,7 @@
 )
 
 const (
-	patience    = 30 * time.Second       // with anything that should come soon
+	waitTimeout = 30 * time.Second       // for the ingress to become ready, and to stop
 	meterPeriod = 500 * time.Millisecond // as in standin.Settings
 )
 
@@ -35,10 +35,10 @@
 }
 
 func run() error {
-	file := flag.String("config", "", "a file in place of the embedded default; -print shows that")
-	program := flag.String("program", "", "the ingress to run, in place of one built from this folder")
-	seconds := flag.Int("seconds", 0, "how long to run, in place of what the configuration says")
-	show := flag.Bool("print", false, "print the embedded default and end")
+	file := flag.String("config", "", "configuration file, instead of the embedded default (see -print)")
+	program := flag.String("program", "", "ingress program to run, instead of one built from this folder")
+	seconds := flag.Int("seconds", 0, "duration of the run, instead of the configuration's")
+	show := flag.Bool("print", false, "print the embedded default configuration and exit")
 	flag.Parse()
 	if *show {
 		fmt.Print(defaults)
@@ -75,18 +75,18 @@
 			return fmt.Errorf("build (run this from the root of the repository): %w", err)
 		}
 	}
-	return play(ctx, cfg, *program, dir)
+	return measure(ctx, cfg, *program, dir)
 }
 
-// play runs the whole and judges its figures.
-func play(ctx context.Context, cfg config, program, dir string) error {
+// measure runs the installation and checks the results.
+func measure(ctx context.Context, cfg config, program, dir string) error {
 	var effects standin.Effects
 	var members []standin.Member
 	meter := &standin.Meter{Rate: cfg.Plan.Rate, Period: meterPeriod}
 	for i, b := range cfg.Backends {
-		least, span := b.Takes[0], b.Takes[1]-b.Takes[0]
+		shortest, span := b.Takes[0], b.Takes[1]-b.Takes[0]
 		backend, err := standin.NewBackend(effects.Work(func() time.Duration {
-			return time.Duration(least+rand.IntN(span+1)) * time.Millisecond
+			return time.Duration(shortest+rand.IntN(span+1)) * time.Millisecond
 		}, meter))
 		if err != nil {
 			return err
@@ -100,17 +100,17 @@
 	node := standin.Node{Name: "try", Listen: "127.0.0.1:0", Discovery: discovery.Addr(), Seed: "1",
 		Limits:   standin.Limits{Cores: cfg.Ingress.Cores, MemoryMB: cfg.Ingress.MemoryMB, Sockets: cfg.Ingress.Sockets},
 		Settings: json.RawMessage(fmt.Sprintf(standin.Settings, 15_000, cfg.Plan.Rate, cfg.Plan.Burst))}
-	// Not ctx: after Ctrl-C the ingress still owes what it has taken.
-	life, kill := context.WithCancel(context.Background())
+	// Not ctx: after Ctrl-C the ingress still owes answers to accepted requests.
+	ingressCtx, kill := context.WithCancel(context.Background())
 	defer kill()
-	ingress, err := node.Start(life, []string{program}, dir)
+	ingress, err := node.Start(ingressCtx, []string{program}, dir)
 	if err != nil {
 		return err
 	}
-	if err := standin.WaitReady(ingress.Addr, patience); err != nil {
+	if err := standin.WaitReady(ingress.Addr, waitTimeout); err != nil {
 		return err
 	}
-	fmt.Printf("discovery on %s, %d backends, ingress on %s, for %d s; Ctrl-C ends all\n",
+	fmt.Printf("discovery on %s, %d backends, ingress on %s, for %d s; Ctrl-C stops everything\n",
 		discovery.Addr(), len(members), ingress.Addr, cfg.Seconds)
 
 	load := &standin.Load{Addr: ingress.Addr, PerSecond: cfg.Clients.PerSecond, Payments: cfg.Clients.Payments,
@@ -129,23 +129,23 @@
 		}
 		defer c.Close()
 		if err := c.Send("PING"); err != nil {
-			return fmt.Errorf("a client at rest: %w", err)
+			return fmt.Errorf("idle client: %w", err)
 		}
 	}
 	runFor, end := context.WithTimeout(ctx, time.Duration(cfg.Seconds)*time.Second)
 	defer end()
 	done := make(chan struct{})
 	go func() { load.Run(runFor); close(done) }()
-	live(load, done)
+	printProgress(load, done)
 
-	if err := ingress.Stop(patience); err != nil {
-		return fmt.Errorf("the ingress: %w", err)
+	if err := ingress.Stop(waitTimeout); err != nil {
+		return fmt.Errorf("ingress: %w", err)
 	}
-	return judge(load, &effects)
+	return checkResults(load, &effects)
 }
 
-// live prints a line each second.
-func live(load *standin.Load, done <-chan struct{}) {
+// printProgress prints a line of counts each second.
+func printProgress(load *standin.Load, done <-chan struct{}) {
 	fmt.Println("  second   asked  served refused  failed    open      p50      p99")
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
@@ -156,31 +156,32 @@
 		case <-done:
 			return
 		}
-		t, lap := load.Tally(), load.Lap()
+		t, latencies := load.Tally(), load.Lap()
 		fmt.Printf("%8d %7d %7d %7d %7d %7d %8s %8s\n", n, t.Asked-last.Asked, t.Served-last.Served, t.Refused-last.Refused,
-			t.Failed-last.Failed, t.Open, short(standin.Percentile(lap, 0.5)), short(standin.Percentile(lap, 0.99)))
+			t.Failed-last.Failed, t.Open, formatDuration(standin.Percentile(latencies, 0.5)), formatDuration(standin.Percentile(latencies, 0.99)))
 		last = t
 	}
 }
 
-func short(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	return fmt.Sprintf("%.1fms", float64(d)/float64(time.Millisecond))
 }
 
-// judge prints the figures and tells whether they hold.
-func judge(load *standin.Load, effects *standin.Effects) error {
+// checkResults prints the summary and returns an error if a request was lost or answered wrongly, or a payment
+// ran twice.
+func checkResults(load *standin.Load, effects *standin.Effects) error {
 	t, all := load.Tally(), load.Latencies()
-	fmt.Printf("asked %d: served %d, refused %d (over quota, or pressed), failed %d, found no connection %d\n",
+	fmt.Printf("asked %d: served %d, refused %d (over quota or overloaded), failed %d, without a connection %d\n",
 		t.Asked, t.Served, t.Refused, t.Failed, t.Unreached)
-	fmt.Printf("latency of what was served: p50 %s, p99 %s, p99.9 %s\n", short(standin.Percentile(all, 0.5)),
-		short(standin.Percentile(all, 0.99)), short(standin.Percentile(all, 0.999)))
+	fmt.Printf("latency of served requests: p50 %s, p99 %s, p99.9 %s\n", formatDuration(standin.Percentile(all, 0.5)),
+		formatDuration(standin.Percentile(all, 0.99)), formatDuration(standin.Percentile(all, 0.999)))
 	payments := 0
 	for _, id := range effects.Twice() {
 		if standin.PaymentID(id) {
 			payments++
 		}
 	}
-	fmt.Printf("the backends ran %d; lost %d, answered wrongly or twice %d, payments that ran twice %d\n",
+	fmt.Printf("backends ran %d; lost %d, answered wrongly or twice %d, payments that ran twice %d\n",
 		effects.Total(), t.Lost, t.Wrong+t.Extra, payments)
 	if err := t.Sound(); err != nil {
 		return err
@@ -189,7 +190,7 @@
 		return fmt.Errorf("%d payments ran twice", payments)
 	}
 	if t.Served == 0 {
-		return errors.New("nothing was served")
+		return errors.New("no request was served")
 	}
 	fmt.Println("the figures hold")
 	return nil
--- a/cmd/tryout/main_test.go
+++ b/cmd/tryout/main_test.go
@@ -11,7 +11,7 @@
 
 func TestConfigurationIsChecked(t *testing.T) {
 	if _, err := parse(defaults); err != nil {
-		t.Fatalf("the embedded default: %v", err)
+		t.Fatalf("embedded default configuration: %v", err)
 	}
 	for from, to := range map[string]struct{ text, want string }{
 		"seconds = 15":       {"seconds = x", "line 2"},
@@ -25,7 +25,7 @@
 	} {
 		text := strings.Replace(defaults, from, to.text, 1)
 		if text == defaults {
-			t.Fatalf("%q is not in the default", from)
+			t.Fatalf("%q is not in the default configuration", from)
 		}
 		if _, err := parse(text); err == nil || !strings.Contains(err.Error(), to.want) {
 			t.Errorf("%s: error %v, want one that names %s", to.text, err, to.want)
@@ -33,8 +33,8 @@
 	}
 }
 
-// Ctrl-C ends all of it, with figures, and leaves no process behind.
-func TestInterruptEndsAllWithFigures(t *testing.T) {
+// Guards against Ctrl-C that ends tryout without its summary, or that leaves the ingress or files behind.
+func TestInterruptStopsAllAndPrintsSummary(t *testing.T) {
 	dir := t.TempDir()
 	for name, pkg := range map[string]string{"tryout": "wickarch/cmd/tryout", "wickarch": "wickarch/cmd/wickarch"} {
 		if out, err := exec.Command("go", "build", "-o", dir+"/"+name, pkg).CombinedOutput(); err != nil {
@@ -59,7 +59,7 @@
 			break
 		}
 		if !interrupted && strings.Contains(all.String(), "\n       1 ") {
-			interrupted = true // the first second's line: there is something to judge
+			interrupted = true // the line of the first second: requests have been sent
 			if err := cmd.Process.Signal(syscall.SIGINT); err != nil {
 				t.Error(err)
 			}
@@ -69,9 +69,9 @@
 		t.Errorf("ended with %v:\n%s", err, &all)
 	}
 	if left, _ := os.ReadDir(dir); len(left) != 2 {
-		t.Errorf("files are left behind: %v", left)
+		t.Errorf("files left in the temporary directory: %v", left)
 	}
-	// The ingress is a child: after its end nothing may listen where it did.
+	// The ingress is a child process: after tryout has ended nothing may listen on its address.
 	_, rest, _ := strings.Cut(all.String(), "ingress on ")
 	addr, _, _ := strings.Cut(rest, ",")
 	if nc, err := net.Dial("tcp", addr); err == nil || addr == "" {
--- a/internal/simulate/backend.go
+++ b/internal/simulate/backend.go
@@ -12,22 +12,22 @@
 	"wickarch/internal/resp"
 )
 
-// backend is a stand-in for one backend. It begins a command when its last byte
-// has come, and answers in order.
+// backend simulates one backend. It starts a command once its last byte has arrived,
+// and answers in order.
 type backend struct {
 	*run
-	node  *simnet.Node
-	ln    reactor.Listener
-	name  string // discovery's id
-	cell  int
-	phase string
-	since int64
-	held  int // commands in work
+	node     *simnet.Node
+	ln       reactor.Listener
+	name     string // ID in discovery
+	cell     int
+	phase    string
+	upSince  int64
+	inFlight int // commands being processed
 
-	load coldLoad
-	fell bool // pushed over while cold: it stays down
+	load    coldLoad
+	crashed bool // overloaded while cold; it stays down until restarted
 
-	free []time.Duration // with Queue: when each of its servers has done what it has
+	freeAt []time.Duration // with Queue: when each core finishes the work assigned to it
 }
 
 func (r *run) addBackend(ip string) {
@@ -41,8 +41,8 @@
 	if b.node.Loop != nil {
 		b.node.Kill()
 	}
-	b.held, b.fell = 0, false
-	b.free = make([]time.Duration, max(1, int(b.Cores)))
+	b.inFlight, b.crashed = 0, false
+	b.freeAt = make([]time.Duration, max(1, int(b.Cores)))
 	b.node.Start(func(l *reactor.Loop) {
 		var err error
 		if b.ln, err = l.Listen(b.node.IP+":7", b); err != nil {
@@ -53,50 +53,50 @@
 
 func (b *backend) member() ingress.Member {
 	return ingress.Member{ID: b.name, HostPort: b.node.IP + ":7", Locality: "a", Flavor: "std", Cell: b.cell, Phase: b.phase,
-		Size: 1, UpSince: b.since}
+		Size: 1, UpSince: b.upSince}
 }
 
-// line is the member as the configuration has it.
-func (b *backend) line() string {
+// memberJSON returns the member as it stands in an ingress's configuration.
+func (b *backend) memberJSON() string {
 	return fmt.Sprintf(`{"id":%q,"host_port":"%s:7","locality":"a","flavor":"std","cell":%d,"phase":%q,"size":1,"up_since_ms":%d}`,
-		b.name, b.node.IP, b.cell, b.phase, b.since)
+		b.name, b.node.IP, b.cell, b.phase, b.upSince)
 }
 
-// Ready takes connections.
+// Ready accepts connections.
 func (b *backend) Ready(reactor.Event) {
 	for {
 		nc, err := b.ln.Accept()
 		if err != nil {
 			return
 		}
-		s := &served{backend: b, conn: nc}
-		_ = nc.Watch(s) // of a simulated connection, it does not fail
+		s := &serverConn{backend: b, conn: nc}
+		_ = nc.Watch(s) // cannot fail on a simulated connection
 	}
 }
 
 const (
-	leastService = 2 * ms // of the time that a command takes
-	meanService  = 17 * ms
+	minService  = 2 * ms // service time of a command, drawn uniformly between minService and 2*meanService-minService
+	meanService = 17 * ms
 )
 
-// served is one connection of an ingress.
-type served struct {
+// serverConn is the backend's end of one connection from an ingress.
+type serverConn struct {
 	*backend
-	conn   reactor.Conn
-	in     []byte
-	out    []byte
-	first  time.Duration // when the first byte of the command now coming was sent
-	closed bool
-	open   int // commands that came and are not answered
-	spoilt bool
+	conn            reactor.Conn
+	in              []byte
+	out             []byte
+	firstByteSentAt time.Duration // when the first byte of the command being read was sent
+	closed          bool
+	pending         int  // commands received and not yet answered
+	corrupted       bool // a malformed reply was sent or is due on this connection
 }
 
-// Ready reads commands and writes what is left to write.
-func (s *served) Ready(e reactor.Event) {
+// Ready reads commands and writes the rest of the output buffer.
+func (s *serverConn) Ready(e reactor.Event) {
 	var buf [8 << 10]byte
 	for !s.closed {
 		if len(s.in) == 0 {
-			s.first = simnet.SentAt(s.conn)
+			s.firstByteSentAt = simnet.SentAt(s.conn)
 		}
 		n, err := s.conn.Read(buf[:])
 		s.in = append(s.in, buf[:n]...)
@@ -113,25 +113,25 @@
 				break
 			}
 			s.in = s.in[used:]
-			s.came(words)
+			s.handle(words)
 		}
 	}
 	s.flush()
 }
 
-func (s *served) close() {
+func (s *serverConn) close() {
 	if !s.closed {
 		s.closed = true
 		s.conn.Close()
 	}
 }
 
-func (s *served) write(b []byte) {
+func (s *serverConn) write(b []byte) {
 	s.out = append(s.out, b...)
 	s.flush()
 }
 
-func (s *served) flush() {
+func (s *serverConn) flush() {
 	if s.closed || len(s.out) == 0 {
 		return
 	}
@@ -142,7 +142,7 @@
 	}
 }
 
-// parse takes one whole command off.
+// parse reads one complete command from the start of in; used is 0 if it is incomplete.
 func parse(in []byte) (words []string, used int) {
 	text := string(in)
 	next := func() (string, bool) {
@@ -173,31 +173,31 @@
 	return words, used
 }
 
-// came takes a command whose last byte is here.
-func (s *served) came(words []string) {
+// handle processes a complete command: it draws a service time and how the backend answers.
+func (s *serverConn) handle(words []string) {
 	if words[0] == "INFO" {
-		load := fmt.Sprintf("inflight=%d,latency_ms=10", s.held)
+		load := fmt.Sprintf("inflight=%d,latency_ms=10", s.inFlight)
 		report := fmt.Appendf(nil, "$%d\r\n%s\r\n", len(load), load)
 		s.write(report)
 		if s.rand.Float64() < s.Copy {
-			s.copy(report)
+			s.sendDuplicate(report)
 		}
 		return
 	}
-	a := s.attempt(s, words)
-	s.open++
+	a := s.recordAttempt(s, words)
+	s.pending++
 	r := s.rand
-	service := leastService + time.Duration(r.Int64N(2*int64(meanService-leastService)))
-	s.count(a.from, service)
-	service = s.queued(service)
-	life := s.node.Loop
-	later := func(f func()) {
-		s.held++
+	service := minService + time.Duration(r.Int64N(2*int64(meanService-minService)))
+	s.countWork(a.from, service)
+	service = s.completionDelay(service)
+	loop := s.node.Loop
+	afterService := func(f func()) {
+		s.inFlight++
 		s.net.After(service, func() {
-			if s.node.Loop != life {
+			if s.node.Loop != loop {
 				return
 			}
-			s.held--
+			s.inFlight--
 			if !s.closed {
 				f()
 			}
@@ -211,107 +211,109 @@
 	value := a.value(s)
 	switch {
 	case hit(s.Busy):
-		s.end(a, "-BUSY\r\n")
+		s.complete(a, "-BUSY\r\n")
 		if r.Float64() < s.Copy {
-			s.copy([]byte("-BUSY\r\n"))
+			s.sendDuplicate([]byte("-BUSY\r\n"))
 		}
 	case hit(s.Err):
 		if r.IntN(2) == 0 {
-			s.ranNow(a)
+			s.execute(a)
 		}
-		later(func() { s.end(a, "-ERR failed\r\n") })
+		afterService(func() { s.complete(a, "-ERR failed\r\n") })
 	case hit(s.Silent):
-		s.ranNow(a)
+		s.execute(a)
 	case hit(s.Close):
 		if r.IntN(2) == 0 {
-			s.ranNow(a)
+			s.execute(a)
 		}
-		later(func() { a.done = true; s.close() })
+		afterService(func() { a.done = true; s.close() })
 	case hit(s.Spoil):
-		s.ranNow(a)
-		s.spoilt = true
-		later(func() { s.end(a, [...]string{"noise", "*3\r\n$3000000000\r\n", "$x\r\n", "*3\r\n$4\r\nab"}[r.IntN(4)]) })
+		s.execute(a)
+		s.corrupted = true
+		afterService(func() {
+			s.complete(a, [...]string{"noise", "*3\r\n$3000000000\r\n", "$x\r\n", "*3\r\n$4\r\nab"}[r.IntN(4)])
+		})
 	case hit(s.Copy):
-		s.ranNow(a)
-		later(func() {
-			s.end(a, value)
-			s.copy([]byte(value))
+		s.execute(a)
+		afterService(func() {
+			s.complete(a, value)
+			s.sendDuplicate([]byte(value))
 		})
 	case hit(s.Noise):
-		s.ranNow(a)
-		later(func() { s.end(a, value+"noise") })
+		s.execute(a)
+		afterService(func() { s.complete(a, value+"noise") })
 	case hit(s.Halves):
-		s.ranNow(a)
-		later(func() {
+		s.execute(a)
+		afterService(func() {
 			at := 1 + r.IntN(len(value)-1)
 			s.write([]byte(value[:at]))
-			later(func() { s.end(a, value[at:]) })
+			afterService(func() { s.complete(a, value[at:]) })
 		})
 	default:
-		s.ranNow(a)
-		later(func() { s.end(a, value) })
+		s.execute(a)
+		afterService(func() { s.complete(a, value) })
 	}
 }
 
-// queued is how long work takes a backend whose servers take one command after the other, and the longer the
-// colder it is.
-func (b *backend) queued(work time.Duration) time.Duration {
+// completionDelay returns how long a command takes until it is done. With Queue each core processes one command
+// after the other, and more slowly the colder the backend is.
+func (b *backend) completionDelay(work time.Duration) time.Duration {
 	if !b.Queue {
 		return work
 	}
-	now, warmth := b.net.Now(), 1.0
-	if age := simnet.Epoch.Add(now).Sub(time.UnixMilli(b.since)); b.since > 0 && age < b.cold() {
-		warmth = b.ColdRule.From + (1-b.ColdRule.From)*age.Seconds()/b.cold().Seconds()
+	now, capacity := b.net.Now(), 1.0
+	if age := simnet.Epoch.Add(now).Sub(time.UnixMilli(b.upSince)); b.upSince > 0 && age < b.cold() {
+		capacity = b.ColdRule.From + (1-b.ColdRule.From)*age.Seconds()/b.cold().Seconds()
 	}
 	i := 0
-	for k, at := range b.free {
-		if at < b.free[i] {
+	for k, at := range b.freeAt {
+		if at < b.freeAt[i] {
 			i = k
 		}
 	}
-	b.free[i] = max(b.free[i], now) + time.Duration(float64(work)/warmth)
-	return b.free[i] - now
+	b.freeAt[i] = max(b.freeAt[i], now) + time.Duration(float64(work)/capacity)
+	return b.freeAt[i] - now
 }
 
-// copy writes an answer once more, a moment later, if nothing else waits then. It
-// is not held back by a cut link, nor behind an answer that has no end: when it
-// comes after the time of a rest, or fills up another answer, nothing in the
-// protocol tells whose it is.
-func (s *served) copy(text []byte) {
-	life := s.node.Loop
+// sendDuplicate writes an answer a second time within 18 ms, if no other command is
+// pending then. It sends nothing over a cut link or after a malformed answer: a copy
+// that arrives after the ingress's reuse cooldown, or completes another answer, can't
+// be told from the answer to another request by anything in the protocol.
+func (s *serverConn) sendDuplicate(text []byte) {
+	loop := s.node.Loop
 	s.net.After(time.Duration(s.rand.Int64N(int64(18*ms))), func() {
 		now := s.net.Now()
-		cut := over(s.cuts[simnet.PeerIP(s.conn)+s.node.IP], now, now)
-		if s.node.Loop == life && !s.closed && s.open == 0 && !s.spoilt && !cut {
+		cut := overlaps(s.linkCuts[simnet.PeerIP(s.conn)+s.node.IP], now, now)
+		if s.node.Loop == loop && !s.closed && s.pending == 0 && !s.corrupted && !cut {
 			s.write(text)
 		}
 	})
 }
 
-// end writes the last of an answer.
-func (s *served) end(a *attempt, text string) {
+// complete writes the last part of an answer.
+func (s *serverConn) complete(a *attempt, text string) {
 	a.done = true
-	s.open--
+	s.pending--
 	s.write([]byte(text))
 }
 
-// value is the answer to a request: its id, filled up, and the figures.
-func (a *attempt) value(s *served) string {
-	v := a.try.id + strings.Repeat(".", s.rand.IntN(max(1, s.Values)))
+// value returns the answer to a request: its ID padded to a random length, and the usage report.
+func (a *attempt) value(s *serverConn) string {
+	v := a.request.id + strings.Repeat(".", s.rand.IntN(max(1, s.Values)))
 	if s.Large > 0 && s.rand.Float64() < s.Large {
 		v += strings.Repeat(".", resp.MaxValue+s.rand.IntN(resp.MaxValue))
 	}
-	used := fmt.Sprintf("used=%.0f", s.meter.percent(a.try.customer, s.net.Now()))
+	used := fmt.Sprintf("used=%.0f", s.meter.usagePercent(a.request.customer, s.net.Now()))
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$-1\r\n", len(v), v, len(used), used)
 }
 
-// meter adds up the use of each customer by periods of half a second.
+// meter counts each customer's requests in periods of half a second.
 type meter struct {
 	period     int64
 	used, last map[string]float64
 }
 
-func (m *meter) turn(now time.Duration) {
+func (m *meter) advance(now time.Duration) {
 	if p := int64(now / (500 * ms)); p != m.period {
 		m.last = nil
 		if p == m.period+1 {
@@ -321,10 +323,10 @@
 	}
 }
 
-func (m *meter) percent(customer string, now time.Duration) float64 {
-	m.turn(now)
+func (m *meter) usagePercent(customer string, now time.Duration) float64 {
+	m.advance(now)
 	rate := 20.0
-	if district(customer) {
+	if hasHardLimit(customer) {
 		rate = 10
 	}
 	return min(9999, 100*m.last[customer]/(rate*0.5))
