--- a/cmd/bench/subsets/main.go
+++ b/cmd/bench/subsets/main.go
@@ -1,7 +1,7 @@
-// Command subsets compares ways for many gateways to use a part of the backends
-// each, on the same fleets: how even the load comes out, and how many pairs of a
-// gateway and a backend change when something comes or goes. It is a
-// measurement for docs/design/subsets.md, and no part of CI.
+// Command subsets compares algorithms by which each of many gateways selects a subset of
+// the backends, on the same fleets: how even the load is, and how many pairs of a gateway
+// and a backend change when a gateway or backend is added or removed. It is a
+// measurement for docs/design/subsets.md and not part of CI.
 package main
 
 import (
@@ -15,14 +15,14 @@
 	"wickarch/subset"
 )
 
-// way assigns backends, named by their numbers, to gateways: for each gateway
-// the part that each backend has of its work.
+// way is a subsetting algorithm. assign returns for each gateway the share of its work that
+// each backend gets, by the number of the backend.
 type way struct {
 	name   string
 	assign func(gateways int, backends []int, k int) []map[int]float64
 }
 
-func evenParts(of []int) map[int]float64 {
+func evenShares(of []int) map[int]float64 {
 	m := map[int]float64{}
 	for _, b := range of {
 		m[b] += 1 / float64(len(of))
@@ -33,7 +33,7 @@
 var ways = []way{
 	{"all backends", func(n int, list []int, _ int) (all []map[int]float64) {
 		for range n {
-			all = append(all, evenParts(list))
+			all = append(all, evenShares(list))
 		}
 		return all
 	}},
@@ -41,22 +41,22 @@
 		for j := range n {
 			p := slices.Clone(list)
 			rand.New(rand.NewPCG(uint64(j), 1)).Shuffle(len(p), func(a, b int) { p[a], p[b] = p[b], p[a] })
-			all = append(all, evenParts(p[:k]))
+			all = append(all, evenShares(p[:k]))
 		}
 		return all
 	}},
-	// Site Reliability Engineering, chapter 20: gateways in rounds, each with a shuffle of its own.
+	// Site Reliability Engineering, chapter 20: gateways in rounds, each round with its own shuffle.
 	{"deterministic subsetting (SRE book)", func(n int, list []int, k int) (all []map[int]float64) {
 		per := len(list) / k
 		for j := range n {
 			p := slices.Clone(list)
 			rand.New(rand.NewPCG(uint64(j/per), 2)).Shuffle(len(p), func(a, b int) { p[a], p[b] = p[b], p[a] })
 			at := j % per * k
-			all = append(all, evenParts(p[at:at+k]))
+			all = append(all, evenShares(p[at:at+k]))
 		}
 		return all
 	}},
-	// Finagle's deterministic aperture: arcs of one ring of backends, with parts at the edges.
+	// Finagle's deterministic aperture: arcs of one ring of backends, with fractions of backends at the ends.
 	{"deterministic aperture (ring)", func(n int, list []int, k int) (all []map[int]float64) {
 		size := float64(len(list))
 		for j := range n {
@@ -73,7 +73,7 @@
 	{"rendezvous hashing, fitted parts (ours)", func(n int, list []int, k int) []map[int]float64 { return ranked(n, list, k, true) }},
 }
 
-// ranked asks package subset. Its size follows from the fleet, so k must be what it chooses.
+// ranked uses package subset. It derives the subset size from the fleet, so k must be that size.
 func ranked(n int, list []int, k int, fitted bool) (all []map[int]float64) {
 	var backends []subset.Backend
 	for _, b := range list {
@@ -82,7 +82,7 @@
 	for j := range n {
 		s, err := subset.New(subset.Config{Gateways: n, Self: j, MaxStaleness: time.Second}, 0)
 		if err != nil {
-			panic(err) // the numbers are ours
+			panic(err) // the configuration is valid
 		}
 		s.SetBackends(backends)
 		m := map[int]float64{}
@@ -96,8 +96,8 @@
 	return all
 }
 
-// spread is the most loaded backend over the mean one, and the deviation.
-func spread(all []map[int]float64, list []int, traffic func(int) float64) (most, deviation float64) {
+// spread returns the maximum load over the mean, and the standard deviation relative to the mean.
+func spread(all []map[int]float64, list []int, traffic func(int) float64) (highest, deviation float64) {
 	load, total := map[int]float64{}, 0.0
 	for j, m := range all {
 		for b, p := range m {
@@ -107,29 +107,29 @@
 	}
 	mean := total / float64(len(list))
 	for _, b := range list {
-		most = max(most, load[b]/mean)
+		highest = max(highest, load[b]/mean)
 		deviation += (load[b]/mean - 1) * (load[b]/mean - 1)
 	}
-	return most, math.Sqrt(deviation / float64(len(list)))
+	return highest, math.Sqrt(deviation / float64(len(list)))
 }
 
-// moved is the share of pairs that are no more.
+// moved returns the fraction of pairs of a gateway and a backend that no longer exist.
 func moved(before, after []map[int]float64) float64 {
-	gone, all := 0, 0
+	removed, all := 0, 0
 	for j := range min(len(before), len(after)) {
 		for b := range before[j] {
 			if after[j][b] == 0 {
-				gone++
+				removed++
 			}
 			all++
 		}
 	}
-	return float64(gone) / float64(all)
+	return float64(removed) / float64(all)
 }
 
 func main() {
-	gateways := flag.Int("gateways", 300, "")
-	count := flag.Int("backends", 167, "")
+	gateways := flag.Int("gateways", 300, "number of gateways")
+	count := flag.Int("backends", 167, "number of backends")
 	flag.Parse()
 	n, list := *gateways, []int{}
 	for b := range *count {
@@ -153,7 +153,7 @@
 		all := w.assign(n, list, k)
 		e, ed := spread(all, list, even)
 		u, ud := spread(all, list, uneven)
-		// A third of the backends goes at once: a zone.
+		// A third of the backends is removed at once, as in the loss of a zone.
 		var rest []int
 		for _, b := range list {
 			if b%3 > 0 {
