--- a/cmd/bench/capacity/change.go
+++ b/cmd/bench/capacity/change.go
@@ -100,16 +100,16 @@
 		out, orders := 0, 0
 		for i := range c.Plays {
 			s := fleetsim.Draw(uint64(i+1), c.Ingresses, 0, 3)
-			s.Zones, s.Timing, s.Decide, s.RaftTick = zonesOfFleet, rollout.DefaultTiming(), 250*time.Millisecond, 100*time.Millisecond
+			s.Zones, s.Timing, s.DecideInterval, s.RaftTick = zonesOfFleet, rollout.DefaultTiming(), 250*time.Millisecond, 100*time.Millisecond
 			s.Budgets = []rollout.Budget{{Name: "ingresses", Role: "ingress", Share: 0.10, ExpectedMembers: c.Ingresses}}
-			s.Releases, s.Faulty, s.Hands, s.Trouble, s.Noisy = []fleetsim.Kind{fleetsim.Good}, false, false, nil, 0
+			s.Releases, s.InjectFaults, s.OperatorActions, s.FaultKinds, s.Noise = []fleetsim.Kind{fleetsim.Good}, false, false, nil, 0
 			s.Waves, s.Gate = way.waves, rollout.Gate{Soak: way.soak, MinRequests: 200, StallTimeout: 200*time.Second + 2*way.soak, Alpha: 0.01, Margin: 0.03, MaxLatencyFactor: 1.5}
-			s.Calm, s.End = 60*time.Second, 3600*time.Second
+			s.FaultsEnd, s.End = 60*time.Second, 3600*time.Second
 			r := fleetsim.Run(s, nil)
 			for _, f := range r.Faults {
 				return fmt.Errorf("fault: %s", f)
 			}
-			took, out, orders = append(took, r.Took), max(out, r.MostOut), orders+r.Orders
+			took, out, orders = append(took, r.RolloutDuration), max(out, r.MaxOut), orders+r.Orders
 		}
 		t.AppendRow(table.Row{way.name, fmt.Sprint(took), out, orders / c.Plays})
 	}
--- a/cmd/bench/capacity/scale_test.go
+++ b/cmd/bench/capacity/scale_test.go
@@ -291,15 +291,15 @@
 func TestMembersCost(t *testing.T) {
 	for _, size := range []int{20, 40, 120} {
 		s := fleetsim.Draw(1, size, 0, 3)
-		s.Releases, s.Hands, s.Faulty, s.Weigh, s.Noisy = []fleetsim.Kind{fleetsim.Good}, false, false, true, 0
+		s.Releases, s.OperatorActions, s.InjectFaults, s.CountBytes, s.Noise = []fleetsim.Kind{fleetsim.Good}, false, false, true, 0
 		s.Budgets = []rollout.Budget{{Name: "ingresses", Role: "ingress", MaxOut: size / 10, ExpectedMembers: size}}
 		s.Waves, s.Gate = []float64{rollout.AllMembers}, rollout.Gate{Soak: time.Second, MinRequests: 200, StallTimeout: 200 * time.Second, Alpha: 0.01, Margin: 0.03, MaxLatencyFactor: 1.5}
-		s.Trouble, s.Dense, s.Calm, s.End = nil, 1, 60*time.Second, 900*time.Second
+		s.FaultKinds, s.FaultFactor, s.FaultsEnd, s.End = nil, 1, 60*time.Second, 900*time.Second
 		r := fleetsim.Run(s, nil)
 		if len(r.Faults) > 0 {
 			t.Fatal(r.Faults)
 		}
-		per := float64(size) * r.Span.Seconds()
+		per := float64(size) * r.SimulatedTime.Seconds()
 		messages, bytes := float64(r.Messages)/per, float64(r.Bytes)/per
 		t.Logf("%d members: %.2f messages and %.0f bytes a member and second", size, messages, bytes)
 		if messages > 0.6 || bytes > 130 { // reports each 4 s, and their answers
--- a/cmd/bench/distribution/main.go
+++ b/cmd/bench/distribution/main.go
@@ -30,7 +30,7 @@
 
 func (s *schedules) draw(seed uint64) distsim.Scenario {
 	d := distsim.Draw(seed, s.Followers)
-	d.Faulty = !s.Calm
+	d.InjectFaults = !s.Calm
 	return d
 }
 
@@ -59,10 +59,10 @@
 		return !s.First || bad == 0
 	})
 	fmt.Printf("%d schedules of %d followers in %v: %d events, %d questions, %d versions, %d conflicts, %d halts, %d settled, %d leaders, %d faults caused, %d replies not taken, at most %d apart; %d broken\n",
-		played, s.Followers, time.Since(began).Round(time.Second), sum.Events, sum.Polls, sum.Versions, sum.Conflicts, sum.Halts, sum.Settles, sum.Leaders, sum.Troubles,
-		sum.NotTaken, sum.Apart, bad)
-	quantiles("undisturbed, commit to in force at the last", sum.Calm)
-	quantiles("disturbed, commit or the last fault's end to in force at the last", sum.After)
+		played, s.Followers, time.Since(began).Round(time.Second), sum.Events, sum.Polls, sum.Versions, sum.Conflicts, sum.Halts, sum.Settles, sum.Leaders, sum.InjectedFaults,
+		sum.RejectedReplies, sum.MaxUncounted, bad)
+	quantiles("undisturbed, commit to in force at the last", sum.UndisturbedTimes)
+	quantiles("disturbed, commit or the last fault's end to in force at the last", sum.DisturbedTimes)
 	if bad > 0 {
 		os.Exit(1)
 	}
--- a/cmd/bench/rollouts/figures.go
+++ b/cmd/bench/rollouts/figures.go
@@ -28,26 +28,26 @@
 func (c *compare) Run() error {
 	fmt.Printf("%-36s %-7s %9s %9s %9s %9s %9s %9s %12s\n", "release", "way", "most out", "and lost", "took", "reached", "halt", "all back", "bad answers")
 	for _, kind := range fleetsim.Kinds[:len(fleetsim.Kinds)-1] {
-		for _, way := range []fleetsim.Way{fleetsim.Agreed, fleetsim.Alone, fleetsim.Fixed} {
+		for _, way := range []fleetsim.Strategy{fleetsim.Coordinated, fleetsim.Uncoordinated, fleetsim.FixedSchedule} {
 			var out, gone, bad int
 			var took, halt, back []time.Duration
 			var refused, asked float64
 			for _, r := range plays(c.Plays, func(seed uint64) fleetsim.Scenario {
 				s := fleetsim.Draw(seed, c.Ingresses, 0, 5)
-				s.Releases, s.Way, s.Hands, s.GoBack, s.Dense = []fleetsim.Kind{kind}, way, false, true, 1
-				s.Trouble = []string{"program dies", "program dies", "programs die", "zone lost"}
-				s.Calm, s.End = 400*time.Second, 900*time.Second
+				s.Releases, s.Strategy, s.OperatorActions, s.AutoRollback, s.FaultFactor = []fleetsim.Kind{kind}, way, false, true, 1
+				s.FaultKinds = []string{"program dies", "program dies", "programs die", "zone lost"}
+				s.FaultsEnd, s.End = 400*time.Second, 900*time.Second
 				return s
 			}) {
-				out, gone, bad = max(out, r.MostOut), max(gone, r.MostGone), max(bad, r.Bad)
-				took, halt, back = add(took, r.Took), add(halt, r.Halted), add(back, r.Undone)
-				refused, asked = refused+r.Refused, asked+r.Asked
+				out, gone, bad = max(out, r.MaxOut), max(gone, r.MaxUnavailable), max(bad, r.BadMembers)
+				took, halt, back = add(took, r.RolloutDuration), add(halt, r.TimeToHalt), add(back, r.TimeToRollback)
+				refused, asked = refused+r.FailedRequests, asked+r.Requests
 				for _, f := range r.Faults {
 					fmt.Println("FAULT", f)
 				}
 			}
 			name := string(way)
-			if way == fleetsim.Agreed {
+			if way == fleetsim.Coordinated {
 				name = "agreed"
 			}
 			fmt.Printf("%-36s %-7s %9d %9d %9s %9d %9s %9s %11.2f%%\n", kind, name, out, gone, median(took), bad, median(halt), median(back), 100*refused/asked)
@@ -70,17 +70,17 @@
 		var took []time.Duration
 		for _, r := range plays(6, func(seed uint64) fleetsim.Scenario {
 			s := fleetsim.Draw(seed, size, 0, 5)
-			s.Releases, s.Hands, s.Weigh, s.Dense = []fleetsim.Kind{fleetsim.Good}, false, true, 1
-			s.Trouble = []string{"leader dies"}
-			s.Calm = 300 * time.Second
+			s.Releases, s.OperatorActions, s.CountBytes, s.FaultFactor = []fleetsim.Kind{fleetsim.Good}, false, true, 1
+			s.FaultKinds = []string{"leader dies"}
+			s.FaultsEnd = 300 * time.Second
 			return s
 		}) {
 			messages += float64(r.Messages)
 			bytes += float64(r.Bytes)
-			seconds += r.Span.Seconds() * float64(size)
+			seconds += r.SimulatedTime.Seconds() * float64(size)
 			leaders += r.Leaders
 			without += r.Leaderless / time.Duration(max(1, r.Leaders))
-			took = add(took, r.Took)
+			took = add(took, r.RolloutDuration)
 		}
 		fmt.Printf("%8d %12.2f %12.0f %10d %12s %9s\n", size, messages/seconds, bytes/seconds, leaders, (without / 6).Round(100*time.Millisecond), median(took))
 	}
@@ -98,7 +98,7 @@
 	halted := map[string]int{}
 	for _, r := range plays(c.Plays, func(seed uint64) fleetsim.Scenario {
 		s := fleetsim.Draw(seed, c.Ingresses, 0, 3)
-		s.Releases, s.Faulty, s.Hands, s.Noisy = []fleetsim.Kind{fleetsim.Good}, false, false, c.Noisy
+		s.Releases, s.InjectFaults, s.OperatorActions, s.Noise = []fleetsim.Kind{fleetsim.Good}, false, false, c.Noisy
 		return s
 	}) {
 		for how, n := range r.Rollouts {
--- a/cmd/bench/rollouts/releases.go
+++ b/cmd/bench/rollouts/releases.go
@@ -22,14 +22,14 @@
 		var took, halt, back []time.Duration
 		for _, r := range plays(c.Plays, func(seed uint64) fleetsim.Scenario {
 			s := fleetsim.Draw(seed, c.Ingresses, c.Backends, 5)
-			s.Releases, s.Faulty, s.Hands, s.GoBack = []fleetsim.Kind{kind}, false, false, true
+			s.Releases, s.InjectFaults, s.OperatorActions, s.AutoRollback = []fleetsim.Kind{kind}, false, false, true
 			return s
 		}) {
 			for how, n := range r.Rollouts {
 				ends[how] += n
 			}
-			out, bad = max(out, r.MostOut), max(bad, r.Bad)
-			took, halt, back = add(took, r.Took), add(halt, r.Halted), add(back, r.Undone)
+			out, bad = max(out, r.MaxOut), max(bad, r.BadMembers)
+			took, halt, back = add(took, r.RolloutDuration), add(halt, r.TimeToHalt), add(back, r.TimeToRollback)
 			for _, f := range r.Faults {
 				ends["FAULT "+f]++
 			}
--- a/cmd/bench/rollouts/search.go
+++ b/cmd/bench/rollouts/search.go
@@ -31,7 +31,7 @@
 	if r.Fault == "" {
 		return nil
 	}
-	fmt.Printf("trace of %d actions: %s\n%s", len(r.Trace), r.Fault, search.Words(r.Trace))
+	fmt.Printf("trace of %d actions: %s\n%s", len(r.Trace), r.Fault, search.FormatTrace(r.Trace))
 	os.Exit(1)
 	return nil
 }
--- a/internal/distsim/distsim_test.go
+++ b/internal/distsim/distsim_test.go
@@ -18,7 +18,7 @@
 		for _, f := range r.Faults {
 			t.Errorf("seed %d: %s", seed, f)
 		}
-		versions, halts, settles, conflicts, troubles = versions+r.Versions, halts+r.Halts, settles+r.Settles, conflicts+r.Conflicts, troubles+r.Troubles
+		versions, halts, settles, conflicts, troubles = versions+r.Versions, halts+r.Halts, settles+r.Settles, conflicts+r.Conflicts, troubles+r.InjectedFaults
 	}
 	// So that a run in which nothing happens does not pass.
 	if versions < 60 || halts < 3 || settles < 45 || conflicts < 8 || troubles < 18 {
@@ -29,13 +29,13 @@
 // With no faults all versions are in force everywhere within a second.
 func TestCalm(t *testing.T) {
 	s := Draw(1, 12)
-	s.Faulty = false
+	s.InjectFaults = false
 	r := Run(s, nil)
 	for _, f := range r.Faults {
 		t.Error(f)
 	}
-	if len(r.Calm) < 5 || slices.Max(r.Calm) > time.Second {
-		t.Errorf("%v", r.Calm)
+	if len(r.UndisturbedTimes) < 5 || slices.Max(r.UndisturbedTimes) > time.Second {
+		t.Errorf("%v", r.UndisturbedTimes)
 	}
 }
 
--- a/internal/distsim/follower.go
+++ b/internal/distsim/follower.go
@@ -152,7 +152,7 @@
 		}
 		save, err := f.f.Replied(f.now(), number, r)
 		if err != nil {
-			f.w.Report.NotTaken++
+			f.w.Report.RejectedReplies++
 			f.w.Note("%s does not take a reply: %v", f.name, err)
 		}
 		if save == nil {
--- a/internal/distsim/scenario.go
+++ b/internal/distsim/scenario.go
@@ -17,13 +17,13 @@
 
 // Scenario is one run, drawn by its seed.
 type Scenario struct {
-	Seed      uint64
-	Followers int
-	Timing    distribution.Timing
-	Faulty    bool
-	Trouble   []string // the kinds of fault to draw from
-	Changes   int      // by each of two operators, about
-	End       time.Duration
+	Seed         uint64
+	Followers    int
+	Timing       distribution.Timing
+	InjectFaults bool
+	FaultKinds   []string // the kinds of fault to draw from
+	Changes      int      // by each of two operators, about
+	End          time.Duration
 }
 
 // Troubles are the kinds of fault, by name.
@@ -33,11 +33,11 @@
 // Draw makes the scenario of a seed.
 func Draw(seed uint64, followers int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	s := Scenario{Seed: seed, Followers: followers, Timing: distribution.DefaultTiming(), Faulty: true, Trouble: Troubles, Changes: 4 + rng.IntN(12), End: 75 * time.Second}
+	s := Scenario{Seed: seed, Followers: followers, Timing: distribution.DefaultTiming(), InjectFaults: true, FaultKinds: Troubles, Changes: 4 + rng.IntN(12), End: 75 * time.Second}
 	if rng.IntN(3) > 0 { // few kinds, and many of each (swarm testing)
-		s.Trouble = nil
+		s.FaultKinds = nil
 		for range 1 + rng.IntN(4) {
-			s.Trouble = append(s.Trouble, Troubles[rng.IntN(len(Troubles))])
+			s.FaultKinds = append(s.FaultKinds, Troubles[rng.IntN(len(Troubles))])
 		}
 	}
 	return s
@@ -75,7 +75,7 @@
 		w.At(20*time.Second, func() { w.operate(fmt.Sprint("op", op)) })
 		w.At(21*time.Second, func() { w.operate(fmt.Sprint("op", op)) })
 	}
-	if w.Faulty {
+	if w.InjectFaults {
 		for range 3 + w.rng.IntN(7) {
 			w.At(w.between(4*time.Second, w.End-25*time.Second), w.trouble)
 		}
@@ -177,9 +177,9 @@
 
 // trouble causes one fault, and plans its end.
 func (w *World) trouble() {
-	kind := w.Trouble[w.rng.IntN(len(w.Trouble))]
+	kind := w.FaultKinds[w.rng.IntN(len(w.FaultKinds))]
 	w.Note("trouble: %s", kind)
-	w.Report.Troubles++
+	w.Report.InjectedFaults++
 	c := w.coordinators[w.rng.IntN(len(w.coordinators))]
 	if lead := w.leader(); lead != nil && (len(kind) > 6 && kind[:6] == "leader" || w.rng.IntN(3) == 0) {
 		c = lead
--- a/internal/distsim/world.go
+++ b/internal/distsim/world.go
@@ -65,11 +65,11 @@
 
 // Report tells what came of a run.
 type Report struct {
-	Faults                                                                           []string
-	Events                                                                           uint64
-	Polls, Applied, NotTaken, Versions, Leaders, Halts, Settles, Conflicts, Troubles int
-	Apart                                                                            int             // most followers that were not counted at once
-	Calm, After                                                                      []time.Duration // commit, or a fault's end, to in force at the last one
+	Faults                                                                                        []string
+	Events                                                                                        uint64
+	Polls, Applied, RejectedReplies, Versions, Leaders, Halts, Settles, Conflicts, InjectedFaults int
+	MaxUncounted                                                                                  int             // most followers that were not counted at once
+	UndisturbedTimes, DisturbedTimes                                                              []time.Duration // commit, or a fault's end, to in force at the last one
 }
 
 // Add adds the counts of another run, and its times.
@@ -77,16 +77,16 @@
 	r.Events += other.Events
 	r.Polls += other.Polls
 	r.Applied += other.Applied
-	r.NotTaken += other.NotTaken
+	r.RejectedReplies += other.RejectedReplies
 	r.Versions += other.Versions
 	r.Leaders += other.Leaders
 	r.Halts += other.Halts
 	r.Settles += other.Settles
 	r.Conflicts += other.Conflicts
-	r.Troubles += other.Troubles
-	r.Apart = max(r.Apart, other.Apart)
-	r.Calm = append(r.Calm, other.Calm...)
-	r.After = append(r.After, other.After...)
+	r.InjectedFaults += other.InjectedFaults
+	r.MaxUncounted = max(r.MaxUncounted, other.MaxUncounted)
+	r.UndisturbedTimes = append(r.UndisturbedTimes, other.UndisturbedTimes...)
+	r.DisturbedTimes = append(r.DisturbedTimes, other.DisturbedTimes...)
 }
 
 func (w *World) must(err error) {
@@ -231,7 +231,7 @@
 		}
 	}
 	if w.log.Settled > 0 {
-		w.Report.Apart = max(w.Report.Apart, apart)
+		w.Report.MaxUncounted = max(w.Report.MaxUncounted, apart)
 	}
 	for i := range plans {
 		most := 0.0
@@ -270,9 +270,9 @@
 			return false
 		}
 		if p.disturbed {
-			w.Report.After = append(w.Report.After, took)
+			w.Report.DisturbedTimes = append(w.Report.DisturbedTimes, took)
 		} else {
-			w.Report.Calm = append(w.Report.Calm, took)
+			w.Report.UndisturbedTimes = append(w.Report.UndisturbedTimes, took)
 		}
 		return true
 	})
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -19,7 +19,7 @@
 	sweep.Run(sweep.Seeds{From: 1, Count: count}, func(seed uint64) Report {
 		// Small and short: cmd/bench/rollouts plays them at full size.
 		s := Draw(seed, 7, 2, 3)
-		s.Calm, s.End = 130*time.Second, 1200*time.Second
+		s.FaultsEnd, s.End = 130*time.Second, 1200*time.Second
 		s.Gate.StallTimeout, s.Gate.Soak, s.Gate.MinRequests = 80*time.Second, 15*time.Second, 50
 		return Run(s, nil)
 	}, func(seed uint64, r Report) bool {
@@ -59,7 +59,7 @@
 	for _, kind := range Kinds {
 		t.Run(string(kind), func(t *testing.T) {
 			s := Draw(1, 20, 0, 3)
-			s.Releases, s.Faulty, s.Hands, s.GoBack = []Kind{kind}, false, false, true
+			s.Releases, s.InjectFaults, s.OperatorActions, s.AutoRollback = []Kind{kind}, false, false, true
 			s.Waves = []float64{2, 0.3, -1}
 			r := Run(s, nil)
 			for _, f := range r.Faults {
@@ -69,14 +69,14 @@
 			switch kind {
 			case Good:
 				want = "done"
-			case NoWayBack:
+			case RollbackCrashes:
 				want = "back halted Stalled"
 			}
 			if r.Rollouts[want] != 1 || len(r.Rollouts) != 1 {
 				t.Errorf("it ends as %v, want %s", r.Rollouts, want)
 			}
-			if kind != Good && (r.Halted < 0 || r.Bad > 12) {
-				t.Errorf("it halts after %v, and has reached %d of 20", r.Halted, r.Bad)
+			if kind != Good && (r.TimeToHalt < 0 || r.BadMembers > 12) {
+				t.Errorf("it halts after %v, and has reached %d of 20", r.TimeToHalt, r.BadMembers)
 			}
 		})
 	}
--- a/internal/fleetsim/member.go
+++ b/internal/fleetsim/member.go
@@ -186,7 +186,7 @@
 			m.launch(a.Launch)
 		case a.Standby:
 			m.lapse(func() { m.prog.standby = true })
-			if truth := m.truth(); m.w.Way != Agreed {
+			if truth := m.truth(); m.w.Strategy != Coordinated {
 				// Nothing bounds it.
 			} else if truth.granted == 0 {
 				m.w.Fault("%s goes out with no grant", m.name())
@@ -301,8 +301,8 @@
 		c.Failed += f
 		c.Served += asked - min(asked, r+f)
 		p.classes[class.name] = c
-		w.Report.Asked += float64(asked)
-		w.Report.Refused += float64(r + f)
+		w.Report.Requests += float64(asked)
+		w.Report.FailedRequests += float64(r + f)
 	}
 	p.open += n * 0.010 * max(1, b.slower) * noise * (0.8 + 0.4*w.rng.Float64())
 }
@@ -322,13 +322,13 @@
 	life := m.life
 	truth := m.truth()
 	w.Report.Messages++
-	if w.Weigh {
+	if w.CountBytes {
 		w.Report.Bytes += size(r)
 	}
 	failed := func(hint int) {
 		m.told(life, func() []rollout.Action { m.agent.Unanswered(m.now(), r.Seq, hint); return nil })
 	}
-	if w.Way != Agreed {
+	if w.Strategy != Coordinated {
 		reply := rollout.Reply{Stamp: r.Stamp}
 		if m.goAt > 0 && w.Now() >= m.goAt && r.SeenFence == 0 {
 			reply.Order = &rollout.Order{Fence: 1, Kind: rollout.Release, Version: version(0)}
@@ -366,7 +366,7 @@
 				w.Report.Voided++
 			}
 			w.Report.Messages++
-			if w.Weigh {
+			if w.CountBytes {
 				w.Report.Bytes += size(reply)
 			}
 			w.carry(place, m.end, func() {
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -16,32 +16,32 @@
 
 // The kinds of release.
 const (
-	Good        Kind = "good"
-	CrashAtOnce Kind = "crashes at its start"
-	NeverReady  Kind = "is never ready"
-	CrashLater  Kind = "ends after a minute"
-	Refuses     Kind = "refuses one in ten"
-	SlowLater   Kind = "gets slow after a minute"
-	BadPayments Kind = "fails payments"
-	BadZone     Kind = "refuses in one zone"
-	NoWayBack   Kind = "crashes, and so does the one before" // where it has run
+	Good            Kind = "good"
+	CrashAtOnce     Kind = "crashes at its start"
+	NeverReady      Kind = "is never ready"
+	CrashLater      Kind = "ends after a minute"
+	Refuses         Kind = "refuses one in ten"
+	SlowLater       Kind = "gets slow after a minute"
+	BadPayments     Kind = "fails payments"
+	BadZone         Kind = "refuses in one zone"
+	RollbackCrashes Kind = "crashes, and so does the one before" // where it has run
 )
 
 // Kinds are all of them.
-var Kinds = []Kind{Good, CrashAtOnce, NeverReady, CrashLater, Refuses, SlowLater, BadPayments, BadZone, NoWayBack}
+var Kinds = []Kind{Good, CrashAtOnce, NeverReady, CrashLater, Refuses, SlowLater, BadPayments, BadZone, RollbackCrashes}
 
 // Way is how a release goes through the fleet.
-type Way string
+type Strategy string
 
 // The ways. The last two are for comparison: no coordinator is asked.
 const (
-	Agreed Way = ""      // by what coordinators grant
-	Alone  Way = "alone" // each member when it likes, within Within
-	Fixed  Way = "fixed" // a tenth each Within/10, whatever comes of it
+	Coordinated   Strategy = ""      // by what coordinators grant
+	Uncoordinated Strategy = "alone" // each member when it likes, within Within
+	FixedSchedule Strategy = "fixed" // a tenth each Within/10, whatever comes of it
 )
 
 // Within is the time in which members change by Alone and Fixed.
-const Within = 5 * time.Minute
+const ChangePeriod = 5 * time.Minute
 
 // Scenario is one run, drawn by its seed.
 type Scenario struct {
@@ -51,30 +51,30 @@
 	Backends     int
 	Zones        int
 	rollout.Config
-	RaftTick time.Duration
-	Decide   time.Duration
-	Gate     rollout.Gate
-	Waves    []float64
-	Releases []Kind // of the ingresses, one after the other
-	Faulty   bool   // coordinators, agents, programs and links fail
-	Calm     time.Duration
-	End      time.Duration
-	Slow     time.Duration // what a late message is late by at most
-	Way      Way           // by whom members are changed
-	Noisy    float64       // how much traffic and refusals vary in common
-	Weigh    bool          // count bytes
-	Hands    bool          // operators halt, resume, go back and drain in between
-	GoBack   bool          // an operator orders each rollout that halts back, at once
-	Dense    int           // times as many faults as else
-	Trouble  []string      // the kinds of fault to draw from; nil for all
+	RaftTick        time.Duration
+	DecideInterval  time.Duration
+	Gate            rollout.Gate
+	Waves           []float64
+	Releases        []Kind // of the ingresses, one after the other
+	InjectFaults    bool   // coordinators, agents, programs and links fail
+	FaultsEnd       time.Duration
+	End             time.Duration
+	Slow            time.Duration // what a late message is late by at most
+	Strategy        Strategy      // by whom members are changed
+	Noise           float64       // how much traffic and refusals vary in common
+	CountBytes      bool          // count bytes
+	OperatorActions bool          // operators halt, resume, go back and drain in between
+	AutoRollback    bool          // an operator orders each rollout that halts back, at once
+	FaultFactor     int           // times as many faults as else
+	FaultKinds      []string      // the kinds of fault to draw from; nil for all
 }
 
 // Draw makes the scenario of a seed, at a size.
 func Draw(seed uint64, ingresses, backends, coordinators int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	s := Scenario{Seed: seed, Coordinators: coordinators, Ingresses: ingresses, Backends: backends, Zones: 1 + rng.IntN(4),
-		RaftTick: 250 * time.Millisecond, Decide: time.Second, Faulty: true, Hands: true,
-		Calm: 400 * time.Second, End: 1800 * time.Second, Slow: 20 * time.Second, Noisy: 0.3}
+		RaftTick: 250 * time.Millisecond, DecideInterval: time.Second, InjectFaults: true, OperatorActions: true,
+		FaultsEnd: 400 * time.Second, End: 1800 * time.Second, Slow: 20 * time.Second, Noise: 0.3}
 	s.Timing = rollout.Timing{ReportInterval: 4 * time.Second, MaxStaleness: 12 * time.Second, LearnPeriod: 9 * time.Second, BeginTimeout: 8 * time.Second,
 		OverBudgetTimeout: 30 * time.Second, WatchInterval: 10 * time.Second}
 	s.Budgets = []rollout.Budget{{Name: "ingresses", Role: "ingress", MaxOut: max(2, ingresses/10)}, {Name: "backends", Role: "backend", Share: 0.25}}
@@ -103,14 +103,14 @@
 		s.Releases = []Kind{Good}
 	}
 	if ingresses >= 100 { // long enough for some waves under faults; what is left of them after is played out
-		s.Calm, s.RaftTick, s.Decide = 200*time.Second, 400*time.Millisecond, 2*time.Second
+		s.FaultsEnd, s.RaftTick, s.DecideInterval = 200*time.Second, 400*time.Millisecond, 2*time.Second
 	}
 	if rng.IntN(3) > 0 {
 		// Few kinds of fault, and many of each: some guards show only where one kind comes again and again.
 		for range 2 + rng.IntN(4) {
-			s.Trouble = append(s.Trouble, Troubles[rng.IntN(len(Troubles))])
+			s.FaultKinds = append(s.FaultKinds, Troubles[rng.IntN(len(Troubles))])
 		}
-		s.Dense = 1 + rng.IntN(3)
+		s.FaultFactor = 1 + rng.IntN(3)
 	}
 	return s
 }
@@ -159,7 +159,7 @@
 // noise is what all members have in common at a time, and some of their own.
 func (w *World) noise(m *member) float64 {
 	t := w.Now().Seconds()
-	return math.Exp(w.Noisy * (math.Sin(t/37+float64(w.Seed%7)) + 0.5*math.Sin(t/11+float64(m.end))))
+	return math.Exp(w.Noise * (math.Sin(t/37+float64(w.Seed%7)) + 0.5*math.Sin(t/11+float64(m.end))))
 }
 
 // version names of releases: v1 runs at the start.
@@ -169,7 +169,7 @@
 func (w *World) behaves(m *member, v string) behaviour {
 	b := behaviour{crashAt: -1, slower: 1}
 	for i, kind := range w.Releases {
-		if kind == NoWayBack && v == "v1" && m.breaks["v1"] {
+		if kind == RollbackCrashes && v == "v1" && m.breaks["v1"] {
 			b.crashAt = 100 * time.Millisecond
 		}
 		if version(i) != v || m.cfg.Member.Role != "ingress" {
@@ -178,7 +178,7 @@
 		switch kind {
 		case CrashAtOnce:
 			b.crashAt = 50 * time.Millisecond
-		case NoWayBack:
+		case RollbackCrashes:
 			b.crashAt = 50 * time.Millisecond
 			if m.breaks == nil {
 				m.breaks = map[string]bool{}
@@ -226,18 +226,18 @@
 func (w *World) plan() {
 	start := 25 * time.Second
 	w.startAt = start
-	if w.Way != Agreed {
+	if w.Strategy != Coordinated {
 		for i, m := range w.members {
 			if m.cfg.Member.Role == "ingress" {
-				m.goAt = start + w.between(0, Within)
-				if w.Way == Fixed {
-					m.goAt = start + Within/10*time.Duration(i*10/w.Ingresses)
+				m.goAt = start + w.between(0, ChangePeriod)
+				if w.Strategy == FixedSchedule {
+					m.goAt = start + ChangePeriod/10*time.Duration(i*10/w.Ingresses)
 				}
 			}
 		}
 	}
 	w.At(start, func() {
-		if w.Way != Agreed {
+		if w.Strategy != Coordinated {
 			return
 		}
 		before := ""
@@ -247,20 +247,20 @@
 			before = id
 		}
 	})
-	if w.Backends > 0 && w.rng.IntN(2) == 0 && w.Way == Agreed {
+	if w.Backends > 0 && w.rng.IntN(2) == 0 && w.Strategy == Coordinated {
 		w.At(start+20*time.Second, func() { w.startRollout("b1", "backend", "w2", "") })
 	}
-	if w.Hands {
+	if w.OperatorActions {
 		for range w.rng.IntN(8) {
-			w.At(w.between(26*time.Second, w.Calm+60*time.Second), w.hand)
+			w.At(w.between(26*time.Second, w.FaultsEnd+60*time.Second), w.hand)
 		}
 	}
-	if w.Faulty {
-		for range (1 + w.rng.IntN(16)) * max(1, w.Dense) {
-			w.At(w.between(5*time.Second, w.Calm-60*time.Second), w.trouble)
+	if w.InjectFaults {
+		for range (1 + w.rng.IntN(16)) * max(1, w.FaultFactor) {
+			w.At(w.between(5*time.Second, w.FaultsEnd-60*time.Second), w.trouble)
 		}
 	}
-	w.At(w.Calm, w.mend)
+	w.At(w.FaultsEnd, w.mend)
 	var look func()
 	look = func() {
 		if w.settled() {
@@ -269,8 +269,8 @@
 		}
 		w.After(5*time.Second, look)
 	}
-	if w.Way == Agreed {
-		w.At(w.Calm+20*time.Second, look)
+	if w.Strategy == Coordinated {
+		w.At(w.FaultsEnd+20*time.Second, look)
 	}
 }
 
--- a/internal/fleetsim/search/search.go
+++ b/internal/fleetsim/search/search.go
@@ -162,7 +162,7 @@
 }
 
 // Words words a trace, runs of seconds as one.
-func Words(trace []Action) string {
+func FormatTrace(trace []Action) string {
 	var b strings.Builder
 	n := 0
 	flush := func() {
--- a/internal/fleetsim/search/search_test.go
+++ b/internal/fleetsim/search/search_test.go
@@ -7,7 +7,7 @@
 func TestOneFault(t *testing.T) {
 	r := Case{Seconds: 10, Faults: 1}.Run()
 	if r.Fault != "" {
-		t.Fatalf("%s:\n%s", r.Fault, Words(r.Trace))
+		t.Fatalf("%s:\n%s", r.Fault, FormatTrace(r.Trace))
 	}
 	if r.States < 1500 {
 		t.Fatalf("%d states: too few to show anything", r.States)
--- a/internal/fleetsim/trouble.go
+++ b/internal/fleetsim/trouble.go
@@ -16,7 +16,7 @@
 
 // trouble causes one fault, and plans its end.
 func (w *World) trouble() {
-	kinds := w.Trouble
+	kinds := w.FaultKinds
 	if kinds == nil {
 		kinds = Troubles
 	}
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -47,25 +47,25 @@
 
 // Report tells what came of a run.
 type Report struct {
-	Faults     []string
-	Events     uint64
-	Orders     int // that members were given: grants in force
-	Voided     int
-	Rollouts   map[string]int // by how they ended
-	MostOut    int            // by grant, at once
-	MostGone   int            // by grant or lost
-	Messages   uint64         // between agents and coordinators
-	Bytes      uint64
-	Leaders    int
-	Leaderless time.Duration
-	Span       time.Duration // that was played
-	Bad        int           // members that a bad release reached
-	Halts      []string      // as they stand at the end
-	Halted     time.Duration // from the first bad answer to the halt; -1 for never
-	Undone     time.Duration // from the first bad answer to the last member back; -1 for never
-	Took       time.Duration // the first rollout; -1 for never ended
-	Refused    float64       // requests refused or failed
-	Asked      float64
+	Faults          []string
+	Events          uint64
+	Orders          int // that members were given: grants in force
+	Voided          int
+	Rollouts        map[string]int // by how they ended
+	MaxOut          int            // by grant, at once
+	MaxUnavailable  int            // by grant or lost
+	Messages        uint64         // between agents and coordinators
+	Bytes           uint64
+	Leaders         int
+	Leaderless      time.Duration
+	SimulatedTime   time.Duration // that was played
+	BadMembers      int           // members that a bad release reached
+	Halts           []string      // as they stand at the end
+	TimeToHalt      time.Duration // from the first bad answer to the halt; -1 for never
+	TimeToRollback  time.Duration // from the first bad answer to the last member back; -1 for never
+	RolloutDuration time.Duration // the first rollout; -1 for never ended
+	FailedRequests  float64       // requests refused or failed
+	Requests        float64
 }
 
 // ends of links: coordinators from 0 by place, agents from agentEnd.
@@ -118,7 +118,7 @@
 		c.dead = true
 		return
 	}
-	r, err := replica.New(replica.Config{ID: c.id, Rollout: c.w.Config, TickInterval: c.w.RaftTick, ElectionTicks: 6, CompactAfter: 200, DecideInterval: c.w.Decide},
+	r, err := replica.New(replica.Config{ID: c.id, Rollout: c.w.Config, TickInterval: c.w.RaftTick, ElectionTicks: 6, CompactAfter: 200, DecideInterval: c.w.DecideInterval},
 		stored, &c.disk, c.w.Seed*31+c.id+uint64(c.Incarnation())<<40, c.clock.of(c.w.Now()))
 	if err != nil {
 		c.w.Note("coordinator %d does not start: %v", c.id, err)
@@ -396,7 +396,7 @@
 		halted: map[string]time.Duration{}, ordered: map[string]bool{},
 		lifted: map[string]bool{}, lookedAt: map[string]*int{}, lifting: map[string]int{}}
 	w.Recorder = virtualtime.NewRecorder(&w.Scheduler, tell)
-	w.Report = Report{Halted: -1, Undone: -1, Took: -1, Rollouts: map[string]int{}}
+	w.Report = Report{TimeToHalt: -1, TimeToRollback: -1, RolloutDuration: -1, Rollouts: map[string]int{}}
 	w.build()
 	w.plan()
 	var leaderless time.Duration
@@ -413,7 +413,7 @@
 		w.Report.Events++
 		event.Do()
 	}
-	w.Report.Leaderless, w.Report.Span = leaderless, w.Now()
+	w.Report.Leaderless, w.Report.SimulatedTime = leaderless, w.Now()
 	w.finish()
 	w.Report.Faults = w.Faults()
 	return w.Report
@@ -428,16 +428,16 @@
 				n++
 			}
 		}
-		w.Report.Bad = max(w.Report.Bad, n)
+		w.Report.BadMembers = max(w.Report.BadMembers, n)
 	}
-	if w.Way != Agreed {
+	if w.Strategy != Coordinated {
 		for _, m := range w.members {
 			if m.goAt > 0 && (m.mem.SeenFence == 0 || m.mem.Grant != nil) {
 				return
 			}
 		}
-		if w.Report.Took < 0 {
-			w.Report.Took = w.Now() - w.startAt
+		if w.Report.RolloutDuration < 0 {
+			w.Report.RolloutDuration = w.Now() - w.startAt
 		}
 		return
 	}
@@ -449,28 +449,28 @@
 	if r == nil {
 		return
 	}
-	if r.Halt != nil && w.Report.Halted < 0 && w.badAt > 0 {
-		w.Report.Halted = w.Now() - w.badAt
+	if r.Halt != nil && w.Report.TimeToHalt < 0 && w.badAt > 0 {
+		w.Report.TimeToHalt = w.Now() - w.badAt
 	}
-	if r.Halt != nil && w.GoBack && r.Phase == rollout.InProgress && !w.lifted[r.ID] {
+	if r.Halt != nil && w.AutoRollback && r.Phase == rollout.InProgress && !w.lifted[r.ID] {
 		w.goBack(r.ID)
 	}
-	if r.Phase.Ended() && w.Report.Took < 0 {
-		w.Report.Took = w.Now() - w.startAt
+	if r.Phase.Ended() && w.Report.RolloutDuration < 0 {
+		w.Report.RolloutDuration = w.Now() - w.startAt
 		if r.Phase == rollout.RolledBack && w.badAt > 0 {
-			w.Report.Undone = w.Now() - w.badAt
+			w.Report.TimeToRollback = w.Now() - w.badAt
 		}
 	}
 }
 
 func (w *World) sample() {
 	granted, gone := w.outs(0)
-	w.Report.MostOut, w.Report.MostGone = max(w.Report.MostOut, granted), max(w.Report.MostGone, gone)
+	w.Report.MaxOut, w.Report.MaxUnavailable = max(w.Report.MaxOut, granted), max(w.Report.MaxUnavailable, gone)
 }
 
 // finish checks how everything stands at the end.
 func (w *World) finish() {
-	if w.Way != Agreed {
+	if w.Strategy != Coordinated {
 		return
 	}
 	lead := w.leader()
@@ -520,7 +520,7 @@
 }
 
 // Ends words how rollouts ended.
-func (r Report) Ends() (s string) {
+func (r Report) Outcomes() (s string) {
 	keys := slices.SortedFunc(maps.Keys(r.Rollouts), cmp.Compare[string])
 	for _, k := range keys {
 		s += fmt.Sprintf("%s: %d; ", k, r.Rollouts[k])
