--- a/internal/fleetsim/disk.go
+++ b/internal/fleetsim/disk.go
@@ -11,21 +11,21 @@
 	"wickarch/rollout/replica"
 )
 
-// disk is a coordinator's. What Save has returned for is kept through a crash.
+// disk models a coordinator's disk. What a completed Save wrote survives a crash.
 type disk struct {
-	w       *World
-	saved   replica.Stored
-	older   *replica.Stored // as it was at some time
-	full    time.Duration   // until then nothing can be kept
-	damaged bool
-	writes  int
-	crashAt int // the number of the write in which the process ends, with nothing kept; 0 for none
+	w            *World
+	saved        replica.Stored
+	oldCopy      *replica.Stored // an earlier copy, to be restored by a fault
+	fullUntil    time.Duration   // writes fail until then
+	damaged      bool
+	writes       int
+	crashAtWrite int // number of the write during which the process ends, with nothing written; 0 for none
 }
 
 var (
-	errFull    = errors.New("no space left on the disk")
-	errEnded   = errors.New("the process has ended")
-	errDamaged = errors.New("a checksum does not fit")
+	errFull         = errors.New("no space left on the disk")
+	errProcessEnded = errors.New("the process ended during the write")
+	errDamaged      = errors.New("checksum mismatch")
 )
 
 func (d *disk) load() (replica.Stored, error) {
@@ -37,21 +37,21 @@
 	return s, nil
 }
 
-// keep notes what the disk holds now, to be put back later.
-func (d *disk) keep() {
+// copyState saves a copy of the current contents, to be restored later.
+func (d *disk) copyState() {
 	s := d.saved
 	s.Entries = slices.Clone(s.Entries)
-	d.older = &s
+	d.oldCopy = &s
 }
 
-// Save keeps what a coordinator must not forget.
+// Save persists the raft state that a coordinator must not lose.
 func (d *disk) Save(state *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error {
-	if d.w.Now() < d.full {
+	if d.w.Now() < d.fullUntil {
 		return errFull
 	}
 	d.writes++
-	if d.writes == d.crashAt {
-		return errEnded
+	if d.writes == d.crashAtWrite {
+		return errProcessEnded
 	}
 	if snap != nil {
 		d.saved.Snapshot, d.saved.Entries = snap, nil
@@ -70,14 +70,14 @@
 	return nil
 }
 
-// Compact keeps a snapshot in the place of entries.
+// Compact replaces the entries up to the snapshot's index by the snapshot.
 func (d *disk) Compact(snap *pb.Snapshot) error {
-	if d.w.Now() < d.full {
+	if d.w.Now() < d.fullUntil {
 		return errFull
 	}
 	d.writes++
-	if d.writes == d.crashAt {
-		return errEnded
+	if d.writes == d.crashAtWrite {
+		return errProcessEnded
 	}
 	index := snap.GetMetadata().GetIndex()
 	d.saved.Snapshot = snap
--- a/internal/fleetsim/trouble.go
+++ b/internal/fleetsim/faults.go
@@ -7,30 +7,30 @@
 	"wickarch/rollout/replica"
 )
 
-func founding(peers map[uint64]string) (replica.Stored, error) { return replica.Bootstrap(peers) }
+func initialState(peers map[uint64]string) (replica.Stored, error) { return replica.Bootstrap(peers) }
 
-// Troubles are the kinds of fault, by name.
-var Troubles = []string{"coordinator dies", "coordinators die", "coordinator pauses", "leader pauses", "leader dies", "disk full", "disk older", "disk damaged",
+// AllFaultKinds lists the kinds of fault by name.
+var AllFaultKinds = []string{"coordinator dies", "coordinators die", "coordinator pauses", "leader pauses", "leader dies", "disk full", "disk older", "disk damaged",
 	"disk empty", "write fails", "cut off", "one way", "loss", "agent dies", "agents die", "agent forgets", "agent pauses", "agent's disk full", "two agents",
 	"program dies", "programs die", "program hangs", "program flaps", "zone lost"}
 
-// trouble causes one fault, and plans its end.
-func (w *World) trouble() {
+// injectFault injects one fault and schedules its end.
+func (w *World) injectFault() {
 	kinds := w.FaultKinds
 	if kinds == nil {
-		kinds = Troubles
+		kinds = AllFaultKinds
 	}
 	kind := kinds[w.rng.IntN(len(kinds))]
-	w.Note("trouble: %s", kind)
+	w.Note("fault injected: %s", kind)
 	c := w.slots[w.rng.IntN(len(w.slots))]
 	if lead := w.leader(); lead != nil && (kind == "leader pauses" || kind == "leader dies" || w.rng.IntN(3) == 0) {
 		c = lead
 	}
 	m := w.members[w.rng.IntN(len(w.members))]
-	// Those whose turn it is are hit more often than others.
+	// Members that hold a grant are chosen more often than others.
 	var out []*member
 	for _, o := range w.members {
-		if o.granted != 0 {
+		if o.grantFence != 0 {
 			out = append(out, o)
 		}
 	}
@@ -50,51 +50,51 @@
 	case "coordinator pauses", "leader pauses":
 		c.pause(w.between(time.Second, 30*time.Second))
 	case "disk full":
-		c.disk.full = until
+		c.disk.fullUntil = until
 		w.At(until+time.Second, c.start)
-	case "write fails": // the process ends in the midst of keeping something
-		c.disk.crashAt = c.disk.writes + 1 + w.rng.IntN(4)
-		w.At(until+time.Second, func() { c.disk.crashAt = 0; c.start() })
+	case "write fails": // the process ends during a write
+		c.disk.crashAtWrite = c.disk.writes + 1 + w.rng.IntN(4)
+		w.At(until+time.Second, func() { c.disk.crashAtWrite = 0; c.start() })
 	case "disk older", "disk damaged", "disk empty":
-		// One at a time: what a majority has forgotten nobody can know.
-		if w.replaced {
+		// One disk per run: entries that a majority has lost cannot be recovered.
+		if w.diskReplaced {
 			return
 		}
-		w.replaced = true
-		c.disk.keep()
-		c.lost = true
+		w.diskReplaced = true
+		c.disk.copyState()
+		c.awaitsReplacement = true
 		w.At(until, func() {
 			c.kill()
 			switch kind {
 			case "disk older":
-				c.disk.saved = *c.disk.older
+				c.disk.saved = *c.disk.oldCopy
 				w.After(time.Second, c.start)
 			case "disk damaged":
 				c.disk.damaged = true
 				w.After(time.Second, c.start)
 			}
-			w.After(w.between(2*time.Second, 20*time.Second), func() { w.replace(c.place) })
+			w.After(w.between(2*time.Second, 20*time.Second), func() { w.replace(c.slot) })
 		})
 	case "cut off":
-		// A minority of the coordinators, with half of the agents, apart from the rest.
+		// A minority of the coordinators is partitioned from the rest, together with half of the agents.
 		few := map[int]bool{}
 		for range 1 + w.rng.IntN(max(1, len(w.slots)/2)) {
 			few[w.rng.IntN(len(w.slots))] = true
 		}
 		side := func(end int) bool {
-			if end < agentEnd {
+			if end < firstAgentEndpoint {
 				return few[end]
 			}
 			return end%2 == 0
 		}
 		w.cutWhere(func(a, b int) bool { return side(a) != side(b) }, until)
 	case "one way":
-		from := c.place
+		from := c.slot
 		in := w.rng.IntN(2) == 0
 		w.cutWhere(func(a, b int) bool { return in && b == from || !in && a == from }, until)
 	case "loss":
-		w.loss = 0.05 + 0.25*w.rng.Float64()
-		w.At(until, func() { w.loss = 0 })
+		w.lossRate = 0.05 + 0.25*w.rng.Float64()
+		w.At(until, func() { w.lossRate = 0 })
 	case "agent dies", "agents die":
 		n := 1
 		if kind == "agents die" {
@@ -107,15 +107,17 @@
 		}
 	case "agent forgets":
 		m.killAgent()
-		m.mem.Grant, m.mem.SeenFence, m.mem.Index, m.mem.Version, m.mem.Failed, m.mem.Prior = nil, 0, 0, "", "", ""
+		m.persisted.Grant, m.persisted.SeenFence, m.persisted.Index, m.persisted.Version,
+			m.persisted.Failed, m.persisted.Prior = nil, 0, 0, "", "", ""
 		w.At(until, m.startAgent)
 	case "agent pauses":
-		m.until = w.between(w.Now(), w.Now()+30*time.Second)
+		m.pausedUntil = w.between(w.Now(), w.Now()+30*time.Second)
 	case "agent's disk full":
-		m.full = until
+		m.diskFullUntil = until
 	case "two agents":
-		twin := &member{w: w, end: m.end, clock: m.clock, cfg: m.cfg, shadow: m, prog: program{version: m.prog.version, classes: m.prog.classes}}
-		twin.prog.rate = 1
+		twin := &member{w: w, endpoint: m.endpoint, clock: m.clock, cfg: m.cfg, impersonated: m,
+			prog: program{version: m.prog.version, classes: m.prog.classes}}
+		twin.prog.requestRate = 1
 		twin.startAgent()
 		w.At(until, twin.killAgent)
 	case "program dies":
@@ -126,13 +128,13 @@
 			o.exit(o.prog.boot, "signal 9")
 		}
 	case "program hangs":
-		// For longer than between two looks of the agent: shorter ones nobody can see.
+		// Longer than the interval between two of the agent's checks: it cannot see a shorter hang.
 		until = max(until, w.Now()+time.Duration(1.1*float64(w.Timing.ReportInterval)))
 		boot := m.prog.boot
-		m.lapse(func() { m.prog.unready = true })
+		m.changeAvailability(func() { m.prog.unready = true })
 		w.At(until, func() {
-			if m.prog.boot == boot && m.prog.unready { // and not brought back by another one's end
-				m.prog.unready, m.prog.readyAt, m.prog.was = false, w.Now(), false
+			if m.prog.boot == boot && m.prog.unready { // not ended by another hang's end already
+				m.prog.unready, m.prog.readyAt, m.prog.wasServing = false, w.Now(), false
 			}
 		})
 	case "program flaps":
@@ -147,14 +149,14 @@
 		for _, o := range w.members {
 			if o.cfg.Member.Zone == zone {
 				o.killAgent()
-				o.lapse(func() { o.prog.running = false })
+				o.changeAvailability(func() { o.prog.running = false })
 				w.At(w.between(until, until+5*time.Second), o.startAgent)
 			}
 		}
 	}
 }
 
-// cutWhere cuts links until a time.
+// cutWhere cuts the matching links until the given time.
 func (w *World) cutWhere(where func(from, to int) bool, until time.Duration) {
 	var cut [][2]int
 	ends := make([]int, 0, len(w.slots)+len(w.members))
@@ -162,7 +164,7 @@
 		ends = append(ends, i)
 	}
 	for _, m := range w.members {
-		ends = append(ends, m.end)
+		ends = append(ends, m.endpoint)
 	}
 	for i := range w.slots {
 		for _, e := range ends {
@@ -170,8 +172,8 @@
 				continue
 			}
 			for _, link := range [][2]int{{i, e}, {e, i}} {
-				if where(link[0], link[1]) && !w.cut[link] {
-					w.cut[link] = true
+				if where(link[0], link[1]) && !w.cutLinks[link] {
+					w.cutLinks[link] = true
 					cut = append(cut, link)
 				}
 			}
@@ -179,23 +181,23 @@
 	}
 	w.At(until, func() {
 		for _, link := range cut {
-			delete(w.cut, link)
+			delete(w.cutLinks, link)
 		}
 	})
 }
 
-// mend ends all faults that do not end by themselves.
-func (w *World) mend() {
+// endFaults ends all faults that have not ended by their own schedule.
+func (w *World) endFaults() {
 	w.Note("all faults are over")
-	w.calm = true
-	clear(w.cut)
-	w.loss = 0
+	w.faultsOver = true
+	clear(w.cutLinks)
+	w.lossRate = 0
 	for _, c := range w.slots {
-		c.disk.full, c.disk.crashAt = 0, 0
+		c.disk.fullUntil, c.disk.crashAtWrite = 0, 0
 		c.start()
 	}
 	for _, m := range w.members {
-		m.full = 0
+		m.diskFullUntil = 0
 		m.startAgent()
 	}
 }
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -9,15 +9,16 @@
 	"wickarch/internal/sweep"
 )
 
-// cmd/bench/mutants -list internal/fleetsim/mutants.txt takes guards out of the program, one
-// by one, and tells which seed notices each.
+// cmd/bench/mutants -list internal/fleetsim/mutants.txt removes guards from the program, one
+// at a time, and reports which seed detects each.
 
-// Schedules of faults, each drawn by its seed, keep the invariant, lose no halt and end.
+// TestSchedules guards against fault schedules under which a budget is exceeded, a halt is lost or
+// a rollout neither ends nor halts. Each schedule is drawn from its seed.
 func TestSchedules(t *testing.T) {
 	const count = 300
 	orders, ended := 0, 0
 	sweep.Run(sweep.Seeds{From: 1, Count: count}, func(seed uint64) Report {
-		// Small and short: cmd/bench/rollouts plays them at full size.
+		// Small and short: cmd/bench/rollouts runs them at full size.
 		s := Draw(seed, 7, 2, 3)
 		s.FaultsEnd, s.End = 130*time.Second, 1200*time.Second
 		s.Gate.StallTimeout, s.Gate.Soak, s.Gate.MinRequests = 80*time.Second, 15*time.Second, 50
@@ -30,9 +31,9 @@
 		ended += r.Rollouts["done"]
 		return true
 	})
-	// So that a run in which nothing happens does not pass.
+	// A run in which nothing happens must not pass.
 	if orders < 3*count || ended < count/6 {
-		t.Errorf("%d orders, %d rollouts done: too little to show anything", orders, ended)
+		t.Errorf("%d orders and %d rollouts done are too few for a meaningful test", orders, ended)
 	}
 }
 
@@ -46,15 +47,16 @@
 		if !reflect.DeepEqual(reports[0], reports[1]) {
 			for i, l := range lines[0] {
 				if i >= len(lines[1]) || lines[1][i] != l {
-					t.Fatalf("seed %d: line %d is %.200q, and then %.200q", seed, i, l, lines[1][min(i, len(lines[1])-1)])
+					t.Fatalf("seed %d: line %d is %.200q in the first run and %.200q in the second", seed, i, l, lines[1][min(i, len(lines[1])-1)])
 				}
 			}
-			t.Fatalf("seed %d: %+v, and then %+v", seed, reports[0], reports[1])
+			t.Fatalf("seed %d: first run %+v, second run %+v", seed, reports[0], reports[1])
 		}
 	}
 }
 
-// Releases that are bad halt, and all that can go back does; good ones end. No faults beside.
+// TestReleases checks, without injected faults, that bad releases halt and are rolled back where
+// that is possible, and that good ones complete.
 func TestReleases(t *testing.T) {
 	for _, kind := range Kinds {
 		t.Run(string(kind), func(t *testing.T) {
@@ -73,10 +75,10 @@
 				want = "back halted Stalled"
 			}
 			if r.Rollouts[want] != 1 || len(r.Rollouts) != 1 {
-				t.Errorf("it ends as %v, want %s", r.Rollouts, want)
+				t.Errorf("rollouts ended as %v, want one %q", r.Rollouts, want)
 			}
 			if kind != Good && (r.TimeToHalt < 0 || r.BadMembers > 12) {
-				t.Errorf("it halts after %v, and has reached %d of 20", r.TimeToHalt, r.BadMembers)
+				t.Errorf("halted after %v with the release at %d of 20 members", r.TimeToHalt, r.BadMembers)
 			}
 		})
 	}
--- a/internal/fleetsim/member.go
+++ b/internal/fleetsim/member.go
@@ -6,141 +6,141 @@
 	"wickarch/rollout"
 )
 
-// program is what an agent watches: an ingress or a backend.
+// program is the process that an agent supervises: an ingress or a backend.
 type program struct {
-	running  bool
-	boot     uint64
-	version  string
-	began    time.Duration
-	readyAt  time.Duration // ready from then on; never with unready
-	unready  bool          // hangs, or never comes up
-	standby  bool
-	ends     bool // told to end
-	counted  time.Duration
-	classes  map[string]rollout.Count
-	open     float64
-	rate     float64 // requests a second in all
-	refuses  float64 // share refused, by its customers' quotas
-	lostFrom time.Duration
-	was      bool // it served when last looked at
+	running          bool
+	boot             uint64
+	version          string
+	startedAt        time.Duration
+	readyAt          time.Duration // ready from then on, unless unready is set
+	unready          bool          // hangs, or never comes up
+	standby          bool
+	stopping         bool // asked to terminate
+	countedAt        time.Duration
+	classes          map[string]rollout.Count
+	inFlightSeconds  float64
+	requestRate      float64 // requests per second over all classes
+	refusedShare     float64 // share of requests refused by customers' quotas
+	unavailableSince time.Duration
+	wasServing       bool // it was in service when last checked
 }
 
-// member is one agent with its program, and the world's truth on both.
+// member is one agent with its program, and the actual state of both.
 type member struct {
-	w       *World
-	cfg     rollout.AgentConfig
-	end     int // of links
-	clock   clock
-	agent   *rollout.Agent
-	mem     rollout.AgentState // on its disk
-	full    time.Duration      // until then nothing can be kept there
-	until   time.Duration      // paused until then
-	life    int
-	prog    program
-	granted uint64 // fence of the order that it was given, until it is back and proven
-	breaks  map[string]bool
-	goAt    time.Duration // when it changes, by ways that ask nobody; 0 for never
-	shadow  *member       // the one under whose name this one reports, too
-	waking  bool
+	w              *World
+	cfg            rollout.AgentConfig
+	endpoint       int // endpoint of its links
+	clock          clock
+	agent          *rollout.Agent
+	persisted      rollout.AgentState // on the agent's disk
+	diskFullUntil  time.Duration      // the agent's writes fail until then
+	pausedUntil    time.Duration      // paused until then
+	incarnation    int
+	prog           program
+	grantFence     uint64 // fence of the order that it was given, until it is back in service and proven; 0 for none
+	brokenVersions map[string]bool
+	changeAt       time.Duration // when it changes version under a strategy without coordinators; 0 for never
+	impersonated   *member       // set for a duplicate agent: the member under whose name it reports
+	wakeScheduled  bool
 }
 
 func (m *member) name() string { return m.cfg.Member.Name }
 
-// serves tells by the world's truth whether the member is in service and proven.
-func (m *member) serves() bool {
+// serving reports whether the member is actually in service and proven.
+func (m *member) serving() bool {
 	p := &m.prog
-	if !p.running || p.unready || p.standby || p.ends || m.w.Now() < p.readyAt {
+	if !p.running || p.unready || p.standby || p.stopping || m.w.Now() < p.readyAt {
 		return false
 	}
-	return m.w.Now()-p.readyAt >= time.Duration(0.97*float64(m.cfg.ProvePeriod)) || p.was
+	return m.w.Now()-p.readyAt >= time.Duration(0.97*float64(m.cfg.ProvePeriod)) || p.wasServing
 }
 
-// lostFor is for how long it has not served.
-func (m *member) lostFor() time.Duration {
-	if m.serves() {
-		m.prog.was = true
+// unavailableFor returns how long the member has been out of service.
+func (m *member) unavailableFor() time.Duration {
+	if m.serving() {
+		m.prog.wasServing = true
 		return 0
 	}
-	if m.prog.was {
-		m.prog.was, m.prog.lostFrom = false, m.w.Now()
+	if m.prog.wasServing {
+		m.prog.wasServing, m.prog.unavailableSince = false, m.w.Now()
 	}
-	return m.w.Now() - m.prog.lostFrom
+	return m.w.Now() - m.prog.unavailableSince
 }
 
-// lapse notes that it may serve no longer, before something that ends it.
-func (m *member) lapse(change func()) {
-	m.lostFor()
+// changeAvailability runs change and records whether the member serves before and after it.
+func (m *member) changeAvailability(change func()) {
+	m.unavailableFor()
 	change()
-	m.lostFor()
+	m.unavailableFor()
 }
 
-// truth is the member whose standing counts: the one under whose name this one reports.
-func (m *member) truth() *member {
-	if m.shadow != nil {
-		return m.shadow
+// actual returns the member whose grant counts: the one under whose name this agent reports.
+func (m *member) actual() *member {
+	if m.impersonated != nil {
+		return m.impersonated
 	}
 	return m
 }
 
-// now is the member's own clock.
-func (m *member) now() time.Duration { return m.clock.of(m.w.Now()) }
+// now returns the time on the member's own clock.
+func (m *member) now() time.Duration { return m.clock.fromWorld(m.w.Now()) }
 
-// startAgent starts the agent, beside a program that may run.
+// startAgent starts the agent; its program may be running already.
 func (m *member) startAgent() {
 	if m.agent != nil {
 		return
 	}
-	m.life++
-	m.until = 0
+	m.incarnation++
+	m.pausedUntil = 0
 	var running *rollout.Running
 	if m.prog.running {
 		running = &rollout.Running{Version: m.prog.version}
 	}
-	m.agent = rollout.NewAgent(m.cfg, m.mem, running, m.w.rng.Uint64()|1, m.now())
-	if m.mem.Grant != nil {
-		g := *m.mem.Grant // the agent changes what it holds
-		held := m.mem
+	m.agent = rollout.NewAgent(m.cfg, m.persisted, running, m.w.rng.Uint64()|1, m.now())
+	if m.persisted.Grant != nil {
+		g := *m.persisted.Grant // the agent modifies the grant that it is given
+		held := m.persisted
 		held.Grant = &g
 		m.agent = rollout.NewAgent(m.cfg, held, running, m.w.rng.Uint64()|1, m.now())
 	}
-	life := m.life
+	life := m.incarnation
 	var poll func()
 	poll = func() {
-		if m.life != life || m.agent == nil {
+		if m.incarnation != life || m.agent == nil {
 			return
 		}
-		if m.w.Now() < m.until {
-			m.w.At(m.until, poll)
+		if m.w.Now() < m.pausedUntil {
+			m.w.At(m.pausedUntil, poll)
 			return
 		}
 		p := &m.prog
 		ready := p.running && !p.unready && !p.standby && m.w.Now() >= p.readyAt
-		m.count()
-		f := rollout.Stats{BootID: p.boot, InFlightSeconds: p.open, Classes: map[string]rollout.Count{}}
+		m.countRequests()
+		f := rollout.Stats{BootID: p.boot, InFlightSeconds: p.inFlightSeconds, Classes: map[string]rollout.Count{}}
 		for name, c := range p.classes {
 			f.Classes[name] = c
 		}
-		m.act(m.agent.Ready(m.now(), ready, f))
-		m.w.After(m.clock.to(m.cfg.ReportInterval), poll)
+		m.perform(m.agent.Ready(m.now(), ready, f))
+		m.w.After(m.clock.toWorld(m.cfg.ReportInterval), poll)
 	}
 	m.w.After(time.Duration(m.w.rng.Int64N(int64(m.cfg.ReportInterval))), poll)
 	m.wake()
 }
 
-// wake lets the agent do what is due, when it is.
+// wake schedules the agent's next tick.
 func (m *member) wake() {
-	if m.waking || m.agent == nil {
+	if m.wakeScheduled || m.agent == nil {
 		return
 	}
-	m.waking = true
-	at := max(m.w.Now(), m.clock.to(m.agent.Next())+time.Microsecond, m.until)
+	m.wakeScheduled = true
+	at := max(m.w.Now(), m.clock.toWorld(m.agent.Next())+time.Microsecond, m.pausedUntil)
 	m.w.At(at, func() {
-		m.waking = false
+		m.wakeScheduled = false
 		if m.agent == nil {
 			return
 		}
-		if m.w.Now() >= m.until {
-			m.act(m.agent.Tick(m.now()))
+		if m.w.Now() >= m.pausedUntil {
+			m.perform(m.agent.Tick(m.now()))
 		}
 		m.wake()
 	})
@@ -148,51 +148,51 @@
 
 func (m *member) killAgent() {
 	m.agent = nil
-	m.life++
+	m.incarnation++
 }
 
-// told is called with what the world or a coordinator tells the agent.
-func (m *member) told(life int, f func() []rollout.Action) {
-	if m.life != life || m.agent == nil {
+// deliver passes an event to one incarnation of the agent, after its pause if it is paused.
+func (m *member) deliver(life int, f func() []rollout.Action) {
+	if m.incarnation != life || m.agent == nil {
 		return
 	}
-	if m.w.Now() < m.until {
-		m.w.At(m.until, func() { m.told(life, f) })
+	if m.w.Now() < m.pausedUntil {
+		m.w.At(m.pausedUntil, func() { m.deliver(life, f) })
 		return
 	}
-	m.act(f())
+	m.perform(f())
 	m.wake()
 }
 
-// act does what the agent decided.
-func (m *member) act(do []rollout.Action) {
+// perform executes the agent's actions.
+func (m *member) perform(do []rollout.Action) {
 	for i := 0; i < len(do) && m.agent != nil; i++ {
 		switch a := do[i]; {
 		case a.Save != nil:
-			if m.w.Now() < m.full {
+			if m.w.Now() < m.diskFullUntil {
 				if a.SaveRequired {
 					do = append(do[:i+1:i+1], m.agent.SaveFailed(m.now(), errFull)...)
 				}
 				continue
 			}
-			m.mem = *a.Save
+			m.persisted = *a.Save
 			if a.Save.Grant != nil {
 				g := *a.Save.Grant
-				m.mem.Grant = &g
+				m.persisted.Grant = &g
 			}
 		case a.Send != nil:
 			m.send(*a.Send, a.To)
 		case a.Launch != "":
 			m.launch(a.Launch)
 		case a.Standby:
-			m.lapse(func() { m.prog.standby = true })
-			if truth := m.truth(); m.w.Strategy != Coordinated {
-				// Nothing bounds it.
-			} else if truth.granted == 0 {
-				m.w.Fault("%s goes out with no grant", m.name())
+			m.changeAvailability(func() { m.prog.standby = true })
+			if truth := m.actual(); m.w.Strategy != Coordinated {
+				// No budget applies.
+			} else if truth.grantFence == 0 {
+				m.w.Fault("%s goes out of service without a grant", m.name())
 			} else {
-				// It was asked for so long ago at most.
-				m.w.checkGrant(truth, m.w.slack()+time.Duration(1.02*float64(m.cfg.BeginTimeout)))
+				// The agent asked for its order at most BeginTimeout ago, on a clock that is off by up to 1 %.
+				m.w.checkGrant(truth, m.w.maxKnowledgeAge()+time.Duration(1.02*float64(m.cfg.BeginTimeout)))
 			}
 		case a.Terminate:
 			m.terminate(time.Duration((0.3 + m.w.rng.Float64()*2) * float64(time.Second)))
@@ -202,48 +202,48 @@
 			m.w.Note("%s: %s", m.name(), a.Log)
 		}
 	}
-	truth := m.truth()
-	if m.agent != nil && truth.granted != 0 {
-		if mem := m.agent.PersistentState(); mem.Grant == nil && mem.SeenFence >= truth.granted && m.agent.MemberState() != rollout.Draining {
-			truth.granted = 0
+	truth := m.actual()
+	if m.agent != nil && truth.grantFence != 0 {
+		if mem := m.agent.PersistentState(); mem.Grant == nil && mem.SeenFence >= truth.grantFence && m.agent.MemberState() != rollout.Draining {
+			truth.grantFence = 0
 		}
 	}
 }
 
 func (m *member) terminate(takes time.Duration) {
 	boot := m.prog.boot
-	m.lapse(func() { m.prog.ends = true })
-	m.w.After(takes, func() { m.exit(boot, "ended as told") })
+	m.changeAvailability(func() { m.prog.stopping = true })
+	m.w.After(takes, func() { m.exit(boot, "terminated on request") })
 }
 
-// exit ends the program, if it is still that one.
+// exit ends the program if it is still the one with this boot ID.
 func (m *member) exit(boot uint64, why string) {
 	if !m.prog.running || m.prog.boot != boot {
 		return
 	}
-	m.lapse(func() { m.prog.running, m.prog.standby, m.prog.ends = false, false, false })
-	m.tellExit(why)
+	m.changeAvailability(func() { m.prog.running, m.prog.standby, m.prog.stopping = false, false, false })
+	m.reportExit(why)
 }
 
-func (m *member) tellExit(why string) {
-	life := m.life
+func (m *member) reportExit(why string) {
+	life := m.incarnation
 	m.w.After(time.Millisecond, func() {
-		m.told(life, func() []rollout.Action { return m.agent.Exited(m.now(), why) })
+		m.deliver(life, func() []rollout.Action { return m.agent.Exited(m.now(), why) })
 	})
 }
 
-// launch starts the program, as well as its version does.
+// launch starts the program, with the faults of its version.
 func (m *member) launch(version string) {
 	if m.prog.running {
-		m.w.Fault("%s: a second program is started beside the first", m.name())
+		m.w.Fault("%s: a second program is started while the first runs", m.name())
 		return
 	}
 	w := m.w
 	boot := w.Sequence()
-	b := w.behaves(m, version)
-	m.lapse(func() {
-		m.prog = program{running: true, boot: boot, version: version, began: w.Now(), lostFrom: m.prog.lostFrom, rate: m.prog.rate, refuses: m.prog.refuses,
-			readyAt: w.Now() + time.Duration((0.3+w.rng.Float64()*2)*float64(time.Second)), counted: w.Now(), classes: map[string]rollout.Count{}}
+	b := w.behaviourOf(m, version)
+	m.changeAvailability(func() {
+		m.prog = program{running: true, boot: boot, version: version, startedAt: w.Now(), unavailableSince: m.prog.unavailableSince, requestRate: m.prog.requestRate, refusedShare: m.prog.refusedShare,
+			readyAt: w.Now() + time.Duration((0.3+w.rng.Float64()*2)*float64(time.Second)), countedAt: w.Now(), classes: map[string]rollout.Count{}}
 	})
 	switch {
 	case b.crashAt >= 0:
@@ -259,44 +259,44 @@
 	}
 }
 
-// behaviour is how a version does at a member.
+// behaviour describes the faults of a version at a member.
 type behaviour struct {
-	crashAt    time.Duration // -1 for never
-	neverReady bool
-	refuses    float64 // share of requests refused beyond what quotas refuse
-	fails      float64 // share of payments that fail
-	slower     float64 // factor of the latency
-	from       time.Duration
+	crashAt       time.Duration // -1 for never
+	neverReady    bool
+	refusedShare  float64 // share of requests refused beyond what quotas refuse
+	failedShare   float64 // share of payments that fail because of the version because of the version
+	latencyFactor float64
+	startsAfter   time.Duration
 }
 
-// count adds up what the program has done since it was last looked at.
-func (m *member) count() {
+// countRequests adds the requests that the program has handled since the last call.
+func (m *member) countRequests() {
 	p := &m.prog
 	w := m.w
-	span := (w.Now() - p.counted).Seconds()
-	p.counted = w.Now()
+	span := (w.Now() - p.countedAt).Seconds()
+	p.countedAt = w.Now()
 	if !p.running || p.unready || w.Now() < p.readyAt || p.standby || span <= 0 {
 		return
 	}
-	b := w.behaves(m, p.version)
-	if w.Now()-p.began < b.from {
-		b.refuses, b.fails, b.slower = 0, 0, 1
+	b := w.behaviourOf(m, p.version)
+	if w.Now()-p.startedAt < b.startsAfter {
+		b.refusedShare, b.failedShare, b.latencyFactor = 0, 0, 1
 	}
-	if b.refuses > 0 || b.fails > 0 || b.slower > 1 {
+	if b.refusedShare > 0 || b.failedShare > 0 || b.latencyFactor > 1 {
 		w.firstBad()
 	}
 	noise := w.noise(m)
-	n := p.rate * span * (0.8 + 0.4*w.rng.Float64()) * noise
-	refused := min(0.9, p.refuses*noise*(0.5+w.rng.Float64())+b.refuses)
+	n := p.requestRate * span * (0.8 + 0.4*w.rng.Float64()) * noise
+	refused := min(0.9, p.refusedShare*noise*(0.5+w.rng.Float64())+b.refusedShare)
 	for _, class := range []struct {
 		name  string
 		share float64
 		fails float64
-	}{{"lookup", 0.9, 0.001}, {"payment", 0.1, 0.001 + b.fails}} {
+	}{{"lookup", 0.9, 0.001}, {"payment", 0.1, 0.001 + b.failedShare}} {
 		c := p.classes[class.name]
-		asked := w.whole(n * class.share)
-		r := w.whole(float64(asked) * refused)
-		f := w.whole(float64(asked-min(r, asked)) * class.fails)
+		asked := w.roundRandomly(n * class.share)
+		r := w.roundRandomly(float64(asked) * refused)
+		f := w.roundRandomly(float64(asked-min(r, asked)) * class.fails)
 		c.Refused += r
 		c.Failed += f
 		c.Served += asked - min(asked, r+f)
@@ -304,11 +304,11 @@
 		w.Report.Requests += float64(asked)
 		w.Report.FailedRequests += float64(r + f)
 	}
-	p.open += n * 0.010 * max(1, b.slower) * noise * (0.8 + 0.4*w.rng.Float64())
+	p.inFlightSeconds += n * 0.010 * max(1, b.latencyFactor) * noise * (0.8 + 0.4*w.rng.Float64())
 }
 
-// whole rounds by chance, so that small numbers are not lost.
-func (w *World) whole(x float64) uint64 {
+// roundRandomly rounds up with the probability of the fraction, so that small numbers keep their mean.
+func (w *World) roundRandomly(x float64) uint64 {
 	n := uint64(max(0, x))
 	if w.rng.Float64() < x-float64(n) {
 		n++
@@ -316,78 +316,78 @@
 	return n
 }
 
-// send carries a report to a coordinator, and its answer back.
+// send delivers a report to a coordinator and the reply to the agent.
 func (m *member) send(r rollout.Report, place int) {
 	w := m.w
-	life := m.life
-	truth := m.truth()
+	life := m.incarnation
+	truth := m.actual()
 	w.Report.Messages++
 	if w.CountBytes {
-		w.Report.Bytes += size(r)
+		w.Report.Bytes += encodedSize(r)
 	}
 	failed := func(hint int) {
-		m.told(life, func() []rollout.Action { m.agent.Unanswered(m.now(), r.Seq, hint); return nil })
+		m.deliver(life, func() []rollout.Action { m.agent.Unanswered(m.now(), r.Seq, hint); return nil })
 	}
 	if w.Strategy != Coordinated {
 		reply := rollout.Reply{Stamp: r.Stamp}
-		if m.goAt > 0 && w.Now() >= m.goAt && r.SeenFence == 0 {
+		if m.changeAt > 0 && w.Now() >= m.changeAt && r.SeenFence == 0 {
 			reply.Order = &rollout.Order{Fence: 1, Kind: rollout.Release, Version: version(0)}
-			truth.granted = 1
+			truth.grantFence = 1
 		}
 		w.After(time.Millisecond, func() {
-			m.told(life, func() []rollout.Action { return m.agent.Replied(m.now(), r.Seq, reply) })
+			m.deliver(life, func() []rollout.Action { return m.agent.Replied(m.now(), r.Seq, reply) })
 		})
 		return
 	}
-	w.After(m.clock.to(2*m.cfg.ReportInterval), func() { failed(-1) })
-	w.carry(m.end, place, func() {
+	w.After(m.clock.toWorld(2*m.cfg.ReportInterval), func() { failed(-1) })
+	w.transmit(m.endpoint, place, func() {
 		c := w.slots[place]
-		if c.r == nil {
-			w.carry(place, m.end, func() { failed(-1) })
+		if c.node == nil {
+			w.transmit(place, m.endpoint, func() { failed(-1) })
 			return
 		}
 		c.do(func() {
-			reply, err := c.r.Report(c.clock.of(w.Now()), r)
+			reply, err := c.node.Report(c.clock.fromWorld(w.Now()), r)
 			if not, ok := err.(*rollout.NotLeader); ok {
 				hint := -1
 				if l := w.coordinator(not.Leader); l != nil {
-					hint = l.place
+					hint = l.slot
 				}
-				w.carry(place, m.end, func() { failed(hint) })
+				w.transmit(place, m.endpoint, func() { failed(hint) })
 				return
 			}
 			if err != nil {
-				return // no answer: it asks again
+				return // no reply: the agent retries
 			}
 			if o := reply.Order; o != nil && r.HeldGrant == nil {
-				w.given(truth, c, o)
+				w.orderGiven(truth, c, o)
 			}
 			if reply.VoidFence != 0 {
 				w.Report.Voided++
 			}
 			w.Report.Messages++
 			if w.CountBytes {
-				w.Report.Bytes += size(reply)
+				w.Report.Bytes += encodedSize(reply)
 			}
-			w.carry(place, m.end, func() {
-				m.told(life, func() []rollout.Action { return m.agent.Replied(m.now(), r.Seq, reply) })
+			w.transmit(place, m.endpoint, func() {
+				m.deliver(life, func() []rollout.Action { return m.agent.Replied(m.now(), r.Seq, reply) })
 			})
 		})
 	})
 }
 
-// given holds what has to hold at the instant in which a member may begin to go out.
-func (w *World) given(m *member, c *coordinator, o *rollout.Order) {
-	if m.granted != o.Fence {
+// orderGiven checks the invariants when a coordinator sends an order, upon which the member may go out of service.
+func (w *World) orderGiven(m *member, c *coordinator, o *rollout.Order) {
+	if m.grantFence != o.Fence {
 		w.Report.Orders++
 		w.Note("%s is given order %d (%s %s) by coordinator %d", m.name(), o.Fence, o.Kind, o.Version, c.id)
 	}
-	if seat := c.r.State().Members[m.name()]; seat != nil && seat.Grant != nil {
-		if at, halted := w.halted[seat.Grant.Rollout]; halted && w.Now()-at > w.slack() && m.granted != o.Fence {
-			w.Fault("%s is given order %d, of %s, which was halted at %v", m.name(), o.Fence, seat.Grant.Rollout, at)
+	if seat := c.node.State().Members[m.name()]; seat != nil && seat.Grant != nil {
+		if at, halted := w.haltedAt[seat.Grant.Rollout]; halted && w.Now()-at > w.maxKnowledgeAge() && m.grantFence != o.Fence {
+			w.Fault("%s is given order %d of rollout %s, which was halted at %v", m.name(), o.Fence, seat.Grant.Rollout, at)
 		}
 	}
-	m.granted = o.Fence
-	w.checkGrant(m, w.slack())
+	m.grantFence = o.Fence
+	w.checkGrant(m, w.maxKnowledgeAge())
 	w.sample()
 }
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -11,7 +11,7 @@
 	"wickarch/rollout"
 )
 
-// Kind is how a release does.
+// Kind is how a release behaves.
 type Kind string
 
 // The kinds of release.
@@ -24,26 +24,26 @@
 	SlowLater       Kind = "gets slow after a minute"
 	BadPayments     Kind = "fails payments"
 	BadZone         Kind = "refuses in one zone"
-	RollbackCrashes Kind = "crashes, and so does the one before" // where it has run
+	RollbackCrashes Kind = "crashes, and so does the one before" // the previous version crashes where this one has run
 )
 
-// Kinds are all of them.
+// Kinds lists all kinds of release.
 var Kinds = []Kind{Good, CrashAtOnce, NeverReady, CrashLater, Refuses, SlowLater, BadPayments, BadZone, RollbackCrashes}
 
-// Way is how a release goes through the fleet.
+// Strategy is how members of the fleet are changed to a release.
 type Strategy string
 
-// The ways. The last two are for comparison: no coordinator is asked.
+// The strategies. The last two serve as a comparison: they involve no coordinator.
 const (
-	Coordinated   Strategy = ""      // by what coordinators grant
-	Uncoordinated Strategy = "alone" // each member when it likes, within Within
-	FixedSchedule Strategy = "fixed" // a tenth each Within/10, whatever comes of it
+	Coordinated   Strategy = ""      // as the coordinators grant
+	Uncoordinated Strategy = "alone" // each member at a random time within ChangePeriod
+	FixedSchedule Strategy = "fixed" // a tenth of the members every ChangePeriod/10, whatever the effect
 )
 
-// Within is the time in which members change by Alone and Fixed.
+// ChangePeriod is the time in which members change with Uncoordinated and FixedSchedule.
 const ChangePeriod = 5 * time.Minute
 
-// Scenario is one run, drawn by its seed.
+// Scenario describes one run, drawn from its seed.
 type Scenario struct {
 	Seed         uint64
 	Coordinators int
@@ -55,21 +55,21 @@
 	DecideInterval  time.Duration
 	Gate            rollout.Gate
 	Waves           []float64
-	Releases        []Kind // of the ingresses, one after the other
-	InjectFaults    bool   // coordinators, agents, programs and links fail
+	Releases        []Kind // of the ingresses, in order
+	InjectFaults    bool   // inject faults into coordinators, agents, programs and links
 	FaultsEnd       time.Duration
 	End             time.Duration
-	Slow            time.Duration // what a late message is late by at most
-	Strategy        Strategy      // by whom members are changed
-	Noise           float64       // how much traffic and refusals vary in common
+	Slow            time.Duration // maximum extra delay of a late message
+	Strategy        Strategy      // how members are changed
+	Noise           float64       // how much traffic and refusals vary jointly over all members
 	CountBytes      bool          // count bytes
-	OperatorActions bool          // operators halt, resume, go back and drain in between
-	AutoRollback    bool          // an operator orders each rollout that halts back, at once
-	FaultFactor     int           // times as many faults as else
+	OperatorActions bool          // operators halt, resume, roll back and drain during the run
+	AutoRollback    bool          // an operator rolls the first rollout back as soon as it halts
+	FaultFactor     int           // factor of the number of faults
 	FaultKinds      []string      // the kinds of fault to draw from; nil for all
 }
 
-// Draw makes the scenario of a seed, at a size.
+// Draw returns the scenario of a seed for a fleet of the given size.
 func Draw(seed uint64, ingresses, backends, coordinators int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	s := Scenario{Seed: seed, Coordinators: coordinators, Ingresses: ingresses, Backends: backends, Zones: 1 + rng.IntN(4),
@@ -84,7 +84,7 @@
 	if rng.IntN(3) == 0 {
 		s.Budgets = append(s.Budgets, rollout.Budget{Name: "all", Share: 0.15})
 	}
-	for i := range s.Budgets { // the zones have as many, or one more
+	for i := range s.Budgets { // a zone has this many ingresses, or one more
 		switch b := &s.Budgets[i]; {
 		case b.GroupBy == "zone":
 			b.ExpectedMembers = ingresses / s.Zones
@@ -102,23 +102,23 @@
 	if rng.IntN(2) == 0 {
 		s.Releases = []Kind{Good}
 	}
-	if ingresses >= 100 { // long enough for some waves under faults; what is left of them after is played out
+	if ingresses >= 100 { // long enough for some waves under faults; the other waves run after the faults have ended
 		s.FaultsEnd, s.RaftTick, s.DecideInterval = 200*time.Second, 400*time.Millisecond, 2*time.Second
 	}
 	if rng.IntN(3) > 0 {
-		// Few kinds of fault, and many of each: some guards show only where one kind comes again and again.
+		// Few kinds of fault, and many of each: some guards are exercised only when one kind recurs.
 		for range 2 + rng.IntN(4) {
-			s.FaultKinds = append(s.FaultKinds, Troubles[rng.IntN(len(Troubles))])
+			s.FaultKinds = append(s.FaultKinds, AllFaultKinds[rng.IntN(len(AllFaultKinds))])
 		}
 		s.FaultFactor = 1 + rng.IntN(3)
 	}
 	return s
 }
 
-// build sets the world up: all up, serving and proven.
+// build creates the world with every program in service and proven.
 func (w *World) build() {
 	for i := range w.Coordinators {
-		c := &coordinator{w: w, id: uint64(i + 1), place: i, clock: w.drawClock(), Process: virtualtime.NewProcess(&w.Scheduler)}
+		c := &coordinator{w: w, id: uint64(i + 1), slot: i, clock: w.drawClock(), Process: virtualtime.NewProcess(&w.Scheduler)}
 		w.coordinators = append(w.coordinators, c)
 	}
 	w.slots = slices.Clone(w.coordinators)
@@ -128,20 +128,20 @@
 	}
 	for _, c := range w.coordinators {
 		c.disk.w = w
-		stored, err := founding(peers)
+		stored, err := initialState(peers)
 		if err != nil {
-			panic(err) // plain values alone
+			panic(err) // only plain values are encoded
 		}
 		c.disk.saved = stored
 		c.start()
 	}
 	add := func(role, name string, prove time.Duration, rate float64) {
-		m := &member{w: w, end: agentEnd + len(w.members), clock: w.drawClock()}
+		m := &member{w: w, endpoint: firstAgentEndpoint + len(w.members), clock: w.drawClock()}
 		m.cfg = rollout.AgentConfig{Member: rollout.Member{Name: name, Role: role, Zone: fmt.Sprint("z", len(w.members)%w.Zones), Weight: 1 + float64(len(w.members)%3)},
 			Coordinators: w.Coordinators, Version: "v1", ReportInterval: w.Timing.ReportInterval, BeginTimeout: w.Timing.BeginTimeout, DrainTimeout: 2 * time.Second, StopTimeout: 5 * time.Second,
 			StartTimeout: 10 * time.Second, ProvePeriod: prove, MaxStarts: 2, Backoff: time.Second}
-		m.prog = program{running: true, boot: w.Sequence(), version: "v1", began: -time.Hour, readyAt: -time.Hour, classes: map[string]rollout.Count{}, was: true,
-			rate: rate, refuses: 0.01 * math.Exp(0.5*w.rng.NormFloat64())}
+		m.prog = program{running: true, boot: w.Sequence(), version: "v1", startedAt: -time.Hour, readyAt: -time.Hour, classes: map[string]rollout.Count{}, wasServing: true,
+			requestRate: rate, refusedShare: 0.01 * math.Exp(0.5*w.rng.NormFloat64())}
 		w.members = append(w.members, m)
 		w.byName[name] = m
 		w.After(time.Duration(w.rng.Int64N(int64(w.Timing.ReportInterval))), m.startAgent)
@@ -156,20 +156,20 @@
 
 func (w *World) drawClock() clock { return clock{1 + 0.01*(2*w.rng.Float64()-1)} }
 
-// noise is what all members have in common at a time, and some of their own.
+// noise returns the current load factor: a part common to all members and a smaller one of the member's own.
 func (w *World) noise(m *member) float64 {
 	t := w.Now().Seconds()
-	return math.Exp(w.Noise * (math.Sin(t/37+float64(w.Seed%7)) + 0.5*math.Sin(t/11+float64(m.end))))
+	return math.Exp(w.Noise * (math.Sin(t/37+float64(w.Seed%7)) + 0.5*math.Sin(t/11+float64(m.endpoint))))
 }
 
-// version names of releases: v1 runs at the start.
+// version returns the name of the i-th release; v1 runs at the start.
 func version(i int) string { return fmt.Sprint("v", i+2) }
 
-// behaves tells how a version does at a member.
-func (w *World) behaves(m *member, v string) behaviour {
-	b := behaviour{crashAt: -1, slower: 1}
+// behaviourOf returns the faults that a version has at a member.
+func (w *World) behaviourOf(m *member, v string) behaviour {
+	b := behaviour{crashAt: -1, latencyFactor: 1}
 	for i, kind := range w.Releases {
-		if kind == RollbackCrashes && v == "v1" && m.breaks["v1"] {
+		if kind == RollbackCrashes && v == "v1" && m.brokenVersions["v1"] {
 			b.crashAt = 100 * time.Millisecond
 		}
 		if version(i) != v || m.cfg.Member.Role != "ingress" {
@@ -180,58 +180,58 @@
 			b.crashAt = 50 * time.Millisecond
 		case RollbackCrashes:
 			b.crashAt = 50 * time.Millisecond
-			if m.breaks == nil {
-				m.breaks = map[string]bool{}
+			if m.brokenVersions == nil {
+				m.brokenVersions = map[string]bool{}
 			}
-			m.breaks["v1"] = m.end%2 == 0 // what it leaves behind breaks the one before, at half of them
+			m.brokenVersions["v1"] = m.endpoint%2 == 0 // data that the release leaves behind breaks the previous version at half of the members
 		case NeverReady:
 			b.neverReady = true
 		case CrashLater:
 			b.crashAt = 60 * time.Second
 		case Refuses:
-			b.refuses = 0.1
+			b.refusedShare = 0.1
 		case SlowLater:
-			b.slower, b.from = 4, 60*time.Second
+			b.latencyFactor, b.startsAfter = 4, 60*time.Second
 		case BadPayments:
-			b.fails = 0.3
+			b.failedShare = 0.3
 		case BadZone:
 			if m.cfg.Member.Zone == "z0" {
-				b.refuses = 0.2
+				b.refusedShare = 0.2
 			}
 		}
 	}
 	return b
 }
 
-// firstBad notes the first bad answer of a release.
+// firstBad records the time of the first fault of a release.
 func (w *World) firstBad() {
-	if w.badAt == 0 {
-		w.badAt = w.Now()
-		w.Note("the first bad answer of a release")
+	if w.firstBadAt == 0 {
+		w.firstBadAt = w.Now()
+		w.Note("first fault of a release")
 	}
 }
 
-// startRollout has an operator start a release.
+// startRollout sends an operator's order to start a rollout.
 func (w *World) startRollout(id string, role string, v string, after string) {
 	gate := w.Gate
 	w.order(rollout.Entry{By: "op", Start: &rollout.Spec{ID: id, Role: role, Version: v, After: after, Waves: w.Waves, Gate: gate}}, func(err error) {
 		w.Note("start of %s: %v", id, err)
 		if err == nil {
-			w.ordered[id] = true
+			w.startedRollouts[id] = true
 		}
 	})
 }
 
-// plan schedules the releases, the faults and the operators.
+// plan schedules the releases, the faults and the operators' actions.
 func (w *World) plan() {
 	start := 25 * time.Second
 	w.startAt = start
 	if w.Strategy != Coordinated {
 		for i, m := range w.members {
 			if m.cfg.Member.Role == "ingress" {
-				m.goAt = start + w.between(0, ChangePeriod)
+				m.changeAt = start + w.between(0, ChangePeriod)
 				if w.Strategy == FixedSchedule {
-					m.goAt = start + ChangePeriod/10*time.Duration(i*10/w.Ingresses)
+					m.changeAt = start + ChangePeriod/10*time.Duration(i*10/w.Ingresses)
 				}
 			}
 		}
@@ -252,19 +252,19 @@
 	}
 	if w.OperatorActions {
 		for range w.rng.IntN(8) {
-			w.At(w.between(26*time.Second, w.FaultsEnd+60*time.Second), w.hand)
+			w.At(w.between(26*time.Second, w.FaultsEnd+60*time.Second), w.operatorAction)
 		}
 	}
 	if w.InjectFaults {
 		for range (1 + w.rng.IntN(16)) * max(1, w.FaultFactor) {
-			w.At(w.between(5*time.Second, w.FaultsEnd-60*time.Second), w.trouble)
+			w.At(w.between(5*time.Second, w.FaultsEnd-60*time.Second), w.injectFault)
 		}
 	}
-	w.At(w.FaultsEnd, w.mend)
+	w.At(w.FaultsEnd, w.endFaults)
 	var look func()
 	look = func() {
 		if w.settled() {
-			w.End = w.Now() // nothing more comes of it
+			w.End = w.Now() // no rollout can progress any more
 			return
 		}
 		w.After(5*time.Second, look)
@@ -278,33 +278,33 @@
 	return a + time.Duration(w.rng.Int64N(int64(b-a)))
 }
 
-// settled tells whether each rollout has ended or halted. Those that are halted
-// are ordered back once, or left so.
+// settled reports whether each rollout has ended, halted or cannot start. On up to two calls per
+// halted rollout an operator rolls it back, resumes it or leaves it halted, at random.
 func (w *World) settled() bool {
 	lead := w.leader()
 	if lead == nil {
 		return false
 	}
-	s := lead.r.State()
+	s := lead.node.State()
 	if s.Stop != nil {
-		// The operator has looked whether all is as it was left, and lifts it.
-		clear(w.halted)
-		clear(w.ordered)
+		// The operator has verified the state and lifts the stop.
+		clear(w.haltedAt)
+		clear(w.startedRollouts)
 		w.order(rollout.Entry{By: "op", Resume: &rollout.ResumeEntry{Number: s.Stop.Number}}, nil)
 		return false
 	}
 	done := true
 	for _, r := range s.Rollouts {
-		if w.lookedAt[r.ID] == nil {
-			w.lookedAt[r.ID] = new(int)
+		if w.haltVisits[r.ID] == nil {
+			w.haltVisits[r.ID] = new(int)
 		}
-		if r.Halt != nil && r.Phase == rollout.InProgress && *w.lookedAt[r.ID] < 2 {
-			switch *w.lookedAt[r.ID]++; w.rng.IntN(3) {
+		if r.Halt != nil && r.Phase == rollout.InProgress && *w.haltVisits[r.ID] < 2 {
+			switch *w.haltVisits[r.ID]++; w.rng.IntN(3) {
 			case 0:
-				w.goBack(r.ID)
+				w.rollBack(r.ID)
 				done = false
 			case 1:
-				w.goOn(r.ID)
+				w.resumeRollout(r.ID)
 				done = false
 			}
 		}
@@ -313,7 +313,7 @@
 	return done
 }
 
-// blocked tells whether what a rollout waits for will not come.
+// blocked reports whether the rollout that r waits for, directly or not, has ended, is halted or does not exist.
 func (w *World) blocked(s *rollout.State, r *rollout.Rollout) bool {
 	for r != nil && r.Phase == rollout.Waiting {
 		r = s.Rollout(r.After)
@@ -321,51 +321,51 @@
 	return r == nil || r.Halt != nil || r.Phase.Ended()
 }
 
-// lift sends an order that lifts a halt. While one is on its way nobody can tell
-// whether a halt that is taken meanwhile comes before it or behind it.
-func (w *World) lift(id, what string, e rollout.Entry) {
-	delete(w.halted, id)
-	w.lifted[id] = true
-	w.lifting[id]++
+// liftHalt sends an order that lifts a halt. While it is in flight, a halt that is accepted
+// meanwhile may be ordered before or after it in the log.
+func (w *World) liftHalt(id, what string, e rollout.Entry) {
+	delete(w.haltedAt, id)
+	w.haltLifted[id] = true
+	w.pendingLifts[id]++
 	e.By = "op"
 	w.order(e, func(err error) {
-		w.lifting[id]--
+		w.pendingLifts[id]--
 		w.Note("%s of %s: %v", what, id, err)
 	})
 }
 
-func (w *World) goBack(id string) { w.lift(id, "back", rollout.Entry{Rollback: id}) }
+func (w *World) rollBack(id string) { w.liftHalt(id, "back", rollout.Entry{Rollback: id}) }
 
-func (w *World) goOn(id string) {
-	w.lift(id, "resume", rollout.Entry{Resume: &rollout.ResumeEntry{Rollout: id}})
+func (w *World) resumeRollout(id string) {
+	w.liftHalt(id, "resume", rollout.Entry{Resume: &rollout.ResumeEntry{Rollout: id}})
 }
 
-// hand is something that an operator does.
-func (w *World) hand() {
+// operatorAction performs one random action of an operator.
+func (w *World) operatorAction() {
 	id := fmt.Sprint("r", 1+w.rng.IntN(len(w.Releases)))
 	m := w.members[w.rng.IntN(len(w.members))].name()
 	halt := func() {
-		delete(w.lifted, id)
+		delete(w.haltLifted, id)
 		w.order(rollout.Entry{By: "op", Halt: rollout.NewHaltEntry(id, &rollout.HaltedByOperator{By: "op", Why: "to look"})}, func(err error) {
 			w.Note("halt of %s: %v", id, err)
-			if err == nil && !w.lifted[id] && w.lifting[id] == 0 {
-				w.halted[id] = w.Now()
+			if err == nil && !w.haltLifted[id] && w.pendingLifts[id] == 0 {
+				w.haltedAt[id] = w.Now()
 			}
 		})
 	}
-	resume := func() { w.goOn(id) }
+	resume := func() { w.resumeRollout(id) }
 	switch w.rng.IntN(10) {
 	case 0:
 		halt()
 	case 1, 2, 3:
 		halt()
 		w.After(w.between(0, 60*time.Second), resume)
-	case 4: // from two terminals, within a second
+	case 4: // concurrent orders from two terminals, within a second
 		halt()
 		w.After(w.between(0, time.Second), resume)
-		w.After(w.between(0, time.Second), func() { w.goBack(id) })
+		w.After(w.between(0, time.Second), func() { w.rollBack(id) })
 	case 5:
-		w.goBack(id)
+		w.rollBack(id)
 	default:
 		w.order(rollout.Entry{By: "op", Drain: m}, func(err error) { w.Note("drain of %s: %v", m, err) })
 		w.After(w.between(0, 150*time.Second), func() {
--- a/internal/fleetsim/search/digest.go
+++ b/internal/fleetsim/search/digest.go
@@ -10,9 +10,9 @@
 	"slices"
 )
 
-// digest writes a value into a hash, through pointers and into fields that are not
-// exported: two that are alike give the same. There must be no cycles. Functions
-// are passed over.
+// digest writes a value into a hash, following pointers and including unexported
+// fields: equal values give equal hashes. Values must not contain cycles. Functions
+// and channels are ignored.
 func digest(h hash.Hash64, v reflect.Value) {
 	var b [9]byte
 	word := func(kind byte, x uint64) {
--- a/internal/fleetsim/search/search.go
+++ b/internal/fleetsim/search/search.go
@@ -1,8 +1,8 @@
-// Package search looks through all that can happen in small cases of a rollout: three
-// coordinators, four members, two budgets, and a bounded number of faults at any
-// moments. It drives rollout.State, Leader and Agent themselves. Of the raft library
-// it takes what that promises: one log, to which only the newest leader adds, while
-// one that leads no longer may go on believing so for a while.
+// Package search explores all executions of small rollouts: three coordinators, four
+// members, two budgets, and a bounded number of faults at any time. It drives the real
+// rollout.State, Leader and Agent. The raft library is replaced by its guarantees: one
+// log, to which only the newest leader appends, while a deposed leader may believe that
+// it leads for a while.
 package search
 
 import (
@@ -18,11 +18,11 @@
 	"wickarch/rollout"
 )
 
-// Action is one step: time, or a fault.
+// Action is one step of an execution: a second of time, a fault or an operator's order.
 type Action struct {
-	Kind string
-	On   int // a member, or a coordinator
-	With int // which variant
+	Kind    string
+	Target  int // index of the member or coordinator
+	Variant int // for elections: which agents still reach the previous leader
 }
 
 func (a Action) String() string {
@@ -30,32 +30,32 @@
 	case "time":
 		return "a second passes"
 	case "elect":
-		return fmt.Sprintf("coordinator %d leads; %s hear the one before", a.On, []string{"none", "half of the agents", "all agents"}[a.With])
+		return fmt.Sprintf("coordinator %d becomes leader; %s still reach the previous one", a.Target, []string{"none", "half of the agents", "all agents"}[a.Variant])
 	case "halt", "back", "resume":
 		return "an operator orders: " + a.Kind
 	}
-	return fmt.Sprintf("%s: member %d", a.Kind, a.On)
+	return fmt.Sprintf("%s: member %d", a.Kind, a.Target)
 }
 
 // Case bounds a search.
 type Case struct {
-	Seconds int // of time
-	Faults  int // at most
+	Seconds int // virtual time
+	Faults  int // maximum number of faults
 	Kinds   []string
 }
 
-// Kinds are the faults.
+// Kinds lists the kinds of fault and of operators' orders.
 var Kinds = []string{"program dies", "agent dies", "agent forgets", "report lost", "reply late", "agent pauses", "elect", "halt", "resume", "back", "drain"}
 
-// Result tells what a search found.
+// Result is the result of a search.
 type Result struct {
 	States, Paths int
-	Depth         int // actions in the longest path
+	Depth         int // number of actions in the longest path
 	Fault         string
 	Trace         []Action // the shortest path to the fault
 }
 
-// actions lists what may happen next.
+// actions returns the actions that may follow a path.
 func (c Case) actions(path []Action) (next []Action) {
 	seconds, faults := 0, 0
 	for _, a := range path {
@@ -87,14 +87,14 @@
 			next = append(next, Action{Kind: kind})
 		default:
 			for on := range members {
-				next = append(next, Action{Kind: kind, On: on})
+				next = append(next, Action{Kind: kind, Target: on})
 			}
 		}
 	}
 	return next
 }
 
-// Run searches, the shortest paths first, until all is seen or a fault is found.
+// Run searches breadth first until all states are visited or an invariant is violated.
 func (c Case) Run() Result {
 	var r Result
 	seen := map[[2]uint64]bool{}
@@ -123,7 +123,7 @@
 					for _, a := range c.actions(level[i]) {
 						path := append(slices.Clone(level[i]), a)
 						w := replay(path)
-						results[i] = append(results[i], found{path, w.hash(c.left(path)), w.fault})
+						results[i] = append(results[i], found{path, w.hash(c.remaining(path)), w.fault})
 					}
 				}
 			})
@@ -150,8 +150,8 @@
 	return r
 }
 
-// left tells what a path may still do, which is part of where it stands.
-func (c Case) left(path []Action) string {
+// remaining identifies what a path may still do, which is part of its state.
+func (c Case) remaining(path []Action) string {
 	n := 0
 	for _, a := range path {
 		if a.Kind == "time" {
@@ -161,7 +161,7 @@
 	return fmt.Sprint(n, len(path)-n)
 }
 
-// Words words a trace, runs of seconds as one.
+// FormatTrace formats a trace, with consecutive seconds on one line.
 func FormatTrace(trace []Action) string {
 	var b strings.Builder
 	n := 0
@@ -189,16 +189,16 @@
 	second       = time.Second
 )
 
-// world is where a path leads to.
+// world is the state that a path leads to.
 type world struct {
-	Now   time.Duration
-	Log   []entry
-	Lead  int // the newest leader
-	Term  uint64
-	Nodes [coordinators]*node
-	Crew  [members]*member
-	Halt  time.Duration // since when the halt is in force; -1 for not
-	fault string
+	Now         time.Duration
+	Log         []entry
+	LeaderIndex int // index of the newest leader
+	Term        uint64
+	Nodes       [coordinators]*node
+	Members     [members]*member
+	HaltedAt    time.Duration // time since which the halt is in force; -1 for none
+	fault       string
 }
 
 type entry struct {
@@ -207,55 +207,55 @@
 }
 
 type node struct {
-	State   *rollout.State
-	Applied int
-	Leader  *rollout.Leader
-	Term    uint64
-	Until   time.Duration // it believes to lead until then, though it does not; -1 while it does
+	State         *rollout.State
+	Applied       int
+	Leader        *rollout.Leader
+	Term          uint64
+	BelievesUntil time.Duration // a deposed leader believes that it leads until then; -1 otherwise
 }
 
 type member struct {
-	Agent   *rollout.Agent
-	Disk    rollout.AgentState
-	Running bool
-	Version string
-	Began   time.Duration
-	ReadyAt time.Duration
-	Standby bool
-	Boot    uint64
-	LostAt  time.Duration // since when it does not serve; -1 while it does
-	Granted uint64
-	Paused  time.Duration
-	Lose    bool   // its next report
-	Late    bool   // its next reply
-	Held    func() // what it will do follows from the path, of which HeldAt and the rest tell enough
-	HeldAt  time.Duration
-	Lives   uint64
+	Agent            *rollout.Agent
+	Disk             rollout.AgentState
+	Running          bool
+	Version          string
+	StartedAt        time.Duration
+	ReadyAt          time.Duration
+	Standby          bool
+	Boot             uint64
+	UnavailableSince time.Duration // time since which it does not serve; -1 while it serves
+	GrantFence       uint64
+	PausedUntil      time.Duration
+	DropNextReport   bool   // the next report is lost
+	DelayNextReply   bool   // the next reply is late
+	DelayedReply     func() // delivers a late reply; not hashed, as DelayedUntil and the other fields determine it
+	DelayedUntil     time.Duration
+	Incarnation      uint64
 }
 
 var timing = rollout.Timing{ReportInterval: second, MaxStaleness: 3 * second, LearnPeriod: 2 * second, BeginTimeout: 2 * second, OverBudgetTimeout: time.Hour, WatchInterval: time.Hour}
 
 var config = rollout.Config{Timing: timing, Budgets: []rollout.Budget{{Name: "all", MaxOut: 2}, {Name: "zone", GroupBy: "zone", MaxOut: 1}}}
 
-// A start takes longer than what a leader goes by may be old: a loss is to be seen.
+// A start takes longer than the maximum age of a leader's knowledge, so that the leader notices a lost member.
 const (
-	starts = 4 * second
-	prove  = 2 * second
+	startDuration = 4 * second
+	provePeriod   = 2 * second
 )
 
 func agentConfig(i int) rollout.AgentConfig {
 	return rollout.AgentConfig{Member: rollout.Member{Name: fmt.Sprint("m", i), Role: "ingress", Zone: fmt.Sprint("z", i%2), Weight: 1}, Coordinators: coordinators,
-		Version: "v1", ReportInterval: second, BeginTimeout: timing.BeginTimeout, DrainTimeout: second, StopTimeout: second, StartTimeout: 2 * starts, ProvePeriod: prove, MaxStarts: 2, Backoff: second}
+		Version: "v1", ReportInterval: second, BeginTimeout: timing.BeginTimeout, DrainTimeout: second, StopTimeout: second, StartTimeout: 2 * startDuration, ProvePeriod: provePeriod, MaxStarts: 2, Backoff: second}
 }
 
 func start() *world {
-	w := &world{Halt: -1}
+	w := &world{HaltedAt: -1}
 	for i := range w.Nodes {
-		w.Nodes[i] = &node{State: rollout.NewState(), Until: -1}
+		w.Nodes[i] = &node{State: rollout.NewState(), BelievesUntil: -1}
 	}
-	for i := range w.Crew {
-		w.Crew[i] = &member{Running: true, Version: "v1", Began: -time.Hour, ReadyAt: -time.Hour, LostAt: -1, Boot: 1, Lives: 1}
-		w.Crew[i].Agent = rollout.NewAgent(agentConfig(i), rollout.AgentState{}, &rollout.Running{Version: "v1"}, 1, 0)
+	for i := range w.Members {
+		w.Members[i] = &member{Running: true, Version: "v1", StartedAt: -time.Hour, ReadyAt: -time.Hour, UnavailableSince: -1, Boot: 1, Incarnation: 1}
+		w.Members[i].Agent = rollout.NewAgent(agentConfig(i), rollout.AgentState{}, &rollout.Running{Version: "v1"}, 1, 0)
 		m := agentConfig(i).Member
 		w.Log = append(w.Log, entry{0, rollout.Entry{Join: &rollout.MemberRecord{Member: m, Version: "v1"}}})
 	}
@@ -263,14 +263,14 @@
 	gate.Soak, gate.StallTimeout = time.Hour, 2*time.Hour
 	w.Log = append(w.Log, entry{0, rollout.Entry{Start: &rollout.Spec{ID: "r", Role: "ingress", Version: "v2", Waves: []float64{rollout.AllMembers}, Gate: gate}}})
 	w.elect(0, 2)
-	w.second() // the first leader has heard all, and has granted nothing yet
+	w.advance() // the first leader has a report of each member and has granted nothing yet
 	return w
 }
 
 func replay(path []Action) *world {
 	w := start()
 	for _, a := range path {
-		w.do(a)
+		w.step(a)
 		if w.fault != "" {
 			break
 		}
@@ -278,47 +278,47 @@
 	return w
 }
 
-func (w *world) do(a Action) {
-	m := w.Crew[a.On%members]
+func (w *world) step(a Action) {
+	m := w.Members[a.Target%members]
 	switch a.Kind {
 	case "time":
-		w.second()
+		w.advance()
 	case "program dies":
 		m.exit(w, "signal 9")
 	case "agent dies":
-		m.restart(w, a.On)
+		m.restart(w, a.Target)
 	case "agent forgets":
 		m.Disk = rollout.AgentState{}
-		m.restart(w, a.On)
+		m.restart(w, a.Target)
 	case "report lost":
-		m.Lose = true
+		m.DropNextReport = true
 	case "reply late":
-		m.Late = true
+		m.DelayNextReply = true
 	case "agent pauses":
-		m.Paused = w.Now + 7*second
+		m.PausedUntil = w.Now + 7*second
 	case "elect":
-		w.elect(a.On, a.With)
+		w.elect(a.Target, a.Variant)
 	case "halt":
 		w.order(rollout.Entry{Halt: rollout.NewHaltEntry("r", &rollout.HaltedByOperator{By: "op", Why: "to look"})})
-		w.Halt = w.Now
+		w.HaltedAt = w.Now
 	case "resume":
 		w.order(rollout.Entry{Resume: &rollout.ResumeEntry{Rollout: "r"}})
-		w.Halt = -1
+		w.HaltedAt = -1
 	case "back":
 		w.order(rollout.Entry{Rollback: "r"})
-		w.Halt = -1
+		w.HaltedAt = -1
 	case "drain":
-		w.order(rollout.Entry{By: "op", Drain: agentConfig(a.On).Member.Name})
+		w.order(rollout.Entry{By: "op", Drain: agentConfig(a.Target).Member.Name})
 	}
 }
 
 func (w *world) order(e rollout.Entry) {
-	w.add(w.Nodes[w.Lead], []rollout.Entry{e})
+	w.propose(w.Nodes[w.LeaderIndex], []rollout.Entry{e})
 }
 
-// add appends to the log what the newest leader proposes; others can't.
-func (w *world) add(n *node, entries []rollout.Entry) {
-	if n != w.Nodes[w.Lead] {
+// propose appends entries to the log if n is the newest leader.
+func (w *world) propose(n *node, entries []rollout.Entry) {
+	if n != w.Nodes[w.LeaderIndex] {
 		return
 	}
 	for _, e := range entries {
@@ -331,29 +331,29 @@
 	for ; n.Applied < len(w.Log); n.Applied++ {
 		e := w.Log[n.Applied]
 		n.State.RecordTerm(e.Term, uint64(n.Applied+1))
-		_ = n.State.Apply(uint64(n.Applied+1), e.Rollout) // an entry that is refused changes nothing
+		_ = n.State.Apply(uint64(n.Applied+1), e.Rollout) // a refused entry changes nothing
 		if n.Leader != nil && e.Term == n.Term {
 			n.Leader.Applied(e.Rollout)
 		}
 	}
 }
 
-// elect makes a coordinator the leader. The one before goes on believing that it
-// leads for a while, and some agents go on hearing it.
+// elect makes a coordinator the leader. The previous one believes for a while that it
+// still leads, and some agents still reach it.
 func (w *world) elect(on, with int) {
-	if old := w.Nodes[w.Lead]; old.Leader != nil {
-		old.Until = w.Now + 8*second
-		if on == w.Lead {
-			old.Leader, old.Until = nil, -1 // it starts anew
+	if old := w.Nodes[w.LeaderIndex]; old.Leader != nil {
+		old.BelievesUntil = w.Now + 8*second
+		if on == w.LeaderIndex {
+			old.Leader, old.BelievesUntil = nil, -1 // it restarts as leader
 		}
 	}
-	before := w.Lead
-	w.Lead = on
+	before := w.LeaderIndex
+	w.LeaderIndex = on
 	w.Term++
 	n := w.Nodes[on]
 	w.apply(n)
-	n.Leader, n.Term, n.Until = rollout.NewLeader(config, n.State, w.Term, w.Now), w.Term, -1
-	for i, m := range w.Crew {
+	n.Leader, n.Term, n.BelievesUntil = rollout.NewLeader(config, n.State, w.Term, w.Now), w.Term, -1
+	for i, m := range w.Members {
 		hears := with == 2 || with == 1 && i < members/2
 		to := before
 		if !hears || before == on {
@@ -363,46 +363,46 @@
 	}
 }
 
-// second lets a second pass: coordinators decide, agents look at their programs and report.
-func (w *world) second() {
+// advance simulates one second: coordinators decide, agents check their programs and report.
+func (w *world) advance() {
 	w.Now += second
 	for i, n := range w.Nodes {
-		if n.Until >= 0 && w.Now >= n.Until {
-			n.Leader, n.Until = nil, -1
+		if n.BelievesUntil >= 0 && w.Now >= n.BelievesUntil {
+			n.Leader, n.BelievesUntil = nil, -1
 		}
 		if n.Leader == nil {
 			continue
 		}
-		if i == w.Lead {
+		if i == w.LeaderIndex {
 			n.Leader.Confirmed(w.Now)
 		}
-		w.add(n, n.Leader.Tick(w.Now))
+		w.propose(n, n.Leader.Tick(w.Now))
 	}
-	for i, m := range w.Crew {
-		if m.Held != nil && w.Now >= m.HeldAt {
-			held := m.Held
-			m.Held = nil
+	for i, m := range w.Members {
+		if m.DelayedReply != nil && w.Now >= m.DelayedUntil {
+			held := m.DelayedReply
+			m.DelayedReply = nil
 			held()
 		}
-		if w.Now < m.Paused {
+		if w.Now < m.PausedUntil {
 			continue
 		}
 		ready := m.Running && !m.Standby && w.Now >= m.ReadyAt
-		w.act(i, m.Agent.Ready(w.Now, ready, rollout.Stats{BootID: m.Boot}))
-		w.serves(m)
+		w.perform(i, m.Agent.Ready(w.Now, ready, rollout.Stats{BootID: m.Boot}))
+		w.updateAvailability(m)
 	}
 }
 
-// serves notes by the world's truth since when a member does not serve.
-func (w *world) serves(m *member) bool {
+// updateAvailability records since when a member does not serve, and reports whether it serves.
+func (w *world) updateAvailability(m *member) bool {
 	up := m.Running && !m.Standby && w.Now >= m.ReadyAt
 	switch {
-	case up && (m.LostAt < 0 || w.Now-m.ReadyAt >= prove):
-		m.LostAt = -1
-	case m.LostAt < 0:
-		m.LostAt = w.Now
+	case up && (m.UnavailableSince < 0 || w.Now-m.ReadyAt >= provePeriod):
+		m.UnavailableSince = -1
+	case m.UnavailableSince < 0:
+		m.UnavailableSince = w.Now
 	}
-	return m.LostAt < 0
+	return m.UnavailableSince < 0
 }
 
 func (m *member) exit(w *world, why string) {
@@ -410,19 +410,19 @@
 		return
 	}
 	m.Running, m.Standby = false, false
-	w.serves(m)
-	if w.Now >= m.Paused {
-		for i := range w.Crew {
-			if w.Crew[i] == m {
-				w.act(i, m.Agent.Exited(w.Now, why))
+	w.updateAvailability(m)
+	if w.Now >= m.PausedUntil {
+		for i := range w.Members {
+			if w.Members[i] == m {
+				w.perform(i, m.Agent.Exited(w.Now, why))
 			}
 		}
 	}
 }
 
 func (m *member) restart(w *world, i int) {
-	m.Lives++
-	m.Held = nil
+	m.Incarnation++
+	m.DelayedReply = nil
 	var running *rollout.Running
 	if m.Running {
 		running = &rollout.Running{Version: m.Version}
@@ -433,13 +433,13 @@
 		disk.Grant = &g
 	}
 	to := m.Agent.Coordinator()
-	m.Agent = rollout.NewAgent(agentConfig(i), disk, running, m.Lives, w.Now)
+	m.Agent = rollout.NewAgent(agentConfig(i), disk, running, m.Incarnation, w.Now)
 	m.Agent.SetCoordinator(to)
 }
 
-// act does what an agent decided.
-func (w *world) act(i int, do []rollout.Action) {
-	m := w.Crew[i]
+// perform executes an agent's actions.
+func (w *world) perform(i int, do []rollout.Action) {
+	m := w.Members[i]
 	for _, a := range do {
 		switch {
 		case a.Save != nil:
@@ -449,41 +449,41 @@
 				m.Disk.Grant = &g
 			}
 		case a.Standby:
-			if m.Granted == 0 {
-				w.fail("member %d goes out with no grant", i)
+			if m.GrantFence == 0 {
+				w.fail("member %d goes out of service without a grant", i)
 			}
 			m.Standby = true
-			w.serves(m)
+			w.updateAvailability(m)
 		case a.Terminate, a.Kill:
-			m.exit(w, "ended as told")
+			m.exit(w, "terminated on request")
 		case a.Launch != "":
 			if m.Running {
-				w.fail("member %d: a second program", i)
+				w.fail("member %d: a second program is started while the first runs", i)
 			}
-			m.Running, m.Version, m.Began, m.ReadyAt, m.Standby = true, a.Launch, w.Now, w.Now+starts, false
+			m.Running, m.Version, m.StartedAt, m.ReadyAt, m.Standby = true, a.Launch, w.Now, w.Now+startDuration, false
 			m.Boot++
 		case a.Send != nil:
 			w.send(i, *a.Send, a.To)
 		}
 	}
-	if mem := m.Agent.PersistentState(); m.Granted != 0 && mem.Grant == nil && mem.SeenFence >= m.Granted && m.Agent.MemberState() != rollout.Draining {
-		m.Granted = 0
+	if mem := m.Agent.PersistentState(); m.GrantFence != 0 && mem.Grant == nil && mem.SeenFence >= m.GrantFence && m.Agent.MemberState() != rollout.Draining {
+		m.GrantFence = 0
 	}
 }
 
-// send carries a report and its reply, at once unless they are lost or late.
+// send delivers a report and its reply, at once unless they are lost or late.
 func (w *world) send(i int, r rollout.Report, to int) {
-	m := w.Crew[i]
+	m := w.Members[i]
 	agent := m.Agent
-	if m.Lose {
-		m.Lose = false
+	if m.DropNextReport {
+		m.DropNextReport = false
 		agent.Unanswered(w.Now, r.Seq, -1)
 		agent.SetCoordinator(to)
 		return
 	}
 	n := w.Nodes[to]
 	if n.Leader == nil {
-		agent.Unanswered(w.Now, r.Seq, w.Lead)
+		agent.Unanswered(w.Now, r.Seq, w.LeaderIndex)
 		return
 	}
 	reply, add, err := n.Leader.Report(w.Now, r)
@@ -491,41 +491,41 @@
 		w.fail("member %d: %v", i, err)
 		return
 	}
-	w.add(n, add)
+	w.propose(n, add)
 	if o := reply.Order; o != nil && r.HeldGrant == nil {
-		if w.Halt >= 0 && w.Now-w.Halt > 4*second && m.Granted != o.Fence && o.Kind == rollout.Release {
-			w.fail("member %d is given order %d %v after a halt", i, o.Fence, w.Now-w.Halt)
+		if w.HaltedAt >= 0 && w.Now-w.HaltedAt > 4*second && m.GrantFence != o.Fence && o.Kind == rollout.Release {
+			w.fail("member %d is given order %d %v after a halt", i, o.Fence, w.Now-w.HaltedAt)
 		}
-		m.Granted = o.Fence
-		w.check(i)
+		m.GrantFence = o.Fence
+		w.checkBudgets(i)
 	}
 	take := func() {
 		if m.Agent == agent {
-			w.act(i, agent.Replied(w.Now, r.Seq, reply))
+			w.perform(i, agent.Replied(w.Now, r.Seq, reply))
 		}
 	}
-	if m.Late {
-		m.Late = false
-		m.Held, m.HeldAt = take, w.Now+3*second
+	if m.DelayNextReply {
+		m.DelayNextReply = false
+		m.DelayedReply, m.DelayedUntil = take, w.Now+3*second
 		return
 	}
 	take()
 }
 
-// check holds the invariant at the instant of an order. What was lost longer ago
-// than a leader's knowledge may be old counts.
-func (w *world) check(of int) {
+// checkBudgets checks the budgets at the time of an order. Members count as out that have not
+// served for longer than the maximum age of a leader's knowledge.
+func (w *world) checkBudgets(of int) {
 	const slack = 4 * second
 	out := map[string]bool{}
 	var all []rollout.Member
-	for i, m := range w.Crew {
-		w.serves(m)
+	for i, m := range w.Members {
+		w.updateAvailability(m)
 		all = append(all, agentConfig(i).Member)
-		out[all[i].Name] = m.Granted != 0 || m.LostAt >= 0 && w.Now-m.LostAt > slack
+		out[all[i].Name] = m.GrantFence != 0 || m.UnavailableSince >= 0 && w.Now-m.UnavailableSince > slack
 	}
 	l := rollout.NewLedger(config.Budgets, all, func(name string) bool { return out[name] })
 	if err := l.Fits(all[of], true); err != nil {
-		w.fail("member %d is given an order past its budget: %v", of, err)
+		w.fail("member %d is given an order that exceeds its budget: %v", of, err)
 	}
 }
 
@@ -535,7 +535,7 @@
 	}
 }
 
-// hash names where the world stands, in two halves.
+// hash returns a 128-bit hash of the state, in two halves.
 func (w *world) hash(left string) (sum [2]uint64) {
 	for i := range sum {
 		h := fnv.New64a()
@@ -543,7 +543,7 @@
 			h = fnv.New64()
 		}
 		h.Write([]byte(left))
-		for _, v := range []any{w.Nodes, w.Lead, w.Term, w.Halt, len(w.Log), w.Crew} {
+		for _, v := range []any{w.Nodes, w.LeaderIndex, w.Term, w.HaltedAt, len(w.Log), w.Members} {
 			digest(h, reflect.ValueOf(v))
 		}
 		sum[i] = h.Sum64()
--- a/internal/fleetsim/search/search_test.go
+++ b/internal/fleetsim/search/search_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// All that can happen in twelve seconds with one fault, whatever it is and whenever
-// it comes. cmd/bench/rollouts search plays more of them.
+// TestOneFault explores all executions of ten seconds with at most one fault or order, of any kind
+// and at any time. cmd/bench/rollouts search explores longer ones with more faults.
 func TestOneFault(t *testing.T) {
 	r := Case{Seconds: 10, Faults: 1}.Run()
 	if r.Fault != "" {
 		t.Fatalf("%s:\n%s", r.Fault, FormatTrace(r.Trace))
 	}
 	if r.States < 1500 {
-		t.Fatalf("%d states: too few to show anything", r.States)
+		t.Fatalf("%d states are too few for a meaningful search", r.States)
 	}
 	t.Logf("%d states, %d steps", r.States, r.Paths)
 }
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -1,9 +1,9 @@
-// Package fleetsim plays coordinators, agents and the programs they watch in
-// virtual time, under dense faults, and checks them from the world's own truth.
+// Package fleetsim simulates coordinators, agents and the programs they supervise in
+// virtual time, under many injected faults, and checks them against the simulated state.
 //
 // The coordinators are rollout/replica on the real raft library, the agents
-// rollout.Agent; links, disks, programs and operators are models. A seed gives the
-// same run again, whatever machine plays it.
+// rollout.Agent; links, disks, programs and operators are models. The same seed gives
+// the same run on every machine.
 package fleetsim
 
 import (
@@ -27,170 +27,170 @@
 	virtualtime.Recorder
 	rng *rand.Rand
 
-	coordinators []*coordinator // by number less one, those that were replaced among them
-	slots        []*coordinator // by the place that agents ask
+	coordinators []*coordinator // indexed by ID-1, including replaced ones
+	slots        []*coordinator // current coordinator of each address that agents contact
 	members      []*member
 	byName       map[string]*member
-	cut          map[[2]int]bool // links from an end to another that carry nothing
-	loss         float64
-	replaced     bool
-
-	halted         map[string]time.Duration // rollouts whose halt an operator was told to be in force
-	ordered        map[string]bool          // rollouts that were started, as operators were told
-	calm           bool                     // all faults are over
-	badAt, startAt time.Duration
-	lifted         map[string]bool // rollouts whose halt an operator has ordered lifted since
-	lifting        map[string]int  // such orders on their way
-	lookedAt       map[string]*int
-	Report         Report
+	cutLinks     map[[2]int]bool // directed links between two endpoints that lose all messages
+	lossRate     float64
+	diskReplaced bool
+
+	haltedAt            map[string]time.Duration // time at which an operator got the confirmation of a rollout's halt
+	startedRollouts     map[string]bool          // rollouts whose start was confirmed to an operator
+	faultsOver          bool                     // all faults are over
+	firstBadAt, startAt time.Duration
+	haltLifted          map[string]bool // rollouts whose halt an operator has ordered to be lifted since
+	pendingLifts        map[string]int  // number of such orders in flight
+	haltVisits          map[string]*int
+	Report              Report
 }
 
-// Report tells what came of a run.
+// Report summarizes a run.
 type Report struct {
 	Faults          []string
 	Events          uint64
-	Orders          int // that members were given: grants in force
+	Orders          int // orders given to members
 	Voided          int
-	Rollouts        map[string]int // by how they ended
-	MaxOut          int            // by grant, at once
-	MaxUnavailable  int            // by grant or lost
+	Rollouts        map[string]int // number of rollouts by final state
+	MaxOut          int            // maximum number of members out by grant at one time
+	MaxUnavailable  int            // maximum number of members out by grant or not serving at one time
 	Messages        uint64         // between agents and coordinators
 	Bytes           uint64
 	Leaders         int
 	Leaderless      time.Duration
-	SimulatedTime   time.Duration // that was played
-	BadMembers      int           // members that a bad release reached
-	Halts           []string      // as they stand at the end
-	TimeToHalt      time.Duration // from the first bad answer to the halt; -1 for never
-	TimeToRollback  time.Duration // from the first bad answer to the last member back; -1 for never
-	RolloutDuration time.Duration // the first rollout; -1 for never ended
+	SimulatedTime   time.Duration // virtual time covered by the run
+	BadMembers      int           // maximum number of members that ran a bad release
+	Halts           []string      // texts of the halts in force at the end
+	TimeToHalt      time.Duration // from the first fault of the release to the halt; -1 for never
+	TimeToRollback  time.Duration // from the first fault of the release to the last member rolled back; -1 for never
+	RolloutDuration time.Duration // of the first rollout; -1 if it did not end
 	FailedRequests  float64       // requests refused or failed
 	Requests        float64
 }
 
-// ends of links: coordinators from 0 by place, agents from agentEnd.
-const agentEnd = 1000
+// Endpoints of links: coordinators from 0 by slot, agents from firstAgentEndpoint.
+const firstAgentEndpoint = 1000
 
-// carry delivers something from an end to another, late or not at all.
-func (w *World) carry(from, to int, do func()) {
-	if w.cut[[2]int{from, to}] || w.loss > 0 && w.rng.Float64() < w.loss {
+// transmit delivers a message from one endpoint to another, possibly late or not at all.
+func (w *World) transmit(from, to int, do func()) {
+	if w.cutLinks[[2]int{from, to}] || w.lossRate > 0 && w.rng.Float64() < w.lossRate {
 		return
 	}
 	d := time.Duration((1 + w.rng.ExpFloat64()*4) * float64(time.Millisecond))
-	if w.loss > 0 && w.rng.IntN(20) == 0 {
-		d += time.Duration(w.rng.Float64() * float64(w.Slow)) // late, and overtaken
+	if w.lossRate > 0 && w.rng.IntN(20) == 0 {
+		d += time.Duration(w.rng.Float64() * float64(w.Slow)) // late, and overtaken by newer messages
 	}
 	w.After(d, func() {
-		if !w.cut[[2]int{from, to}] {
+		if !w.cutLinks[[2]int{from, to}] {
 			do()
 		}
 	})
 }
 
-// clock is one machine's: it runs at a rate of its own.
+// clock is the clock of one machine, which runs at a rate of its own.
 type clock struct{ rate float64 }
 
-func (c clock) of(t time.Duration) time.Duration { return time.Duration(float64(t) * c.rate) }
-func (c clock) to(t time.Duration) time.Duration { return time.Duration(float64(t) / c.rate) }
+func (c clock) fromWorld(t time.Duration) time.Duration { return time.Duration(float64(t) * c.rate) }
+func (c clock) toWorld(t time.Duration) time.Duration   { return time.Duration(float64(t) / c.rate) }
 
-// coordinator is one, with its disk.
+// coordinator is one coordinator with its disk.
 type coordinator struct {
-	w     *World
-	id    uint64
-	place int
-	clock clock
-	r     *replica.Replica // nil while down
-	disk  disk
-	dead  bool // for good
-	lost  bool // its disk is to be replaced
+	w                 *World
+	id                uint64
+	slot              int
+	clock             clock
+	node              *replica.Replica // nil while down
+	disk              disk
+	removed           bool // permanently
+	awaitsReplacement bool // its disk is lost, and a new coordinator is to replace it
 
 	virtualtime.Process
 }
 
 func (c *coordinator) start() {
-	if c.dead || c.r != nil {
+	if c.removed || c.node != nil {
 		return
 	}
 	c.Start()
 	stored, err := c.disk.load()
 	if err != nil {
 		c.w.Note("coordinator %d does not start: %v", c.id, err)
-		c.dead = true
+		c.removed = true
 		return
 	}
 	r, err := replica.New(replica.Config{ID: c.id, Rollout: c.w.Config, TickInterval: c.w.RaftTick, ElectionTicks: 6, CompactAfter: 200, DecideInterval: c.w.DecideInterval},
-		stored, &c.disk, c.w.Seed*31+c.id+uint64(c.Incarnation())<<40, c.clock.of(c.w.Now()))
+		stored, &c.disk, c.w.Seed*31+c.id+uint64(c.Incarnation())<<40, c.clock.fromWorld(c.w.Now()))
 	if err != nil {
 		c.w.Note("coordinator %d does not start: %v", c.id, err)
-		c.dead = true
+		c.removed = true
 		return
 	}
 	c.w.Note("coordinator %d starts", c.id)
-	c.r = r
+	c.node = r
 	life := c.Incarnation()
 	var tick func()
 	tick = func() {
-		if c.Incarnation() != life || c.r == nil {
+		if c.Incarnation() != life || c.node == nil {
 			return
 		}
 		if c.Paused() {
 			c.w.At(c.ResumesAt(), tick)
 			return
 		}
-		c.do(func() { _ = c.r.Tick(c.clock.of(c.w.Now())) }) // a lasting fault is kept for Err, which do looks at
-		c.w.After(c.clock.to(c.w.RaftTick), tick)
+		c.do(func() { _ = c.node.Tick(c.clock.fromWorld(c.w.Now())) }) // a permanent error is kept for Err, which do checks
+		c.w.After(c.clock.toWorld(c.w.RaftTick), tick)
 	}
 	c.w.After(time.Duration(c.w.rng.Int64N(int64(c.w.RaftTick))), tick)
 }
 
 func (c *coordinator) kill() {
-	if c.r == nil {
+	if c.node == nil {
 		return
 	}
 	c.w.Note("coordinator %d dies", c.id)
-	c.r = nil
+	c.node = nil
 	c.Stop()
 }
 
-// do runs something at the coordinator, and sends what comes of it.
+// do runs f at the coordinator and sends the resulting messages.
 func (c *coordinator) do(f func()) {
-	if c.r == nil || c.HoldIfPaused(f) {
+	if c.node == nil || c.HoldIfPaused(f) {
 		return
 	}
-	led := c.r.IsLeader()
+	led := c.node.IsLeader()
 	f()
-	if c.r == nil {
+	if c.node == nil {
 		return
 	}
-	if !led && c.r.IsLeader() {
+	if !led && c.node.IsLeader() {
 		c.w.Report.Leaders++
-		c.w.Note("coordinator %d leads in term %d", c.id, c.r.Term())
+		c.w.Note("coordinator %d leads in term %d", c.id, c.node.Term())
 	}
-	for _, m := range c.r.TakeMessages() {
+	for _, m := range c.node.TakeMessages() {
 		to := c.w.coordinator(m.To)
 		if to == nil {
 			continue
 		}
 		data := m.Data
-		c.w.carry(c.place, to.place, func() {
-			// A message that is refused counts as lost; a lasting fault is kept for Err.
-			to.do(func() { _ = to.r.Step(to.clock.of(c.w.Now()), data) })
+		c.w.transmit(c.slot, to.slot, func() {
+			// A refused message counts as lost; a permanent error is kept for Err.
+			to.do(func() { _ = to.node.Step(to.clock.fromWorld(c.w.Now()), data) })
 		})
 	}
-	if err := c.r.Err(); err != nil {
+	if err := c.node.Err(); err != nil {
 		c.w.Note("coordinator %d stops: %v", c.id, err)
 		switch err.(type) {
 		case *replica.LogBehind, *replica.LogSplit:
-			c.dead = true // its operator replaces it, as the remedy says
-			c.w.After(c.w.between(2*time.Second, 20*time.Second), func() { c.w.replace(c.place) })
+			c.removed = true // an operator replaces it, as the error's remedy says
+			c.w.After(c.w.between(2*time.Second, 20*time.Second), func() { c.w.replace(c.slot) })
 		}
-		c.r = nil
+		c.node = nil
 		c.Stop()
 	}
 }
 
 func (c *coordinator) pause(d time.Duration) {
-	if c.r == nil {
+	if c.node == nil {
 		return
 	}
 	c.w.Note("coordinator %d is paused for %v", c.id, d)
@@ -204,33 +204,33 @@
 	return w.coordinators[id-1]
 }
 
-// leader is the coordinator that leads in the highest term; nil for none.
+// leader returns the leader of the highest term, or nil.
 func (w *World) leader() (lead *coordinator) {
 	for _, c := range w.coordinators {
-		if c.r != nil && c.r.IsLeader() && !c.Paused() && (lead == nil || c.r.Term() > lead.r.Term()) {
+		if c.node != nil && c.node.IsLeader() && !c.Paused() && (lead == nil || c.node.Term() > lead.node.Term()) {
 			lead = c
 		}
 	}
 	return lead
 }
 
-// majority tells whether so many coordinators run, and hear each other, that one can lead.
-func (w *World) majority() bool {
+// hasMajority reports whether enough coordinators run and reach each other for one to lead.
+func (w *World) hasMajority() bool {
 	up := func(c *coordinator, ids []uint64) bool {
 		n := 0
 		for _, id := range ids {
 			o := w.coordinator(id)
-			if o.r != nil && !o.Paused() && !w.cut[[2]int{c.place, o.place}] && !w.cut[[2]int{o.place, c.place}] {
+			if o.node != nil && !o.Paused() && !w.cutLinks[[2]int{c.slot, o.slot}] && !w.cutLinks[[2]int{o.slot, c.slot}] {
 				n++
 			}
 		}
 		return len(ids) == 0 || n > len(ids)/2
 	}
 	for _, c := range w.coordinators {
-		if c.r == nil {
+		if c.node == nil {
 			continue
 		}
-		now, before := c.r.Voters()
+		now, before := c.node.Voters()
 		if len(now) > 0 && up(c, now) && up(c, before) {
 			return true
 		}
@@ -238,11 +238,11 @@
 	return false
 }
 
-// replace puts a new coordinator, with an empty disk and a new number, in the place of one that is dead.
+// replace puts a new coordinator, with an empty disk and a new ID, into the slot of a failed one.
 func (w *World) replace(place int) {
 	old := w.slots[place]
-	if !old.dead && !old.disk.damaged && !old.lost {
-		return // replaced by now
+	if !old.removed && !old.disk.damaged && !old.awaitsReplacement {
+		return // replaced already
 	}
 	lead := w.leader()
 	if lead == nil || lead == old {
@@ -250,14 +250,14 @@
 		return
 	}
 	id := uint64(len(w.coordinators) + 1)
-	w.Note("coordinator %d is to take the place of %d", id, old.id)
-	if _, there := lead.r.Peers()[old.id]; !there {
+	w.Note("coordinator %d is to replace coordinator %d", id, old.id)
+	if _, there := lead.node.Peers()[old.id]; !there {
 		return
 	}
-	c := &coordinator{w: w, id: id, place: place, clock: old.clock, Process: virtualtime.NewProcess(&w.Scheduler)}
+	c := &coordinator{w: w, id: id, slot: place, clock: old.clock, Process: virtualtime.NewProcess(&w.Scheduler)}
 	c.disk.w = w
 	old.kill()
-	old.dead = true
+	old.removed = true
 	w.coordinators = append(w.coordinators, c)
 	w.slots[place] = c
 	c.start()
@@ -265,18 +265,18 @@
 	again = func() {
 		lead := w.leader()
 		if lead != nil {
-			if _, there := lead.r.Peers()[id]; there {
+			if _, there := lead.node.Peers()[id]; there {
 				return
 			}
-			// Refused or not: it is asked again until the new one is there.
-			lead.do(func() { _ = lead.r.Replace(lead.clock.of(w.Now()), old.id, id, "") })
+			// Repeated, whether refused or not, until the new one is a member.
+			lead.do(func() { _ = lead.node.Replace(lead.clock.fromWorld(w.Now()), old.id, id, "") })
 		}
 		w.After(3*time.Second, again)
 	}
 	again()
 }
 
-// order sends an operator's order until it is decided, as the command does.
+// order retries an operator's order until it is decided, as the command-line tool does.
 func (w *World) order(e rollout.Entry, done func(error)) {
 	e.Request = fmt.Sprint("q", w.Sequence())
 	place := w.rng.IntN(len(w.slots))
@@ -291,7 +291,7 @@
 			switch f := err.(type) {
 			case *rollout.NotLeader:
 				if c := w.coordinator(f.Leader); c != nil {
-					place = c.place
+					place = c.slot
 				} else {
 					place = (place + 1) % len(w.slots)
 				}
@@ -312,9 +312,9 @@
 			}
 		}
 		c := w.slots[place]
-		if c.r != nil && !c.Paused() {
+		if c.node != nil && !c.Paused() {
 			c.do(func() {
-				c.r.Order(c.clock.of(w.Now()), e, func(err error) { w.After(time.Millisecond, func() { answer(err) }) })
+				c.node.Order(c.clock.fromWorld(w.Now()), e, func(err error) { w.After(time.Millisecond, func() { answer(err) }) })
 			})
 		}
 		w.After(3*time.Second, func() {
@@ -327,38 +327,40 @@
 	try(0)
 }
 
-func size(v any) uint64 {
+func encodedSize(v any) uint64 {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain values alone
+		panic(err) // only plain values are encoded
 	}
 	return uint64(len(b))
 }
 
-// outs counts members by the world's own truth: out by grant, or not serving for so long.
-func (w *World) outs(since time.Duration) (granted, gone int) {
+// countOut returns how many members are out by grant, and how many are out by grant or have not
+// served for longer than since.
+func (w *World) countOut(since time.Duration) (granted, gone int) {
 	for _, m := range w.members {
-		if m.granted != 0 {
+		if m.grantFence != 0 {
 			granted++
 		}
-		if m.granted != 0 || m.lostFor() > since {
+		if m.grantFence != 0 || m.unavailableFor() > since {
 			gone++
 		}
 	}
 	return granted, gone
 }
 
-// slack is how old what a leader goes by may be: what it heard, and what the agent had seen.
-func (w *World) slack() time.Duration {
+// maxKnowledgeAge returns the maximum age of the state that a leader relies on: the age of the last
+// report plus the age of the agent's observation in it, on clocks that differ.
+func (w *World) maxKnowledgeAge() time.Duration {
 	return time.Duration(1.03*float64(w.Timing.MaxStaleness+w.Timing.ReportInterval)) + 10*time.Millisecond
 }
 
-// checkGrant holds the invariant at the instant in which a member is given its order,
-// with what has been lost for so long.
+// checkGrant checks the budgets at the time at which a member is given its order. Members that
+// have not served for longer than slack count as out.
 func (w *World) checkGrant(m *member, slack time.Duration) {
 	out := map[string]bool{}
 	for _, o := range w.members {
-		out[o.cfg.Member.Name] = o == m || o.granted != 0 || o.lostFor() > slack
+		out[o.cfg.Member.Name] = o == m || o.grantFence != 0 || o.unavailableFor() > slack
 	}
 	var all []rollout.Member
 	for _, o := range w.members {
@@ -373,28 +375,28 @@
 			}
 		}
 		if covers {
-			w.Fault("%s is granted out past %v: %s", m.cfg.Member.Name, over, w.whoIsOut(slack))
+			w.Fault("grant to %s exceeds the budget: %v: %s", m.cfg.Member.Name, over, w.describeOut(slack))
 		}
 	}
 }
 
-func (w *World) whoIsOut(slack time.Duration) (s string) {
+func (w *World) describeOut(slack time.Duration) (s string) {
 	n := 0
 	for _, o := range w.members {
-		if o.granted != 0 || o.lostFor() > slack {
+		if o.grantFence != 0 || o.unavailableFor() > slack {
 			if n++; n < 12 {
-				s += fmt.Sprintf("%s(%d,%v) ", o.cfg.Member.Name, o.granted, o.lostFor().Round(time.Millisecond))
+				s += fmt.Sprintf("%s(%d,%v) ", o.cfg.Member.Name, o.grantFence, o.unavailableFor().Round(time.Millisecond))
 			}
 		}
 	}
 	return s
 }
 
-// Run plays a scenario. tell gets a line for each thing that happens; nil for none.
+// Run runs a scenario. tell, if not nil, is called with a line for each event.
 func Run(s Scenario, tell func(time.Duration, string)) Report {
-	w := &World{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 77)), byName: map[string]*member{}, cut: map[[2]int]bool{},
-		halted: map[string]time.Duration{}, ordered: map[string]bool{},
-		lifted: map[string]bool{}, lookedAt: map[string]*int{}, lifting: map[string]int{}}
+	w := &World{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 77)), byName: map[string]*member{}, cutLinks: map[[2]int]bool{},
+		haltedAt: map[string]time.Duration{}, startedRollouts: map[string]bool{},
+		haltLifted: map[string]bool{}, haltVisits: map[string]*int{}, pendingLifts: map[string]int{}}
 	w.Recorder = virtualtime.NewRecorder(&w.Scheduler, tell)
 	w.Report = Report{TimeToHalt: -1, TimeToRollback: -1, RolloutDuration: -1, Rollouts: map[string]int{}}
 	w.build()
@@ -408,7 +410,7 @@
 			}
 			last = w.Now()
 			w.sample()
-			w.follow()
+			w.trackFirstRelease()
 		}
 		w.Report.Events++
 		event.Do()
@@ -419,8 +421,8 @@
 	return w.Report
 }
 
-// follow notes how far the first release is, and when it halts and is undone.
-func (w *World) follow() {
+// trackFirstRelease records the progress of the first release, and when it halts and is rolled back.
+func (w *World) trackFirstRelease() {
 	if w.Releases[0] != Good {
 		n := 0
 		for _, m := range w.members {
@@ -432,7 +434,7 @@
 	}
 	if w.Strategy != Coordinated {
 		for _, m := range w.members {
-			if m.goAt > 0 && (m.mem.SeenFence == 0 || m.mem.Grant != nil) {
+			if m.changeAt > 0 && (m.persisted.SeenFence == 0 || m.persisted.Grant != nil) {
 				return
 			}
 		}
@@ -445,51 +447,51 @@
 	if lead == nil {
 		return
 	}
-	r := lead.r.State().Rollout("r1")
+	r := lead.node.State().Rollout("r1")
 	if r == nil {
 		return
 	}
-	if r.Halt != nil && w.Report.TimeToHalt < 0 && w.badAt > 0 {
-		w.Report.TimeToHalt = w.Now() - w.badAt
+	if r.Halt != nil && w.Report.TimeToHalt < 0 && w.firstBadAt > 0 {
+		w.Report.TimeToHalt = w.Now() - w.firstBadAt
 	}
-	if r.Halt != nil && w.AutoRollback && r.Phase == rollout.InProgress && !w.lifted[r.ID] {
-		w.goBack(r.ID)
+	if r.Halt != nil && w.AutoRollback && r.Phase == rollout.InProgress && !w.haltLifted[r.ID] {
+		w.rollBack(r.ID)
 	}
 	if r.Phase.Ended() && w.Report.RolloutDuration < 0 {
 		w.Report.RolloutDuration = w.Now() - w.startAt
-		if r.Phase == rollout.RolledBack && w.badAt > 0 {
-			w.Report.TimeToRollback = w.Now() - w.badAt
+		if r.Phase == rollout.RolledBack && w.firstBadAt > 0 {
+			w.Report.TimeToRollback = w.Now() - w.firstBadAt
 		}
 	}
 }
 
 func (w *World) sample() {
-	granted, gone := w.outs(0)
+	granted, gone := w.countOut(0)
 	w.Report.MaxOut, w.Report.MaxUnavailable = max(w.Report.MaxOut, granted), max(w.Report.MaxUnavailable, gone)
 }
 
-// finish checks how everything stands at the end.
+// finish checks the final state.
 func (w *World) finish() {
 	if w.Strategy != Coordinated {
 		return
 	}
 	lead := w.leader()
 	if lead == nil {
-		if w.majority() {
-			w.Fault("nobody leads at the end, though a majority could")
+		if w.hasMajority() {
+			w.Fault("no leader at the end although a majority of the coordinators can communicate")
 		}
 		w.Report.Rollouts["no majority"]++
 		return
 	}
-	state := lead.r.State()
-	for id := range w.ordered {
+	state := lead.node.State()
+	for id := range w.startedRollouts {
 		if state.Rollout(id) == nil && state.Stop == nil {
-			w.Fault("rollout %s was taken, and is not there", id)
+			w.Fault("rollout %s was accepted but is missing from the state", id)
 		}
 	}
-	for id, at := range w.halted {
+	for id, at := range w.haltedAt {
 		if r := state.Rollout(id); r != nil && r.Halt == nil && !r.Phase.Ended() && state.Stop == nil {
-			w.Fault("the halt of %s of %v is lost", id, at)
+			w.Fault("the halt of rollout %s at %v is lost", id, at)
 		}
 	}
 	for _, r := range state.Rollouts {
@@ -503,23 +505,23 @@
 		}
 		w.Report.Rollouts[how]++
 		if !r.Phase.Ended() && r.Halt == nil && state.Stop == nil && r.Phase != rollout.Waiting {
-			status, _ := lead.r.Status(lead.clock.of(w.Now()))
-			w.Fault("rollout %s neither ends nor halts: %s", r.ID, line(status, r.ID))
+			status, _ := lead.node.Status(lead.clock.fromWorld(w.Now()))
+			w.Fault("rollout %s neither ends nor halts: %s", r.ID, statusLine(status, r.ID))
 		}
 	}
 }
 
-func line(s rollout.Status, id string) string {
+func statusLine(s rollout.Status, id string) string {
 	for _, r := range s.Rollouts {
 		if r.ID == id {
-			return fmt.Sprintf("%s wave %d/%d done %d/%d gate %q idle %v waits %v unsure %q", r.Phase, r.Wave, r.Waves, r.Done, r.Total, r.Gate, r.Idle,
+			return fmt.Sprintf("%s wave %d/%d done %d/%d gate %q idle %v waits %v grants blocked %q", r.Phase, r.Wave, r.Waves, r.Done, r.Total, r.Gate, r.Idle,
 				r.WaitingFor[:min(3, len(r.WaitingFor))], s.GrantsBlocked)
 		}
 	}
 	return ""
 }
 
-// Ends words how rollouts ended.
+// Outcomes formats the number of rollouts by final state.
 func (r Report) Outcomes() (s string) {
 	keys := slices.SortedFunc(maps.Keys(r.Rollouts), cmp.Compare[string])
 	for _, k := range keys {
