--- a/internal/distsim/coordinator.go
+++ b/internal/distsim/coordinator.go
@@ -16,25 +16,25 @@
 
 const (
 	tick     = 100 * time.Millisecond
-	election = 10 // ticks without a leader before an election, at least; at most twice that
+	election = 10 // minimum number of ticks without a leader before an election; the maximum is less than twice that
 )
 
-// coordinator is one, on the real raft library. Its disk is log, which outlives it.
+// coordinator is one coordinator on the real raft library. Its disk is log, which survives a crash.
 type coordinator struct {
-	w        *World
-	id       uint64
-	region   int
-	rate     float64 // of its clock
-	node     *raft.RawNode
-	log      *raft.MemoryStorage
-	catalog  *distribution.Catalog
-	pub      *distribution.Publisher // while it leads, and knows all of earlier terms
-	leads    bool
-	term     uint64 // of pub
-	silent   int
-	patience int
-	waiting  map[string]func(error)
-	polls    map[string]func(uint64, distribution.Reply) // how a held question is answered
+	w                *World
+	id               uint64
+	region           int
+	rate             float64 // rate of its clock
+	node             *raft.RawNode
+	log              *raft.MemoryStorage
+	catalog          *distribution.Catalog
+	publisher        *distribution.Publisher // set while it leads and has applied all entries of earlier terms
+	leading          bool
+	term             uint64 // term of publisher
+	ticksSinceLeader int
+	electionTimeout  int
+	pendingOrders    map[string]func(error)
+	heldPolls        map[string]func(uint64, distribution.Reply) // by follower: sends the reply to a held poll
 
 	virtualtime.Process
 }
@@ -49,7 +49,9 @@
 
 func (c *coordinator) now() time.Duration { return time.Duration(float64(c.w.Now()) * c.rate) }
 
-func (c *coordinator) restless() { c.silent, c.patience = 0, election+c.w.rng.IntN(election) }
+func (c *coordinator) resetElectionTimer() {
+	c.ticksSinceLeader, c.electionTimeout = 0, election+c.w.rng.IntN(election)
+}
 
 func (c *coordinator) start() {
 	if c.node != nil {
@@ -59,38 +61,38 @@
 	c.node, err = raft.NewRawNode(&raft.Config{ID: c.id, ElectionTick: election, HeartbeatTick: 1, Storage: c.log, Applied: 1, MaxSizePerMsg: 1 << 20,
 		MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: raftlog.Silent{}})
 	c.w.must(err)
-	c.catalog, c.waiting, c.polls = distribution.NewCatalog(), map[string]func(error){}, map[string]func(uint64, distribution.Reply){}
+	c.catalog, c.pendingOrders, c.heldPolls = distribution.NewCatalog(), map[string]func(error){}, map[string]func(uint64, distribution.Reply){}
 	c.Start()
-	c.restless()
-	life := c.Incarnation()
+	c.resetElectionTimer()
+	incarnation := c.Incarnation()
 	var beat func()
 	beat = func() {
-		if c.Incarnation() != life {
+		if c.Incarnation() != incarnation {
 			return
 		}
 		if c.Paused() {
 			c.w.At(c.ResumesAt(), beat)
 			return
 		}
-		c.do(c.beat)
+		c.do(c.onTick)
 		c.w.After(time.Duration(float64(tick)/c.rate), beat)
 	}
 	c.w.After(time.Duration(c.w.rng.Int64N(int64(tick))), beat)
 }
 
 func (c *coordinator) kill() {
-	c.node, c.pub, c.leads = nil, nil, false
+	c.node, c.publisher, c.leading = nil, nil, false
 	c.Stop()
 }
 
-// do runs something here, now or when a pause is over.
+// do runs f at the coordinator, now or at the end of a pause.
 func (c *coordinator) do(f func()) {
 	if c.node == nil || c.HoldIfPaused(f) {
 		return
 	}
 	f()
 	if c.node != nil {
-		c.work()
+		c.processReady()
 	}
 }
 
@@ -101,22 +103,22 @@
 	c.Pause(d, c.do)
 }
 
-func (c *coordinator) beat() {
-	if c.leads {
+func (c *coordinator) onTick() {
+	if c.leading {
 		c.node.Tick()
 	} else {
-		c.node.TickQuiesced() //nolint:staticcheck // as rollout/replica does, and for its reason
-		if c.silent++; c.silent >= c.patience {
-			c.restless()
+		c.node.TickQuiesced() //nolint:staticcheck // for the same reason as in rollout/replica
+		if c.ticksSinceLeader++; c.ticksSinceLeader >= c.electionTimeout {
+			c.resetElectionTimer()
 			c.w.must(c.node.Campaign())
 		}
 	}
-	if c.pub != nil {
+	if c.publisher != nil {
 		c.node.ReadIndex(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, c.term), uint64(c.now())))
-		for _, e := range c.pub.Tick(c.now()) {
-			_ = c.propose(e) // what is not applied is made again by a later tick
+		for _, e := range c.publisher.Tick(c.now()) {
+			_ = c.propose(e) // a later tick proposes again what is not applied
 		}
-		c.answer()
+		c.answerPolls()
 	}
 }
 
@@ -126,57 +128,57 @@
 	return c.node.Propose(data)
 }
 
-func (c *coordinator) answer() {
-	if c.pub == nil {
+func (c *coordinator) answerPolls() {
+	if c.publisher == nil {
 		return
 	}
-	for _, a := range c.pub.Due(c.now()) {
-		if send := c.polls[a.Follower]; send != nil {
+	for _, a := range c.publisher.Due(c.now()) {
+		if send := c.heldPolls[a.Follower]; send != nil {
 			send(a.Number, a.Reply)
 		}
 	}
 }
 
-func (c *coordinator) work() {
-	news := false
+func (c *coordinator) processReady() {
+	applied := false
 	for c.node.HasReady() {
 		ready := c.node.Ready()
 		if !raft.IsEmptySnap(ready.Snapshot) {
-			panic("distsim: nothing is compacted, and a snapshot comes")
+			panic("distsim: received a snapshot although logs are never compacted")
 		}
 		c.w.must(c.log.Append(ready.Entries))
 		if ready.HardState != nil {
 			c.w.must(c.log.SetHardState(ready.HardState))
 		}
 		if s := ready.SoftState; s != nil {
-			if c.leads = s.RaftState == raft.StateLeader; !c.leads {
-				c.pub = nil
-				clear(c.polls)
-				clear(c.waiting) // their operators ask again
+			if c.leading = s.RaftState == raft.StateLeader; !c.leading {
+				c.publisher = nil
+				clear(c.heldPolls)
+				clear(c.pendingOrders) // their operators retry
 			}
 		}
 		for _, m := range ready.Messages {
 			if (m.GetType() == pb.MsgVoteResp || m.GetType() == pb.MsgPreVoteResp) && !m.GetReject() {
-				c.silent = 0
+				c.ticksSinceLeader = 0
 			}
 			data, err := proto.Marshal(m)
 			c.w.must(err)
 			to := c.w.coordinators[m.GetTo()-1]
-			c.w.carry(end{c.region, int(c.id)}, end{to.region, int(to.id)}, func() { to.do(func() { to.step(data) }) })
+			c.w.transmit(endpoint{c.region, int(c.id)}, endpoint{to.region, int(to.id)}, func() { to.do(func() { to.step(data) }) })
 		}
 		for _, r := range ready.ReadStates {
-			if b := r.RequestCtx; len(b) == 16 && c.pub != nil && binary.BigEndian.Uint64(b) == c.term {
-				c.pub.LeadershipConfirmed(time.Duration(binary.BigEndian.Uint64(b[8:])))
+			if b := r.RequestCtx; len(b) == 16 && c.publisher != nil && binary.BigEndian.Uint64(b) == c.term {
+				c.publisher.LeadershipConfirmed(time.Duration(binary.BigEndian.Uint64(b[8:])))
 			}
 		}
 		for _, e := range ready.CommittedEntries {
-			news = true
+			applied = true
 			c.apply(e)
 		}
 		c.node.Advance(ready)
 	}
-	if news {
-		c.answer()
+	if applied {
+		c.answerPolls()
 	}
 }
 
@@ -186,10 +188,10 @@
 	switch m.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat:
 		if m.GetTerm() >= c.node.BasicStatus().GetTerm() {
-			c.silent = 0
+			c.ticksSinceLeader = 0
 		}
 	}
-	_ = c.node.Step(&m) // a message that is refused counts as one that was lost
+	_ = c.node.Step(&m) // a refused message counts as lost
 }
 
 func (c *coordinator) apply(entry *pb.Entry) {
@@ -198,56 +200,56 @@
 		var e distribution.Entry
 		c.w.must(json.Unmarshal(entry.GetData(), &e))
 		err := c.catalog.Apply(entry.GetIndex(), e)
-		if done := c.waiting[e.Request]; e.Request != "" && done != nil {
-			delete(c.waiting, e.Request)
+		if done := c.pendingOrders[e.Request]; e.Request != "" && done != nil {
+			delete(c.pendingOrders, e.Request)
 			done(err)
 		}
 	}
-	if c.leads && c.pub == nil && entry.GetTerm() == c.node.BasicStatus().GetTerm() {
+	if c.leading && c.publisher == nil && entry.GetTerm() == c.node.BasicStatus().GetTerm() {
 		c.term = entry.GetTerm()
-		c.pub = distribution.NewPublisher(c.w.Timing, c.catalog, c.now())
+		c.publisher = distribution.NewPublisher(c.w.Timing, c.catalog, c.now())
 		c.w.Report.Leaders++
 		c.w.Note("coordinator %d leads in term %d", c.id, c.term)
 	}
 }
 
-// order takes an operator's entry.
+// order accepts an operator's entry.
 func (c *coordinator) order(e distribution.Entry, done func(error)) {
-	if c.pub == nil {
-		return // the operator asks again, elsewhere
+	if c.publisher == nil {
+		return // the operator retries at another coordinator
 	}
-	c.waiting[e.Request] = done
+	c.pendingOrders[e.Request] = done
 	if c.propose(e) != nil {
-		delete(c.waiting, e.Request)
+		delete(c.pendingOrders, e.Request)
 	}
 }
 
-// poll takes a follower's question.
+// poll handles a follower's poll.
 func (c *coordinator) poll(f *follower, q distribution.Poll) {
-	back := func(do func(life int)) {
-		life := f.life
-		c.w.carry(end{c.region, int(c.id)}, f.end(), func() { do(life) })
+	back := func(do func(incarnation int)) {
+		incarnation := f.incarnation
+		c.w.transmit(endpoint{c.region, int(c.id)}, f.end(), func() { do(incarnation) })
 	}
-	if c.pub == nil {
+	if c.publisher == nil {
 		lead := int(c.node.BasicStatus().Lead) - 1
-		back(func(life int) { f.told(life, func() { f.f.Failed(f.now(), q.Number, lead) }) })
+		back(func(incarnation int) { f.deliver(incarnation, func() { f.protocol.Failed(f.now(), q.Number, lead) }) })
 		return
 	}
-	legit := c.w.leader() == c
+	isLeader := c.w.leader() == c
 	send := func(number uint64, r distribution.Reply) {
-		c.w.given(c, f, r)
-		back(func(life int) { f.reply(life, number, r) })
+		c.w.checkReply(c, f, r)
+		back(func(incarnation int) { f.reply(incarnation, number, r) })
 	}
-	r, held, err := c.pub.Poll(c.now(), q)
+	r, held, err := c.publisher.Poll(c.now(), q)
 	if err != nil {
-		back(func(life int) { f.told(life, func() { f.f.Failed(f.now(), q.Number, -1) }) })
+		back(func(incarnation int) { f.deliver(incarnation, func() { f.protocol.Failed(f.now(), q.Number, -1) }) })
 		return
 	}
-	if legit {
-		f.heardBy()
+	if isLeader {
+		f.recordLeaderContact()
 	}
 	if held {
-		c.polls[q.Follower] = send
+		c.heldPolls[q.Follower] = send
 		return
 	}
 	send(q.Number, r)
--- a/internal/distsim/scenario.go
+++ b/internal/distsim/scenario.go
@@ -9,35 +9,35 @@
 	"wickarch/distribution"
 )
 
-// plans is how many there are with ceilings.
+// plans is the number of plans with ceilings.
 const plans = 3
 
-// Within is the time in which a version is in force at all who can be reached.
-const Within = 4 * time.Second
+// PropagationTimeout is the time within which a version must be in force at all reachable followers.
+const PropagationTimeout = 4 * time.Second
 
-// Scenario is one run, drawn by its seed.
+// Scenario describes one run, drawn from its seed.
 type Scenario struct {
 	Seed         uint64
 	Followers    int
 	Timing       distribution.Timing
 	InjectFaults bool
 	FaultKinds   []string // the kinds of fault to draw from
-	Changes      int      // by each of two operators, about
+	Changes      int      // approximate number by each of two operators
 	End          time.Duration
 }
 
-// Troubles are the kinds of fault, by name.
-var Troubles = []string{"loss", "regions apart", "coordinator cut off", "one way", "leader cut off from coordinators", "leader pauses", "coordinator pauses",
+// AllFaultKinds lists the kinds of fault by name.
+var AllFaultKinds = []string{"loss", "regions apart", "coordinator cut off", "one way", "leader cut off from coordinators", "leader pauses", "coordinator pauses",
 	"leader dies", "coordinators die", "followers pause", "followers die", "zone lost", "disks full", "replies mixed up"}
 
-// Draw makes the scenario of a seed.
+// Draw returns the scenario of a seed.
 func Draw(seed uint64, followers int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	s := Scenario{Seed: seed, Followers: followers, Timing: distribution.DefaultTiming(), InjectFaults: true, FaultKinds: Troubles, Changes: 4 + rng.IntN(12), End: 75 * time.Second}
-	if rng.IntN(3) > 0 { // few kinds, and many of each (swarm testing)
+	s := Scenario{Seed: seed, Followers: followers, Timing: distribution.DefaultTiming(), InjectFaults: true, FaultKinds: AllFaultKinds, Changes: 4 + rng.IntN(12), End: 75 * time.Second}
+	if rng.IntN(3) > 0 { // few kinds of fault and many of each (swarm testing)
 		s.FaultKinds = nil
 		for range 1 + rng.IntN(4) {
-			s.FaultKinds = append(s.FaultKinds, Troubles[rng.IntN(len(Troubles))])
+			s.FaultKinds = append(s.FaultKinds, AllFaultKinds[rng.IntN(len(AllFaultKinds))])
 		}
 	}
 	return s
@@ -58,7 +58,7 @@
 	return w.encode(planKey(i), distribution.Plan{Rate: 10, Burst: 20, Price: 1, CeilingRate: c, CeilingBurst: 2 * c})
 }
 
-// plan schedules faults and operators.
+// plan schedules the faults and the operators' actions.
 func (w *World) plan() {
 	w.At(3*time.Second, func() {
 		push := distribution.Push{}
@@ -69,21 +69,21 @@
 	})
 	for op := range 2 {
 		for range w.Changes {
-			w.At(w.between(5*time.Second, w.End-8*time.Second), func() { w.operate(fmt.Sprint("op", op)) })
+			w.At(w.between(5*time.Second, w.End-8*time.Second), func() { w.operatorAction(fmt.Sprint("op", op)) })
 		}
-		// At once with the other.
-		w.At(20*time.Second, func() { w.operate(fmt.Sprint("op", op)) })
-		w.At(21*time.Second, func() { w.operate(fmt.Sprint("op", op)) })
+		// Both operators at the same time.
+		w.At(20*time.Second, func() { w.operatorAction(fmt.Sprint("op", op)) })
+		w.At(21*time.Second, func() { w.operatorAction(fmt.Sprint("op", op)) })
 	}
 	if w.InjectFaults {
 		for range 3 + w.rng.IntN(7) {
-			w.At(w.between(4*time.Second, w.End-25*time.Second), w.trouble)
+			w.At(w.between(4*time.Second, w.End-25*time.Second), w.injectFault)
 		}
 	}
 }
 
-// operate is what an operator does: by what the log was when it was looked at.
-func (w *World) operate(by string) {
+// operatorAction performs one random action of an operator, based on the current state of the log.
+func (w *World) operatorAction(by string) {
 	if w.log.Version == 0 {
 		return
 	}
@@ -91,14 +91,14 @@
 	case n == 0 && w.log.Version > 2:
 		w.order(distribution.Entry{By: by, Rollback: &distribution.Rollback{Base: w.log.Version, To: w.log.Version - 1}})
 	case n == 1:
-		w.push(by, distribution.Push{Set: []distribution.Resource{w.encode(bad, distribution.Service{Owner: by})}})
+		w.push(by, distribution.Push{Set: []distribution.Resource{w.encode(unusableKey, distribution.Service{Owner: by})}})
 	case n == 2:
 		svc := distribution.KeyOf(distribution.KindService, "s")
 		w.push(by, distribution.Push{Set: []distribution.Resource{w.encode(svc, distribution.Service{AimMS: 1 + w.rng.IntN(500)})}})
 	default:
 		push := distribution.Push{Set: []distribution.Resource{w.ceiling(w.rng.IntN(plans))}}
-		if _, there := w.log.Set()[bad]; there {
-			push.Delete = []distribution.Key{bad}
+		if _, there := w.log.Set()[unusableKey]; there {
+			push.Delete = []distribution.Key{unusableKey}
 		}
 		w.push(by, push)
 	}
@@ -120,15 +120,15 @@
 	w.order(distribution.Entry{By: by, Push: &p})
 }
 
-// order sends an operator's request until it is decided, as the command does, and now and
-// then once more.
+// order retries an operator's request until it is decided, as the command-line tool does, and
+// sometimes sends a duplicate.
 func (w *World) order(e distribution.Entry) {
 	e.Request = fmt.Sprint("q", w.Sequence())
 	place := w.rng.IntN(len(w.coordinators))
-	told := false
+	notified := false
 	var try func(n int)
 	try = func(n int) {
-		if told || n > 60 {
+		if notified || n > 60 {
 			return
 		}
 		c := w.coordinators[place]
@@ -136,24 +136,24 @@
 		send := func() {
 			c.do(func() {
 				c.order(e, func(err error) {
-					if told {
+					if notified {
 						return
 					}
-					told = true
+					notified = true
 					if _, conflict := err.(*distribution.Conflict); conflict {
 						w.Report.Conflicts++
 					}
 					if err == nil && w.requests[e.Request] != 1 {
-						w.Fault("%s was told that %s is done, and it made %d versions", e.By, e.Request, w.requests[e.Request])
+						w.Fault("%s got a success for request %s, which made %d versions instead of 1", e.By, e.Request, w.requests[e.Request])
 					}
 					if err != nil && w.requests[e.Request] != 0 {
-						w.Fault("%s was told of %s that it is not done (%v), and it is", e.By, e.Request, err)
+						w.Fault("%s got an error for request %s (%v), which was applied", e.By, e.Request, err)
 					}
 				})
 			})
 		}
 		send()
-		if w.rng.IntN(4) == 0 { // late, when it may have been answered
+		if w.rng.IntN(4) == 0 { // a late duplicate, possibly after the reply
 			w.After(w.between(0, 5*time.Second), send)
 		}
 		w.After(500*time.Millisecond, func() { try(n + 1) })
@@ -161,35 +161,35 @@
 	try(0)
 }
 
-// begins counts a fault as on until a time, and then has end undo it.
-func (w *World) begins(until time.Duration, end func()) {
-	w.active++
+// beginFault counts a fault as active until the given time and then calls end to undo it.
+func (w *World) beginFault(until time.Duration, end func()) {
+	w.activeFaults++
 	for i := range w.pending {
 		w.pending[i].disturbed = true
 	}
 	w.At(until, func() {
 		end()
-		w.active--
-		w.quiet = w.Now()
-		w.Note("%d faults are on", w.active)
+		w.activeFaults--
+		w.lastFaultEnd = w.Now()
+		w.Note("%d faults are active", w.activeFaults)
 	})
 }
 
-// trouble causes one fault, and plans its end.
-func (w *World) trouble() {
+// injectFault injects one fault and schedules its end.
+func (w *World) injectFault() {
 	kind := w.FaultKinds[w.rng.IntN(len(w.FaultKinds))]
-	w.Note("trouble: %s", kind)
+	w.Note("fault injected: %s", kind)
 	w.Report.InjectedFaults++
 	c := w.coordinators[w.rng.IntN(len(w.coordinators))]
 	if lead := w.leader(); lead != nil && (len(kind) > 6 && kind[:6] == "leader" || w.rng.IntN(3) == 0) {
 		c = lead
 	}
 	until := w.between(w.Now()+200*time.Millisecond, w.Now()+12*time.Second)
-	sever := func(cut func(from, to end) bool) {
-		w.cuts++
-		n := w.cuts
+	sever := func(cut func(from, to endpoint) bool) {
+		w.cutSequence++
+		n := w.cutSequence
 		w.cut[n] = cut
-		w.begins(until, func() { delete(w.cut, n) })
+		w.beginFault(until, func() { delete(w.cut, n) })
 	}
 	some := func() (list []*follower) {
 		share := 0.02 + 0.5*w.rng.Float64()
@@ -200,45 +200,45 @@
 		}
 		return list
 	}
-	is := func(e end) bool { return e.id == int(c.id) }
+	is := func(e endpoint) bool { return e.id == int(c.id) }
 	switch kind {
 	case "loss":
 		loss := 0.02 + 0.25*w.rng.Float64()
-		w.loss += loss
-		w.begins(until, func() {
-			if w.loss -= loss; w.loss < 0.01 {
-				w.loss = 0
+		w.lossRate += loss
+		w.beginFault(until, func() {
+			if w.lossRate -= loss; w.lossRate < 0.01 {
+				w.lossRate = 0
 			}
 		})
 	case "regions apart":
-		sever(func(from, to end) bool { return from.region != to.region })
+		sever(func(from, to endpoint) bool { return from.region != to.region })
 	case "coordinator cut off":
-		sever(func(from, to end) bool { return is(from) || is(to) })
+		sever(func(from, to endpoint) bool { return is(from) || is(to) })
 	case "one way":
 		in := w.rng.IntN(2) == 0
-		sever(func(from, to end) bool { return in && is(to) || !in && is(from) })
-	case "leader cut off from coordinators": // and its followers go on asking it
-		sever(func(from, to end) bool { return from.id < 1000 && to.id < 1000 && (is(from) || is(to)) })
+		sever(func(from, to endpoint) bool { return in && is(to) || !in && is(from) })
+	case "leader cut off from coordinators": // its followers still reach it
+		sever(func(from, to endpoint) bool { return from.id < 1000 && to.id < 1000 && (is(from) || is(to)) })
 	case "leader pauses", "coordinator pauses":
 		c.pause(until - w.Now())
-		w.begins(until, func() {})
+		w.beginFault(until, func() {})
 	case "leader dies":
 		c.kill()
-		w.begins(until, c.start)
+		w.beginFault(until, c.start)
 	case "coordinators die":
 		for _, o := range w.coordinators {
 			o.kill()
 		}
-		w.begins(until, func() {
+		w.beginFault(until, func() {
 			for _, o := range w.coordinators {
 				o.start()
 			}
 		})
 	case "followers pause":
 		for _, f := range some() {
-			f.until = until
+			f.pausedUntil = until
 		}
-		w.begins(until, func() {})
+		w.beginFault(until, func() {})
 	case "followers die", "zone lost":
 		list := some()
 		if kind == "zone lost" {
@@ -250,23 +250,23 @@
 			f.kill()
 			switch how {
 			case 0:
-				f.disk, f.lost = nil, true
+				f.disk, f.diskMayBeStale = nil, true
 			case 1:
-				f.disk, f.lost = f.older, true
+				f.disk, f.diskMayBeStale = f.oldDisk, true
 			case 2:
-				f.turn()
+				f.flipStoredBit()
 			}
-			// At once again, or cold within a second before the fault counts as over.
+			// A short fault restarts them at once; otherwise they restart cold within its last second.
 			w.At(w.between(max(w.Now(), until-time.Second), until), f.start)
 		}
-		w.begins(until, func() {})
+		w.beginFault(until, func() {})
 	case "disks full":
 		for _, f := range some() {
-			f.full = until
+			f.diskFullUntil = until
 		}
-		w.begins(until, func() {})
+		w.beginFault(until, func() {})
 	case "replies mixed up":
-		w.mixed = 0.02 + 0.2*w.rng.Float64()
-		w.begins(until, func() { w.mixed = 0 })
+		w.corruptShare = 0.02 + 0.2*w.rng.Float64()
+		w.beginFault(until, func() { w.corruptShare = 0 })
 	}
 }
--- a/internal/distsim/world.go
+++ b/internal/distsim/world.go
@@ -1,9 +1,9 @@
-// Package distsim plays the distribution of configuration in virtual time, under
-// faults, and checks it from the world's own truth.
+// Package distsim simulates the distribution of configuration in virtual time, under
+// injected faults, and checks it against the simulated state.
 //
 // The coordinators are the real raft library with a distribution.Catalog and, at the
 // leader, a distribution.Publisher; the followers are distribution.Follower. Links,
-// disks and operators are models. A seed gives the same run again.
+// disks and operators are models. The same seed gives the same run.
 package distsim
 
 import (
@@ -19,23 +19,23 @@
 	"wickarch/internal/virtualtime"
 )
 
-// end is one of a link: a coordinator by its number, or a follower from 1000 on.
-type end struct{ region, id int }
+// endpoint is one end of a link: a coordinator with its ID, or a follower with 1000 plus its ID.
+type endpoint struct{ region, id int }
 
-// version is one as the log has it.
+// version is a version as committed in the log.
 type version struct {
 	hash     distribution.Hash
 	ceilings [plans]float64
-	bad      bool // some can't use it
+	unusable bool // some followers can't use it
 	at       time.Duration
-	halted   time.Duration // 0: it is not
+	haltedAt time.Duration // time of the halt; 0 for none
 }
 
-// pending is a version that is not in force at all who run yet.
+// pending is a version that is not yet in force at all running followers.
 type pending struct {
 	version   uint64
 	since     time.Duration
-	disturbed bool // by a fault since it was committed
+	disturbed bool // a fault was active since it was committed
 }
 
 // World is one run.
@@ -47,32 +47,32 @@
 
 	coordinators []*coordinator
 	followers    []*follower
-	cut          map[int]func(from, to end) bool // by their number
-	cuts         int
-	loss         float64
-	mixed        float64 // share of replies that a proxy mixes up
-	active       int     // faults that are on
-	quiet        time.Duration
+	cut          map[int]func(from, to endpoint) bool // predicates of the links that are cut, by sequence number
+	cutSequence  int
+	lossRate     float64
+	corruptShare float64 // share of replies that a broken proxy swaps or corrupts
+	activeFaults int     // number of active faults
+	lastFaultEnd time.Duration
 
-	log         *distribution.Catalog // as the majority has it
-	logIndex    uint64
-	versions    []version
-	mostSettled uint64
-	requests    map[string]int // versions that each made
-	pending     []pending
-	Report      Report
+	log        *distribution.Catalog // as a majority of the coordinators has it
+	logIndex   uint64
+	versions   []version
+	maxSettled uint64
+	requests   map[string]int // number of versions made, by request
+	pending    []pending
+	Report     Report
 }
 
-// Report tells what came of a run.
+// Report summarizes a run.
 type Report struct {
 	Faults                                                                                        []string
 	Events                                                                                        uint64
 	Polls, Applied, RejectedReplies, Versions, Leaders, Halts, Settles, Conflicts, InjectedFaults int
-	MaxUncounted                                                                                  int             // most followers that were not counted at once
-	UndisturbedTimes, DisturbedTimes                                                              []time.Duration // commit, or a fault's end, to in force at the last one
+	MaxUncounted                                                                                  int             // maximum number of followers not counted in the ceilings at one time
+	UndisturbedTimes, DisturbedTimes                                                              []time.Duration // from the commit, or the last fault's end, until in force at the last follower
 }
 
-// Add adds the counts of another run, and its times.
+// Add adds the counts and times of another run.
 func (r *Report) Add(other Report) {
 	r.Events += other.Events
 	r.Polls += other.Polls
@@ -91,7 +91,7 @@
 
 func (w *World) must(err error) {
 	if err != nil {
-		panic(err) // of the model, and not of what it checks
+		panic(err) // an error of the model, not of the code under test
 	}
 }
 
@@ -101,7 +101,7 @@
 	return a + time.Duration(w.rng.Int64N(int64(b-a)))
 }
 
-func (w *World) severed(from, to end) bool {
+func (w *World) isCut(from, to endpoint) bool {
 	for _, cut := range w.cut {
 		if cut(from, to) {
 			return true
@@ -110,38 +110,38 @@
 	return false
 }
 
-// carry delivers something from an end to another: late, twice or not at all.
-func (w *World) carry(from, to end, do func()) {
-	if w.severed(from, to) || w.loss > 0 && w.rng.Float64() < w.loss {
+// transmit delivers a message from one endpoint to another, possibly late, twice or not at all.
+func (w *World) transmit(from, to endpoint, do func()) {
+	if w.isCut(from, to) || w.lossRate > 0 && w.rng.Float64() < w.lossRate {
 		return
 	}
-	least := 1.0
+	minLatency := 1.0
 	if from.region != to.region {
-		least = 10
+		minLatency = 10
 	}
-	d := time.Duration((least + w.rng.ExpFloat64()*2) * float64(time.Millisecond))
+	d := time.Duration((minLatency + w.rng.ExpFloat64()*2) * float64(time.Millisecond))
 	arrive := func() {
-		if !w.severed(from, to) {
+		if !w.isCut(from, to) {
 			do()
 		}
 	}
-	if w.loss > 0 && w.rng.IntN(20) == 0 { // again, and overtaken
+	if w.lossRate > 0 && w.rng.IntN(20) == 0 { // a duplicate, overtaken by newer messages
 		w.After(w.between(d, 6*time.Second), arrive)
 	}
 	w.After(d, arrive)
 }
 
-// leader is who leads in the highest term; nil for nobody.
+// leader returns the leader of the highest term, or nil.
 func (w *World) leader() (lead *coordinator) {
 	for _, c := range w.coordinators {
-		if c.pub != nil && (lead == nil || c.term > lead.term) {
+		if c.publisher != nil && (lead == nil || c.term > lead.term) {
 			lead = c
 		}
 	}
 	return lead
 }
 
-// committed takes an entry when the first coordinator learns that a majority has it.
+// committed records an entry when the first coordinator learns of its commit.
 func (w *World) committed(entry *pb.Entry) {
 	if entry.GetIndex() <= w.logIndex {
 		return
@@ -162,68 +162,68 @@
 			base = e.Rollback.Base
 		}
 		if err != nil || v != was+1 || base != was {
-			w.Fault("a change from version %d makes version %d of %d (%v)", base, v, was, err)
+			w.Fault("a change based on version %d made version %d out of version %d (error: %v)", base, v, was, err)
 		}
 		if w.requests[e.Request]++; w.requests[e.Request] > 1 {
-			w.Fault("request %s counts twice", e.Request)
+			w.Fault("request %s was applied twice", e.Request)
 		}
 		next := version{hash: w.log.Set().Sum(), at: w.Now()}
-		_, next.bad = w.log.Set()[bad]
+		_, next.unusable = w.log.Set()[unusableKey]
 		for i := range plans {
 			p, err := w.log.Set()[planKey(i)].Plan()
 			w.must(err)
 			next.ceilings[i] = p.CeilingRate
 		}
 		w.versions = append(w.versions, next)
-		w.pending = append(w.pending, pending{v, w.Now(), w.active > 0})
+		w.pending = append(w.pending, pending{v, w.Now(), w.activeFaults > 0})
 		w.Report.Versions++
 		w.Note("version %d is committed, by %s", v, e.Request)
 	}
-	if w.log.Halt != nil && w.versions[w.log.Version].halted == 0 {
-		w.versions[w.log.Version].halted = w.Now()
+	if w.log.Halt != nil && w.versions[w.log.Version].haltedAt == 0 {
+		w.versions[w.log.Version].haltedAt = w.Now()
 		w.Report.Halts++
 		w.Note("%v", w.log.Halt)
-		// It is not to be in force anywhere else.
+		// A halted version need not reach further followers.
 		w.pending = slices.DeleteFunc(w.pending, func(p pending) bool { return p.version == w.log.Version })
 	}
 	if e.Settle > 0 && w.log.Settled == e.Settle {
 		w.Report.Settles++
 		w.Note("version %d has settled", e.Settle)
 	}
-	w.mostSettled = max(w.mostSettled, w.log.Settled)
-	w.ceilings()
+	w.maxSettled = max(w.maxSettled, w.log.Settled)
+	w.checkCeilings()
 }
 
-// given checks a reply when it goes out.
-func (w *World) given(c *coordinator, f *follower, r distribution.Reply) {
+// checkReply checks a reply when it is sent.
+func (w *World) checkReply(c *coordinator, f *follower, r distribution.Reply) {
 	v := uint64(0)
 	if r.State != nil {
 		v = r.State.Version
 	} else if r.Difference != nil {
 		v = r.Difference.Version
 	}
-	if v == 0 || v > w.log.Version || f.used >= v {
+	if v == 0 || v > w.log.Version || f.activeVersion >= v {
 		return
 	}
-	slack := time.Duration(0) // a leader that is deposed may not know it for so long
+	slack := time.Duration(0) // a deposed leader may believe that it leads for this long
 	if w.leader() != c {
 		slack = time.Duration(1.02 * float64(w.Timing.MaxStaleness))
 	}
-	if h := w.versions[v].halted; h > 0 && w.Now() > h+slack && f.disk.kept() != nil && f.disk.version < v {
+	if h := w.versions[v].haltedAt; h > 0 && w.Now() > h+slack && f.disk.stored() != nil && f.disk.version < v {
 		w.Fault("%s is given version %d, which was halted at %.3f s", f.name, v, h.Seconds())
 	}
 }
 
-// ceilings checks that all that count keep each plan's ceiling together, each its part.
-func (w *World) ceilings() {
+// checkCeilings checks that the shares of all counted followers together stay within each plan's ceiling.
+func (w *World) checkCeilings() {
 	if w.log.Version == 0 {
 		return
 	}
-	apart := 0
+	excluded := 0
 	var sum [plans]float64
 	for _, f := range w.followers {
-		if f.apart() {
-			apart++
+		if f.uncounted() {
+			excluded++
 			continue
 		}
 		for i, c := range f.ceilings {
@@ -231,40 +231,41 @@
 		}
 	}
 	if w.log.Settled > 0 {
-		w.Report.MaxUncounted = max(w.Report.MaxUncounted, apart)
+		w.Report.MaxUncounted = max(w.Report.MaxUncounted, excluded)
 	}
 	for i := range plans {
-		most := 0.0
+		limit := 0.0
 		for v := max(1, w.log.Settled); v <= w.log.Version; v++ {
-			most = max(most, w.versions[v].ceilings[i])
+			limit = max(limit, w.versions[v].ceilings[i])
 		}
-		if sum[i] > most*(1+1e-9) {
-			w.Fault("plan %d: all together %v, and %v is the most of versions %d to %d", i, sum[i], most, w.log.Settled, w.log.Version)
+		if sum[i] > limit*(1+1e-9) {
+			w.Fault("plan %d: the followers' ceilings add up to %v, but the limit is %v, the maximum of versions %d to %d",
+				i, sum[i], limit, w.log.Settled, w.log.Version)
 		}
 	}
 }
 
-// reached looks which versions are in force at all who run.
-func (w *World) reached() {
-	if len(w.pending) == 0 || w.active > 0 {
+// checkPropagation removes the pending versions that all running followers have, and checks the timeout.
+func (w *World) checkPropagation() {
+	if len(w.pending) == 0 || w.activeFaults > 0 {
 		return
 	}
-	least := w.log.Version
+	minVersion := w.log.Version
 	for _, f := range w.followers {
-		if f.f == nil {
+		if f.protocol == nil {
 			continue
 		}
-		// One that can't use a version that is in force elsewhere, as it was away when that came, tells so.
-		if r := f.f.Refused(); r != nil && f.refuses && w.versions[r.Version].bad {
+		// A follower that was away when an unusable version came into force elsewhere reports that it refuses it.
+		if r := f.protocol.Refused(); r != nil && f.refusesUnusable && w.versions[r.Version].unusable {
 			continue
 		}
-		least = min(least, f.used)
+		minVersion = min(minVersion, f.activeVersion)
 	}
 	w.pending = slices.DeleteFunc(w.pending, func(p pending) bool {
-		took := w.Now() - max(p.since, w.quiet)
-		if least < p.version {
-			if took > Within {
-				w.Fault("version %d is not in force everywhere %v after its commit or the last fault's end: %s", p.version, took, w.behind(p.version))
+		took := w.Now() - max(p.since, w.lastFaultEnd)
+		if minVersion < p.version {
+			if took > PropagationTimeout {
+				w.Fault("version %d is not in force everywhere %v after its commit or the last fault's end: %s", p.version, took, w.describeBehind(p.version))
 				return true
 			}
 			return false
@@ -278,28 +279,28 @@
 	})
 }
 
-func (w *World) behind(v uint64) (s string) {
+func (w *World) describeBehind(v uint64) (s string) {
 	n := 0
 	for _, f := range w.followers {
-		if f.f != nil && f.used < v {
+		if f.protocol != nil && f.activeVersion < v {
 			if n++; n <= 5 {
-				s += fmt.Sprintf("%s (%d) ", f.name, f.used)
+				s += fmt.Sprintf("%s (%d) ", f.name, f.activeVersion)
 			}
 		}
 	}
-	return fmt.Sprintf("%d are behind, %s", n, s)
+	return fmt.Sprintf("%d followers are behind: %s", n, s)
 }
 
-// Run plays a scenario. tell gets a line for each thing that happens; nil for none.
+// Run runs a scenario. tell, if not nil, is called with a line for each event.
 func Run(s Scenario, tell func(time.Duration, string)) Report {
-	w := &World{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 43)), cut: map[int]func(from, to end) bool{}, log: distribution.NewCatalog(),
+	w := &World{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 43)), cut: map[int]func(from, to endpoint) bool{}, log: distribution.NewCatalog(),
 		versions: []version{{hash: distribution.Set{}.Sum()}}, requests: map[string]int{}}
 	w.Recorder = virtualtime.NewRecorder(&w.Scheduler, tell)
 	for i := range 3 {
 		w.coordinators = append(w.coordinators, newCoordinator(w, uint64(i+1), i/2))
 	}
 	for i := range s.Followers {
-		f := &follower{w: w, id: i, name: fmt.Sprintf("n%03d", i), region: i % 2, zone: i % 5, rate: w.drawRate(), refuses: w.rng.IntN(20) == 0}
+		f := &follower{w: w, id: i, name: fmt.Sprintf("n%03d", i), region: i % 2, zone: i % 5, rate: w.drawRate(), refusesUnusable: w.rng.IntN(20) == 0}
 		w.followers = append(w.followers, f)
 	}
 	for _, c := range w.coordinators {
@@ -311,7 +312,7 @@
 	w.plan()
 	var sample func()
 	sample = func() {
-		w.reached()
+		w.checkPropagation()
 		w.After(tick, sample)
 	}
 	sample()
@@ -324,16 +325,16 @@
 		event.Do()
 	}
 	if w.Report.Versions < 3 {
-		w.Fault("%d versions: too little to show anything", w.Report.Versions)
+		w.Fault("%d versions are too few for a meaningful test", w.Report.Versions)
 	}
 	w.Report.Faults = w.Faults()
 	return w.Report
 }
 
-// turned is a resource with one bit turned.
-func (w *World) turned(r distribution.Resource) distribution.Resource {
+// flipBit returns the resource with one bit flipped.
+func (w *World) flipBit(r distribution.Resource) distribution.Resource {
 	data := slices.Clone(r.Data)
-	// Of a digit, so that it still reads.
+	// Flips a bit of a digit, so that the data still parses.
 	for i := len(data) - 1; i >= 0; i-- {
 		if data[i] >= '2' && data[i] <= '7' {
 			data[i] ^= 1
@@ -344,8 +345,8 @@
 	return r
 }
 
-// garble is a reply of which a resource came out wrong, or is missing.
-func (w *World) garble(r distribution.Reply) distribution.Reply {
+// corrupt returns the reply with one resource altered or missing.
+func (w *World) corrupt(r distribution.Reply) distribution.Reply {
 	change := func(list []distribution.Resource) []distribution.Resource {
 		if len(list) == 0 {
 			return list
@@ -355,7 +356,7 @@
 		if w.rng.IntN(2) == 0 {
 			return slices.Delete(list, i, i+1)
 		}
-		list[i] = w.turned(list[i])
+		list[i] = w.flipBit(list[i])
 		return list
 	}
 	if r.State != nil {
--- a/internal/fleetsim/member.go
+++ b/internal/fleetsim/member.go
@@ -103,10 +103,10 @@
 		held.Grant = &g
 		m.agent = rollout.NewAgent(m.cfg, held, running, m.w.rng.Uint64()|1, m.now())
 	}
-	life := m.incarnation
+	incarnation := m.incarnation
 	var poll func()
 	poll = func() {
-		if m.incarnation != life || m.agent == nil {
+		if m.incarnation != incarnation || m.agent == nil {
 			return
 		}
 		if m.w.Now() < m.pausedUntil {
@@ -152,12 +152,12 @@
 }
 
 // deliver passes an event to one incarnation of the agent, after its pause if it is paused.
-func (m *member) deliver(life int, f func() []rollout.Action) {
-	if m.incarnation != life || m.agent == nil {
+func (m *member) deliver(incarnation int, f func() []rollout.Action) {
+	if m.incarnation != incarnation || m.agent == nil {
 		return
 	}
 	if m.w.Now() < m.pausedUntil {
-		m.w.At(m.pausedUntil, func() { m.deliver(life, f) })
+		m.w.At(m.pausedUntil, func() { m.deliver(incarnation, f) })
 		return
 	}
 	m.perform(f())
@@ -226,9 +226,9 @@
 }
 
 func (m *member) reportExit(why string) {
-	life := m.incarnation
+	incarnation := m.incarnation
 	m.w.After(time.Millisecond, func() {
-		m.deliver(life, func() []rollout.Action { return m.agent.Exited(m.now(), why) })
+		m.deliver(incarnation, func() []rollout.Action { return m.agent.Exited(m.now(), why) })
 	})
 }
 
@@ -319,14 +319,14 @@
 // send delivers a report to a coordinator and the reply to the agent.
 func (m *member) send(r rollout.Report, place int) {
 	w := m.w
-	life := m.incarnation
+	incarnation := m.incarnation
 	truth := m.actual()
 	w.Report.Messages++
 	if w.CountBytes {
 		w.Report.Bytes += encodedSize(r)
 	}
 	failed := func(hint int) {
-		m.deliver(life, func() []rollout.Action { m.agent.Unanswered(m.now(), r.Seq, hint); return nil })
+		m.deliver(incarnation, func() []rollout.Action { m.agent.Unanswered(m.now(), r.Seq, hint); return nil })
 	}
 	if w.Strategy != Coordinated {
 		reply := rollout.Reply{Stamp: r.Stamp}
@@ -335,7 +335,7 @@
 			truth.grantFence = 1
 		}
 		w.After(time.Millisecond, func() {
-			m.deliver(life, func() []rollout.Action { return m.agent.Replied(m.now(), r.Seq, reply) })
+			m.deliver(incarnation, func() []rollout.Action { return m.agent.Replied(m.now(), r.Seq, reply) })
 		})
 		return
 	}
@@ -370,7 +370,7 @@
 				w.Report.Bytes += encodedSize(reply)
 			}
 			w.transmit(place, m.endpoint, func() {
-				m.deliver(life, func() []rollout.Action { return m.agent.Replied(m.now(), r.Seq, reply) })
+				m.deliver(incarnation, func() []rollout.Action { return m.agent.Replied(m.now(), r.Seq, reply) })
 			})
 		})
 	})
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -127,10 +127,10 @@
 	}
 	c.w.Note("coordinator %d starts", c.id)
 	c.node = r
-	life := c.Incarnation()
+	incarnation := c.Incarnation()
 	var tick func()
 	tick = func() {
-		if c.Incarnation() != life || c.node == nil {
+		if c.Incarnation() != incarnation || c.node == nil {
 			return
 		}
 		if c.Paused() {
@@ -337,16 +337,16 @@
 
 // countOut returns how many members are out by grant, and how many are out by grant or have not
 // served for longer than since.
-func (w *World) countOut(since time.Duration) (granted, gone int) {
+func (w *World) countOut(since time.Duration) (granted, unavailable int) {
 	for _, m := range w.members {
 		if m.grantFence != 0 {
 			granted++
 		}
 		if m.grantFence != 0 || m.unavailableFor() > since {
-			gone++
+			unavailable++
 		}
 	}
-	return granted, gone
+	return granted, unavailable
 }
 
 // maxKnowledgeAge returns the maximum age of the state that a leader relies on: the age of the last
@@ -466,8 +466,8 @@
 }
 
 func (w *World) sample() {
-	granted, gone := w.countOut(0)
-	w.Report.MaxOut, w.Report.MaxUnavailable = max(w.Report.MaxOut, granted), max(w.Report.MaxUnavailable, gone)
+	granted, unavailable := w.countOut(0)
+	w.Report.MaxOut, w.Report.MaxUnavailable = max(w.Report.MaxOut, granted), max(w.Report.MaxUnavailable, unavailable)
 }
 
 // finish checks the final state.
