--- a/internal/distsim/coordinator.go
+++ b/internal/distsim/coordinator.go
@@ -65,19 +65,19 @@
 	c.Start()
 	c.resetElectionTimer()
 	incarnation := c.Incarnation()
-	var beat func()
-	beat = func() {
+	var loop func()
+	loop = func() {
 		if c.Incarnation() != incarnation {
 			return
 		}
 		if c.Paused() {
-			c.w.At(c.ResumesAt(), beat)
+			c.w.At(c.ResumesAt(), loop)
 			return
 		}
 		c.do(c.onTick)
-		c.w.After(time.Duration(float64(tick)/c.rate), beat)
+		c.w.After(time.Duration(float64(tick)/c.rate), loop)
 	}
-	c.w.After(time.Duration(c.w.rng.Int64N(int64(tick))), beat)
+	c.w.After(time.Duration(c.w.rng.Int64N(int64(tick))), loop)
 }
 
 func (c *coordinator) kill() {
--- a/internal/distsim/follower.go
+++ b/internal/distsim/follower.go
@@ -36,10 +36,10 @@
 	rate            float64
 	protocol        *distribution.Follower // nil while down
 	disk, oldDisk   *disk
-	diskMayBeStale  bool // the disk may hold an older version than was in force
+	diskMayBeStale  bool // the disk may hold an older version than was in force, or none
 	diskFullUntil   time.Duration
 	incarnation     int
-	pausedUntil     time.Duration // paused until then
+	pausedUntil     time.Duration
 	wakeSequence    uint64
 	refusesUnusable bool // it cannot use a version that contains unusableKey
 	last            distribution.Reply
@@ -277,7 +277,7 @@
 	f.lastLeaderContact = f.w.Now()
 }
 
-// uncounted reports whether the follower is not counted in the ceilings: it is down, its lease has
+// uncounted reports whether the follower is not counted in the ceilings: it is down, has no version, its lease has
 // expired, or it has not caught up since an expired lease or a restart from an older disk.
 func (f *follower) uncounted() bool {
 	return f.protocol == nil || f.activeVersion == 0 || f.w.Now()-f.lastLeaderContact > lease || f.activeVersion < f.catchUpVersion
--- a/internal/distsim/world.go
+++ b/internal/distsim/world.go
@@ -51,7 +51,7 @@
 	cutSequence  int
 	lossRate     float64
 	corruptShare float64 // share of replies that a broken proxy swaps or corrupts
-	activeFaults int     // number of active faults
+	activeFaults int
 	lastFaultEnd time.Duration
 
 	log        *distribution.Catalog // as a majority of the coordinators has it
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -121,25 +121,25 @@
 		twin.startAgent()
 		w.At(until, twin.killAgent)
 	case "program dies":
-		m.exit(m.prog.boot, "signal 9")
+		m.exit(m.prog.bootID, "signal 9")
 	case "programs die":
 		for range 1 + len(w.members)/20 {
 			o := w.members[w.rng.IntN(len(w.members))]
-			o.exit(o.prog.boot, "signal 9")
+			o.exit(o.prog.bootID, "signal 9")
 		}
 	case "program hangs":
 		// Longer than the interval between two of the agent's checks: it cannot see a shorter hang.
 		until = max(until, w.Now()+time.Duration(1.1*float64(w.Timing.ReportInterval)))
-		boot := m.prog.boot
+		boot := m.prog.bootID
 		m.changeAvailability(func() { m.prog.unready = true })
 		w.At(until, func() {
-			if m.prog.boot == boot && m.prog.unready { // not ended by another hang's end already
+			if m.prog.bootID == boot && m.prog.unready { // not ended by another hang's end already
 				m.prog.unready, m.prog.readyAt, m.prog.wasServing = false, w.Now(), false
 			}
 		})
 	case "program flaps":
 		for i := range 6 {
-			w.After(time.Duration(i*7)*time.Second, func() { m.exit(m.prog.boot, "signal 11") })
+			w.After(time.Duration(i*7)*time.Second, func() { m.exit(m.prog.bootID, "signal 11") })
 		}
 	case "zone lost":
 		zone := m.cfg.Member.Zone
--- a/internal/fleetsim/member.go
+++ b/internal/fleetsim/member.go
@@ -9,7 +9,7 @@
 // program is the process that an agent supervises: an ingress or a backend.
 type program struct {
 	running          bool
-	boot             uint64
+	bootID           uint64
 	version          string
 	startedAt        time.Duration
 	readyAt          time.Duration // ready from then on, unless unready is set
@@ -34,7 +34,7 @@
 	agent          *rollout.Agent
 	persisted      rollout.AgentState // on the agent's disk
 	diskFullUntil  time.Duration      // the agent's writes fail until then
-	pausedUntil    time.Duration      // paused until then
+	pausedUntil    time.Duration
 	incarnation    int
 	prog           program
 	grantFence     uint64 // fence of the order that it was given, until it is back in service and proven; 0 for none
@@ -116,7 +116,7 @@
 		p := &m.prog
 		ready := p.running && !p.unready && !p.standby && m.w.Now() >= p.readyAt
 		m.countRequests()
-		f := rollout.Stats{BootID: p.boot, InFlightSeconds: p.inFlightSeconds, Classes: map[string]rollout.Count{}}
+		f := rollout.Stats{BootID: p.bootID, InFlightSeconds: p.inFlightSeconds, Classes: map[string]rollout.Count{}}
 		for name, c := range p.classes {
 			f.Classes[name] = c
 		}
@@ -197,7 +197,7 @@
 		case a.Terminate:
 			m.terminate(time.Duration((0.3 + m.w.rng.Float64()*2) * float64(time.Second)))
 		case a.Kill:
-			m.exit(m.prog.boot, "killed")
+			m.exit(m.prog.bootID, "killed")
 		case a.Log != "":
 			m.w.Note("%s: %s", m.name(), a.Log)
 		}
@@ -211,14 +211,14 @@
 }
 
 func (m *member) terminate(takes time.Duration) {
-	boot := m.prog.boot
+	boot := m.prog.bootID
 	m.changeAvailability(func() { m.prog.stopping = true })
 	m.w.After(takes, func() { m.exit(boot, "terminated on request") })
 }
 
 // exit ends the program if it is still the one with this boot ID.
 func (m *member) exit(boot uint64, why string) {
-	if !m.prog.running || m.prog.boot != boot {
+	if !m.prog.running || m.prog.bootID != boot {
 		return
 	}
 	m.changeAvailability(func() { m.prog.running, m.prog.standby, m.prog.stopping = false, false, false })
@@ -242,19 +242,19 @@
 	boot := w.Sequence()
 	b := w.behaviourOf(m, version)
 	m.changeAvailability(func() {
-		m.prog = program{running: true, boot: boot, version: version, startedAt: w.Now(), unavailableSince: m.prog.unavailableSince, requestRate: m.prog.requestRate, refusedShare: m.prog.refusedShare,
+		m.prog = program{running: true, bootID: boot, version: version, startedAt: w.Now(), unavailableSince: m.prog.unavailableSince, requestRate: m.prog.requestRate, refusedShare: m.prog.refusedShare,
 			readyAt: w.Now() + time.Duration((0.3+w.rng.Float64()*2)*float64(time.Second)), countedAt: w.Now(), classes: map[string]rollout.Count{}}
 	})
 	switch {
 	case b.crashAt >= 0:
 		w.After(b.crashAt+time.Millisecond, func() {
-			if m.prog.running && m.prog.boot == boot {
-				w.firstBad()
+			if m.prog.running && m.prog.bootID == boot {
+				w.recordFirstFault()
 				m.exit(boot, "exit code 2")
 			}
 		})
 	case b.neverReady:
-		w.firstBad()
+		w.recordFirstFault()
 		m.prog.unready = true
 	}
 }
@@ -264,7 +264,7 @@
 	crashAt       time.Duration // -1 for never
 	neverReady    bool
 	refusedShare  float64 // share of requests refused beyond what quotas refuse
-	failedShare   float64 // share of payments that fail because of the version because of the version
+	failedShare   float64 // share of payments that fail because of the version
 	latencyFactor float64
 	startsAfter   time.Duration
 }
@@ -283,7 +283,7 @@
 		b.refusedShare, b.failedShare, b.latencyFactor = 0, 0, 1
 	}
 	if b.refusedShare > 0 || b.failedShare > 0 || b.latencyFactor > 1 {
-		w.firstBad()
+		w.recordFirstFault()
 	}
 	noise := w.noise(m)
 	n := p.requestRate * span * (0.8 + 0.4*w.rng.Float64()) * noise
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -59,10 +59,10 @@
 	InjectFaults    bool   // inject faults into coordinators, agents, programs and links
 	FaultsEnd       time.Duration
 	End             time.Duration
-	Slow            time.Duration // maximum extra delay of a late message
+	MaxDelay        time.Duration // maximum extra delay of a late message
 	Strategy        Strategy      // how members are changed
 	Noise           float64       // how much traffic and refusals vary jointly over all members
-	CountBytes      bool          // count bytes
+	CountBytes      bool          // of messages between agents and coordinators
 	OperatorActions bool          // operators halt, resume, roll back and drain during the run
 	AutoRollback    bool          // an operator rolls the first rollout back as soon as it halts
 	FaultFactor     int           // factor of the number of faults
@@ -74,7 +74,7 @@
 	rng := rand.New(rand.NewPCG(seed, 5))
 	s := Scenario{Seed: seed, Coordinators: coordinators, Ingresses: ingresses, Backends: backends, Zones: 1 + rng.IntN(4),
 		RaftTick: 250 * time.Millisecond, DecideInterval: time.Second, InjectFaults: true, OperatorActions: true,
-		FaultsEnd: 400 * time.Second, End: 1800 * time.Second, Slow: 20 * time.Second, Noise: 0.3}
+		FaultsEnd: 400 * time.Second, End: 1800 * time.Second, MaxDelay: 20 * time.Second, Noise: 0.3}
 	s.Timing = rollout.Timing{ReportInterval: 4 * time.Second, MaxStaleness: 12 * time.Second, LearnPeriod: 9 * time.Second, BeginTimeout: 8 * time.Second,
 		OverBudgetTimeout: 30 * time.Second, WatchInterval: 10 * time.Second}
 	s.Budgets = []rollout.Budget{{Name: "ingresses", Role: "ingress", MaxOut: max(2, ingresses/10)}, {Name: "backends", Role: "backend", Share: 0.25}}
@@ -140,7 +140,7 @@
 		m.cfg = rollout.AgentConfig{Member: rollout.Member{Name: name, Role: role, Zone: fmt.Sprint("z", len(w.members)%w.Zones), Weight: 1 + float64(len(w.members)%3)},
 			Coordinators: w.Coordinators, Version: "v1", ReportInterval: w.Timing.ReportInterval, BeginTimeout: w.Timing.BeginTimeout, DrainTimeout: 2 * time.Second, StopTimeout: 5 * time.Second,
 			StartTimeout: 10 * time.Second, ProvePeriod: prove, MaxStarts: 2, Backoff: time.Second}
-		m.prog = program{running: true, boot: w.Sequence(), version: "v1", startedAt: -time.Hour, readyAt: -time.Hour, classes: map[string]rollout.Count{}, wasServing: true,
+		m.prog = program{running: true, bootID: w.Sequence(), version: "v1", startedAt: -time.Hour, readyAt: -time.Hour, classes: map[string]rollout.Count{}, wasServing: true,
 			requestRate: rate, refusedShare: 0.01 * math.Exp(0.5*w.rng.NormFloat64())}
 		w.members = append(w.members, m)
 		w.byName[name] = m
@@ -203,8 +203,8 @@
 	return b
 }
 
-// firstBad records the time of the first fault of a release.
-func (w *World) firstBad() {
+// recordFirstFault records the time of the first fault of a release.
+func (w *World) recordFirstFault() {
 	if w.firstBadAt == 0 {
 		w.firstBadAt = w.Now()
 		w.Note("first fault of a release")
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -78,7 +78,7 @@
 	}
 	d := time.Duration((1 + w.rng.ExpFloat64()*4) * float64(time.Millisecond))
 	if w.lossRate > 0 && w.rng.IntN(20) == 0 {
-		d += time.Duration(w.rng.Float64() * float64(w.Slow)) // late, and overtaken by newer messages
+		d += time.Duration(w.rng.Float64() * float64(w.MaxDelay)) // late, and overtaken by newer messages
 	}
 	w.After(d, func() {
 		if !w.cutLinks[[2]int{from, to}] {
