--- a/internal/distsim/coordinator.go
+++ b/internal/distsim/coordinator.go
@@ -40,7 +40,8 @@
 }
 
 func newCoordinator(w *World, id uint64, region int) *coordinator {
-	c := &coordinator{w: w, id: id, region: region, rate: w.drawRate(), log: raft.NewMemoryStorage(), Process: virtualtime.NewProcess(&w.Scheduler)}
+	c := &coordinator{w: w, id: id, region: region, rate: w.drawRate(), log: raft.NewMemoryStorage(),
+		Process: virtualtime.NewProcess(&w.Scheduler)}
 	w.must(c.log.ApplySnapshot(&pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
 		ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}))
 	w.must(c.log.SetHardState(&pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}))
@@ -61,7 +62,8 @@
 	c.node, err = raft.NewRawNode(&raft.Config{ID: c.id, ElectionTick: election, HeartbeatTick: 1, Storage: c.log, Applied: 1, MaxSizePerMsg: 1 << 20,
 		MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: raftlog.Silent{}})
 	c.w.must(err)
-	c.catalog, c.pendingOrders, c.heldPolls = distribution.NewCatalog(), map[string]func(error){}, map[string]func(uint64, distribution.Reply){}
+	c.catalog, c.pendingOrders, c.heldPolls =
+		distribution.NewCatalog(), map[string]func(error){}, map[string]func(uint64, distribution.Reply){}
 	c.Start()
 	c.resetElectionTimer()
 	incarnation := c.Incarnation()
--- a/internal/distsim/world.go
+++ b/internal/distsim/world.go
@@ -68,8 +68,10 @@
 	Faults                                                                                        []string
 	Events                                                                                        uint64
 	Polls, Applied, RejectedReplies, Versions, Leaders, Halts, Settles, Conflicts, InjectedFaults int
-	MaxUncounted                                                                                  int             // maximum number of followers not counted in the ceilings at one time
-	UndisturbedTimes, DisturbedTimes                                                              []time.Duration // from the commit, or the last fault's end, until in force at the last follower
+	// maximum number of followers not counted in the ceilings at one time
+	MaxUncounted int
+	// from the commit, or the last fault's end, until in force at the last follower
+	UndisturbedTimes, DisturbedTimes []time.Duration
 }
 
 // Add adds the counts and times of another run.
@@ -265,7 +267,8 @@
 		took := w.Now() - max(p.since, w.lastFaultEnd)
 		if minVersion < p.version {
 			if took > PropagationTimeout {
-				w.Fault("version %d is not in force everywhere %v after its commit or the last fault's end: %s", p.version, took, w.describeBehind(p.version))
+				w.Fault("version %d is not in force everywhere %v after its commit or the last fault's end: %s",
+					p.version, took, w.describeBehind(p.version))
 				return true
 			}
 			return false
@@ -293,14 +296,16 @@
 
 // Run runs a scenario. tell, if not nil, is called with a line for each event.
 func Run(s Scenario, tell func(time.Duration, string)) Report {
-	w := &World{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 43)), cut: map[int]func(from, to endpoint) bool{}, log: distribution.NewCatalog(),
+	w := &World{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 43)),
+		cut: map[int]func(from, to endpoint) bool{}, log: distribution.NewCatalog(),
 		versions: []version{{hash: distribution.Set{}.Sum()}}, requests: map[string]int{}}
 	w.Recorder = virtualtime.NewRecorder(&w.Scheduler, tell)
 	for i := range 3 {
 		w.coordinators = append(w.coordinators, newCoordinator(w, uint64(i+1), i/2))
 	}
 	for i := range s.Followers {
-		f := &follower{w: w, id: i, name: fmt.Sprintf("n%03d", i), region: i % 2, zone: i % 5, rate: w.drawRate(), refusesUnusable: w.rng.IntN(20) == 0}
+		f := &follower{w: w, id: i, name: fmt.Sprintf("n%03d", i), region: i % 2, zone: i % 5, rate: w.drawRate(),
+			refusesUnusable: w.rng.IntN(20) == 0}
 		w.followers = append(w.followers, f)
 	}
 	for _, c := range w.coordinators {
--- a/internal/fleetsim/search/search.go
+++ b/internal/fleetsim/search/search.go
@@ -30,7 +30,8 @@
 	case "time":
 		return "a second passes"
 	case "elect":
-		return fmt.Sprintf("coordinator %d becomes leader; %s still reach the previous one", a.Target, []string{"none", "half of the agents", "all agents"}[a.Variant])
+		return fmt.Sprintf("coordinator %d becomes leader; %s still reach the previous one",
+			a.Target, []string{"none", "half of the agents", "all agents"}[a.Variant])
 	case "halt", "back", "resume":
 		return "an operator orders: " + a.Kind
 	}
@@ -245,7 +246,8 @@
 
 func agentConfig(i int) rollout.AgentConfig {
 	return rollout.AgentConfig{Member: rollout.Member{Name: fmt.Sprint("m", i), Role: "ingress", Zone: fmt.Sprint("z", i%2), Weight: 1}, Coordinators: coordinators,
-		Version: "v1", ReportInterval: second, BeginTimeout: timing.BeginTimeout, DrainTimeout: second, StopTimeout: second, StartTimeout: 2 * startDuration, ProvePeriod: provePeriod, MaxStarts: 2, Backoff: second}
+		Version: "v1", ReportInterval: second, BeginTimeout: timing.BeginTimeout, DrainTimeout: second, StopTimeout: second,
+		StartTimeout: 2 * startDuration, ProvePeriod: provePeriod, MaxStarts: 2, Backoff: second}
 }
 
 func start() *world {
@@ -254,7 +256,8 @@
 		w.Nodes[i] = &node{State: rollout.NewState(), BelievesUntil: -1}
 	}
 	for i := range w.Members {
-		w.Members[i] = &member{Running: true, Version: "v1", StartedAt: -time.Hour, ReadyAt: -time.Hour, UnavailableSince: -1, Boot: 1, Incarnation: 1}
+		w.Members[i] = &member{Running: true, Version: "v1", StartedAt: -time.Hour, ReadyAt: -time.Hour,
+			UnavailableSince: -1, Boot: 1, Incarnation: 1}
 		w.Members[i].Agent = rollout.NewAgent(agentConfig(i), rollout.AgentState{}, &rollout.Running{Version: "v1"}, 1, 0)
 		m := agentConfig(i).Member
 		w.Log = append(w.Log, entry{0, rollout.Entry{Join: &rollout.MemberRecord{Member: m, Version: "v1"}}})
