--- a/distribution/cases_test.go
+++ b/distribution/cases_test.go
@@ -46,10 +46,10 @@
 	return NewPublisher(timing, g.catalog, now)
 }
 
-func (g *testLog) newFollower(name string, kept *StoredConfig) *Follower {
+func (g *testLog) newFollower(name string, stored *StoredConfig) *Follower {
 	g.t.Helper()
 	f, err := NewFollower(FollowerConfig{Name: name, Region: "r", Incarnation: 1, Coordinators: 3,
-		PollTimeout: DefaultPollTimeout}, kept, 1, 0)
+		PollTimeout: DefaultPollTimeout}, stored, 1, 0)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -225,7 +225,7 @@
 	for now := time.Duration(0); now <= 6*time.Second; now += time.Second {
 		publisher.Tick(now)
 	}
-	publisher.LeadershipConfirmed(3 * time.Second) // asked long ago
+	publisher.LeadershipConfirmed(3 * time.Second) // confirmed too long ago
 	q := nextPoll(t, follower, 6*time.Second)
 	if r, held, _ := publisher.Poll(6*time.Second, q); !held {
 		t.Fatalf("%+v is sent", r)
@@ -315,13 +315,13 @@
 	turned.Resources = []Resource{{Key: turned.Resources[0].Key, Data: data}}
 	for _, c := range []struct {
 		name    string
-		kept    *StoredConfig
+		stored  *StoredConfig
 		version uint64
 		damaged bool
 		want    string
 	}{{"empty", nil, 0, false, "state"}, {"stale", stale, maxHistory + 1, false, "difference"},
 		{"newest", good, maxHistory + 2, false, "nothing"}, {"one bit turned", turned, 0, true, "state"}} {
-		f, err := NewFollower(FollowerConfig{Name: "a", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, c.kept, 1, 0)
+		f, err := NewFollower(FollowerConfig{Name: "a", Incarnation: 1, Coordinators: 3, PollTimeout: DefaultPollTimeout}, c.stored, 1, 0)
 		if isError[*StateDamaged](err) != c.damaged || f.Active().Version != c.version {
 			t.Errorf("%s: %v, version %d", c.name, err, f.Active().Version)
 		}
@@ -580,8 +580,8 @@
 	log := newTestLog(t)
 	publisher := log.newPublisher(0, "begun", "refuses", "other", "empty")
 	log.push(100)
-	begun, refuses, other := log.newFollower("begun", nil), log.newFollower("refuses", nil), log.newFollower("other", nil)
-	refuses.cfg.Check = func(changed []Resource) error {
+	active, refusing, other := log.newFollower("begun", nil), log.newFollower("refuses", nil), log.newFollower("other", nil)
+	refusing.cfg.Check = func(changed []Resource) error {
 		for _, r := range changed {
 			if plan, err := r.Plan(); err == nil && plan.CeilingRate == 666 {
 				return &Refused{Key: r.Key, Why: "not here"}
@@ -589,20 +589,20 @@
 		}
 		return nil
 	}
-	for _, f := range []*Follower{begun, refuses, other} {
+	for _, f := range []*Follower{active, refusing, other} {
 		mustExchangePoll(t, f, publisher, 0)
 	}
 	bad := planOf(t, "gold", 666)
 	bad.Line = 17
 	log.mustApply(log.pushOf(bad))
-	mustExchangePoll(t, begun, publisher, time.Second)
+	mustExchangePoll(t, active, publisher, time.Second)
 	var halted *Halted
-	if _, err := exchangePoll(t, refuses, publisher, time.Second); !errors.As(err, &halted) ||
-		halted.Refused.Line != 17 || refuses.Active().Version != 1 {
+	if _, err := exchangePoll(t, refusing, publisher, time.Second); !errors.As(err, &halted) ||
+		halted.Refused.Line != 17 || refusing.Active().Version != 1 {
 		t.Fatal(err)
 	}
 	now := 1200 * time.Millisecond
-	mustExchangePoll(t, refuses, publisher, now) // reports the refusal
+	mustExchangePoll(t, refusing, publisher, now) // reports the refusal
 	for _, e := range publisher.Tick(now) {
 		if e.Settle > 0 {
 			t.Errorf("version %d settles", e.Settle)
@@ -616,10 +616,10 @@
 	mustExchangePoll(t, other, publisher, now)
 	empty := log.newFollower("empty", nil) // restarted without stored configuration
 	mustExchangePoll(t, empty, publisher, now)
-	if begun.Active().Version != 2 || other.Active().Version != 1 || empty.Active().Version != 1 {
-		t.Errorf("begun %d, other %d, empty %d", begun.Active().Version, other.Active().Version, empty.Active().Version)
+	if active.Active().Version != 2 || other.Active().Version != 1 || empty.Active().Version != 1 {
+		t.Errorf("begun %d, other %d, empty %d", active.Active().Version, other.Active().Version, empty.Active().Version)
 	}
-	for _, f := range []*Follower{begun, refuses, other, empty} {
+	for _, f := range []*Follower{active, refusing, other, empty} {
 		mustExchangePoll(t, f, publisher, 1500*time.Millisecond)
 	}
 	// A halted version does not settle, even if a log entry says so.
@@ -632,13 +632,13 @@
 	if log.catalog.Version != 3 || log.catalog.Halt != nil {
 		t.Fatalf("version %d, halt %v", log.catalog.Version, log.catalog.Halt)
 	}
-	for _, f := range []*Follower{begun, refuses, other, empty} {
+	for _, f := range []*Follower{active, refusing, other, empty} {
 		if _, err := exchangePoll(t, f, publisher, 2*time.Second); err != nil || f.Active().Version != 3 || goldRate(t, f.Active()) != 100 {
 			t.Errorf("%s: %v, version %d", f.cfg.Name, err, f.Active().Version)
 		}
 	}
-	if refuses.Refused() != nil {
-		t.Errorf("the refusal %+v is still reported", refuses.Refused())
+	if refusing.Refused() != nil {
+		t.Errorf("the refusal %+v is still reported", refusing.Refused())
 	}
 }
 
--- a/distribution/distribution_test.go
+++ b/distribution/distribution_test.go
@@ -50,11 +50,11 @@
 					follower.Activated(now)
 				}
 			}
-			if ask := follower.Tick(now); ask != nil {
-				if r, held, err := publisher.Poll(now, ask.Poll); err != nil {
+			if request := follower.Tick(now); request != nil {
+				if r, held, err := publisher.Poll(now, request.Poll); err != nil {
 					t.Fatal(err)
 				} else if !held {
-					take(ask.Poll.Number, r)
+					take(request.Poll.Number, r)
 				}
 			}
 			for _, a := range publisher.Due(now) {
--- a/distribution/errors.go
+++ b/distribution/errors.go
@@ -14,8 +14,8 @@
 // Faults returns one of each error type of this package, for the operators' page, the tests, and to
 // restore a stored [Outcome].
 func Faults() []Fault {
-	return []Fault{&Refused{}, &Conflict{}, &Halted{}, &TooLarge{}, &NoSuchVersion{}, &NothingChanged{}, &Unsettled{}, &WrongHash{}, &WrongBase{},
-		&StateDamaged{}, &Ahead{}, &BadPoll{}, &BadRequest{}, &TooMany{}, &StillThere{}, &UnknownFollower{}}
+	return []Fault{&Refused{}, &Conflict{}, &Halted{}, &TooLarge{}, &NoSuchVersion{},
+		&NothingChanged{}, &Unsettled{}, &WrongHash{}, &WrongBase{}, &StateDamaged{}, &Ahead{}, &BadPoll{}, &BadRequest{}, &TooMany{}, &StillThere{}, &UnknownFollower{}}
 }
 
 // Refused reports that a resource can't be used.
@@ -167,7 +167,7 @@
 
 // Remedy tells operators how to resolve the error.
 func (e *Ahead) Remedy() string {
-	return "if the coordinators were restored from older disks, push the file again until the version is higher; otherwise empty the follower's folder and restart it"
+	return "if the coordinators were restored from older disks, push the file until the version is higher; else empty the follower's folder and restart it"
 }
 
 // BadPoll reports that a follower's poll is invalid.
--- a/distribution/publisher.go
+++ b/distribution/publisher.go
@@ -401,7 +401,7 @@
 // log that has not polled yet may use any version until one lease after the start. A halted version
 // does not settle: it is sent to no further follower.
 func (p *Publisher) oldestActive() uint64 {
-	c, least := p.catalog, p.target()
+	c, oldest := p.catalog, p.target()
 	if p.now-p.listeningSince < p.timing.Lease {
 		for name := range c.Followers {
 			if s := p.followers[name]; s == nil || s.lastPoll < p.listeningSince {
@@ -416,9 +416,9 @@
 		if h, known := c.hashAt(s.poll.Version); !known || h != s.poll.Hash {
 			return 0 // it uses a version that is not in the log
 		}
-		least = min(least, s.poll.Version)
+		oldest = min(oldest, s.poll.Version)
 	}
-	return least
+	return oldest
 }
 
 // SyncStatus compares a follower's configuration with the target version.
