--- a/internal/follower/errors.go
+++ b/internal/follower/errors.go
@@ -34,7 +34,7 @@
 
 // Remedy tells operators how to resolve the error.
 func (e *DiskDamaged) Remedy() string {
-	return "nothing while a coordinator answers: the file was moved aside (.damaged) and the full state is requested; check the disk if the error recurs"
+	return "nothing while a coordinator answers: the file is moved aside (.damaged), the full state is requested; check the disk if it recurs"
 }
 
 // FollowsAlready reports that another process uses the same folder.
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -124,7 +124,8 @@
 		if silent := f.now() - f.core.LastReply(); silent > maxSilence && !f.disconnected {
 			f.disconnected = true
 			u := f.core.Active()
-			f.log.Warn("no coordinator answers; the active configuration stays in use", "in_force", u.Describe(), "since", f.startedAt.Add(f.core.LastReply()))
+			f.log.Warn("no coordinator answers; the active configuration stays in use", "in_force", u.Describe(),
+				"since", f.startedAt.Add(f.core.LastReply()))
 		}
 	}
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -63,7 +63,8 @@
 	}
 	s.close()
 	s, kept, err = openStore(dir)
-	if err != nil || kept.Version != 2 || kept.Hash != sum(kept.Resources...) || kept.Hash != sum(a, c) || kept.Settled != 1 || len(kept.PreviousPlans) != 1 || kept.Resources[0].Line != 3 {
+	if err != nil || kept.Version != 2 || kept.Hash != sum(kept.Resources...) || kept.Hash != sum(a, c) ||
+		kept.Settled != 1 || len(kept.PreviousPlans) != 1 || kept.Resources[0].Line != 3 {
 		t.Fatalf("%+v, %v", kept, err)
 	}
 	if err = s.save(&distribution.StoreUpdate{Version: 3, Hash: sum(b), Set: []distribution.Resource{b}, Full: true}); err != nil {
@@ -224,10 +225,14 @@
 func TestFollowerActivatesAndStoresVersions(t *testing.T) {
 	a, b := plan(t, "a", 1), plan(t, "b", 2)
 	first := distribution.Reply{State: &distribution.State{Version: 5, Hash: sum(a), Resources: []distribution.Resource{a}}, Settled: 4}
-	second := distribution.Reply{Difference: &distribution.Difference{Base: 5, BaseHash: sum(a), Version: 6, Hash: sum(a, b), Set: []distribution.Resource{b}}, Settled: 5}
-	wrong := distribution.Reply{Difference: &distribution.Difference{Base: 5, BaseHash: sum(a), Version: 6, Hash: sum(b), Set: []distribution.Resource{b}}}
+	second := distribution.Reply{Difference: &distribution.Difference{Base: 5, BaseHash: sum(a), Version: 6, Hash: sum(a, b),
+		Set: []distribution.Resource{b}}, Settled: 5}
+	wrong := distribution.Reply{Difference: &distribution.Difference{Base: 5, BaseHash: sum(a), Version: 6, Hash: sum(b),
+		Set: []distribution.Resource{b}}}
 	old := distribution.Reply{State: &distribution.State{Version: 3, Hash: sum(b), Resources: []distribution.Resource{b}}}
-	s := newScriptedCoordinator(t, replyWith(first), func(w http.ResponseWriter, _ distribution.Poll) { _, _ = fmt.Fprint(w, "{") }, replyWith(old), replyWith(wrong), replyWith(second), emptyReply)
+	s := newScriptedCoordinator(t, replyWith(first),
+		func(w http.ResponseWriter, _ distribution.Poll) { _, _ = fmt.Fprint(w, "{") },
+		replyWith(old), replyWith(wrong), replyWith(second), emptyReply)
 	dir := t.TempDir()
 	in := &fakeIngress{configured: make(chan distribution.ActiveConfig, 100)}
 	stop := startFollower(t, dir, in, s.URL)
@@ -254,12 +259,13 @@
 }
 
 // A version that the ingress can't use must not become active, whether the check or the activation
-// fails; the poll reports it with resource and line.
+// fails. The next poll must report the refusal, with resource and line if the check failed.
 func TestRefusalIsReported(t *testing.T) {
 	a, b := plan(t, "a", 1), plan(t, "b", 2)
 	for _, in := range []*fakeIngress{{refusedKey: "plan/b"}, {configureFails: true}} {
 		in.configured = make(chan distribution.ActiveConfig, 100)
-		s := newScriptedCoordinator(t, replyWith(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a, b), Resources: []distribution.Resource{a, b}}}), emptyReply)
+		s := newScriptedCoordinator(t, replyWith(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a, b),
+			Resources: []distribution.Resource{a, b}}}), emptyReply)
 		startFollower(t, t.TempDir(), in, s.URL)
 		q := waitForPoll(t, s, "a refusal", func(q distribution.Poll) bool { return q.Refused != nil })
 		if q.Version != 0 || q.Refused.Version != 1 || !in.configureFails && (q.Refused.Refused.Key != b.Key || q.Refused.Refused.Line != 3) {
@@ -275,7 +281,8 @@
 // redirects to the leader.
 func TestPollFindsTheLeader(t *testing.T) {
 	a := plan(t, "a", 1)
-	leader := newScriptedCoordinator(t, replyWith(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a), Resources: []distribution.Resource{a}}}), emptyReply)
+	leader := newScriptedCoordinator(t, replyWith(distribution.Reply{State: &distribution.State{Version: 1, Hash: sum(a),
+		Resources: []distribution.Resource{a}}}), emptyReply)
 	release := make(chan struct{})
 	hangs := newScriptedCoordinator(t, func(http.ResponseWriter, distribution.Poll) { <-release })
 	t.Cleanup(func() { close(release) }) // before hangs is closed, which waits for the handler
@@ -283,7 +290,8 @@
 	gone.Close()
 	sends := newScriptedCoordinator(t, func(w http.ResponseWriter, _ distribution.Poll) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
-		_, _ = fmt.Fprintf(w, `{"error":{"kind":"NotLeader","text":"no","remedy":"ask the leader"},"leader":%q}`, strings.TrimPrefix(leader.URL, "http://"))
+		_, _ = fmt.Fprintf(w, `{"error":{"kind":"NotLeader","text":"no","remedy":"ask the leader"},"leader":%q}`,
+			strings.TrimPrefix(leader.URL, "http://"))
 	})
 	in := &fakeIngress{configured: make(chan distribution.ActiveConfig, 100)}
 	startFollower(t, t.TempDir(), in, hangs.URL, gone.URL, sends.URL, leader.URL)
@@ -299,7 +307,8 @@
 		_, _ = fmt.Fprint(w, `{"error":{"kind":"BadPoll","text":"a later one has come under this name","remedy":"give each a name of its own"}}`)
 	})
 	var log bytes.Buffer
-	stop := startFollowerWithLog(t, t.TempDir(), &fakeIngress{configured: make(chan distribution.ActiveConfig, 100)}, slog.NewTextHandler(&log, nil), strings.TrimPrefix(s.URL, "http://"))
+	stop := startFollowerWithLog(t, t.TempDir(), &fakeIngress{configured: make(chan distribution.ActiveConfig, 100)},
+		slog.NewTextHandler(&log, nil), strings.TrimPrefix(s.URL, "http://"))
 	for range 5 {
 		receive(t, "a poll", s.polls)
 	}
--- a/internal/follower/store.go
+++ b/internal/follower/store.go
@@ -90,7 +90,8 @@
 		}
 	}()
 	// bbolt creates a file of four pages.
-	if info, statErr := os.Stat(s.path); statErr == nil && (info.Size() > maxFileBytes || info.Size() > 0 && info.Size() < int64(4*os.Getpagesize())) {
+	if info, statErr := os.Stat(s.path); statErr == nil &&
+		(info.Size() > maxFileBytes || info.Size() > 0 && info.Size() < int64(4*os.Getpagesize())) {
 		return nil, &DiskDamaged{s.path, fmt.Sprintf("%d bytes", info.Size())}
 	}
 	s.db, err = bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: lockTimeout})
@@ -119,7 +120,8 @@
 	if err := unseal(headerBucket.Get(keyHeader), &h); err != nil {
 		return nil, &DiskDamaged{s.path, err.Error()}
 	}
-	stored := &distribution.StoredConfig{State: distribution.State{Version: h.Version, Hash: h.Hash}, Settled: h.Settled, PreviousPlans: h.PreviousPlans}
+	stored := &distribution.StoredConfig{State: distribution.State{Version: h.Version, Hash: h.Hash},
+		Settled: h.Settled, PreviousPlans: h.PreviousPlans}
 	resources := tx.Bucket(bucketResources)
 	if resources == nil {
 		return nil, &DiskDamaged{s.path, "no resources"}
