--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// Ring closes the connection when its time is up.
+// TimerFired closes the connection when its time is up.
 func (c *conn) TimerFired() { c.close() }
 
 func (c *conn) close() {
--- a/internal/ingress/closing.go
+++ b/internal/ingress/closing.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Ring handles the deadlines that have passed.
+// TimerFired handles the deadlines that have passed.
 func (c *client) TimerFired() {
 	now := c.front.loop.Now()
 	expired := func(deadline *time.Duration) bool {
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -516,7 +516,7 @@
 	next  *alarm
 }
 
-// Ring reports the expired timer to the gateway.
+// TimerFired reports the expired timer to the gateway.
 func (a *alarm) TimerFired() {
 	l := a.loop
 	token := a.token
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -362,7 +362,7 @@
 	p.recordOutcome(a, r)
 }
 
-// Ring handles the timeout of the current state.
+// TimerFired handles the timeout of the current state.
 func (c *conn) TimerFired() {
 	now := c.pool.loop.Now()
 	switch c.state {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -47,11 +47,11 @@
 // Size returns the length of the value in bytes.
 func (s *Stream) Size() int { return s.size }
 
-// Notify sets the function that is called when a Read that returned reactor.ErrWait
+// Notify sets the function that is called when a Read that returned reactor.ErrWouldBlock
 // should be tried again. f must not call Read itself.
 func (s *Stream) Notify(f func()) { s.notify = f }
 
-// Read reads the next part of the value. It returns reactor.ErrWait if nothing has
+// Read reads the next part of the value. It returns reactor.ErrWouldBlock if nothing has
 // arrived, io.EOF once the value is complete, and ErrBroken if it never will be. The
 // CRLF after the value is checked before io.EOF is returned, so a caller that forwards
 // the value in parts can withhold what would make it complete.
