--- a/internal/ingress/admin_test.go
+++ b/internal/ingress/admin_test.go
@@ -191,7 +191,7 @@
 	wait(t, "a command", b.Got)
 	calls++
 	leaving.nc.Close()
-	r.eventually("the end of the request", func(l *loop) bool { return l.figures.open == 0 })
+	r.eventually("the end of the request", func(l *loop) bool { return l.metrics.open == 0 })
 
 	f := r.metrics()
 	for _, class := range []string{"lookup", "payment"} {
--- a/internal/ingress/body_test.go
+++ b/internal/ingress/body_test.go
@@ -171,7 +171,7 @@
 	}
 	c.want("-ERR failed")
 	c.want("$4\r\npaid")
-	r.eventually("all memory to be released", func(l *loop) bool { return l.memory.used == 0 && l.figures.open == 0 })
+	r.eventually("all memory to be released", func(l *loop) bool { return l.memory.used == 0 && l.metrics.open == 0 })
 }
 
 // A client that disconnects while it receives a large value must end the attempt's backend connection too.
@@ -187,6 +187,6 @@
 	}
 	c.nc.Close()
 	r.eventually("all memory to be released", func(l *loop) bool {
-		return l.memory.used == 0 && len(l.requests) == 0 && l.figures.open == 0
+		return l.memory.used == 0 && len(l.requests) == 0 && l.metrics.open == 0
 	})
 }
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -42,7 +42,7 @@
 	number          uint64       // in the order of acceptance, for logs
 	index           int          // in front.clients
 	invalidCommands int32        // so far
-	place           admission.Conn[*client]
+	admissionConn   admission.Conn[*client]
 	timer           reactor.Timer
 
 	first, last *slot // replies due, in order
@@ -271,7 +271,7 @@
 	}
 	if !owner.memory.tryReserve(size) {
 		// Nothing has run, so the client may retry. Accepting more would exhaust the memory of the whole process.
-		owner.figures.classes[cmd.class].Busy++
+		owner.metrics.classes[cmd.class].Busy++
 		c.reply(redcon.AppendError(nil, "BUSY"))
 		return
 	}
@@ -303,9 +303,9 @@
 	switch {
 	case c.net == nil:
 	case c.first != nil, len(c.unwritten) > 0, len(c.partial) > 0, c.closing:
-		c.front.admission.MarkBusy(&c.place, c.hasRequested)
+		c.front.admission.MarkBusy(&c.admissionConn, c.hasRequested)
 	default:
-		c.front.admission.MarkIdle(&c.place, c.front.loop.Now())
+		c.front.admission.MarkIdle(&c.admissionConn, c.front.loop.Now())
 	}
 }
 
--- a/internal/ingress/closing.go
+++ b/internal/ingress/closing.go
@@ -144,7 +144,7 @@
 	c.net = nil
 	f.removeClient(c)
 	f.loop.Unset(&c.timer)
-	f.admission.Release(&c.place)
+	f.admission.Release(&c.admissionConn)
 	open := c.dropReplies()
 	if len(open) > 0 {
 		f.loop.recordViolation(lifecycle.CheckClose(len(open), reason.allowsOpenRequests()), open[0])
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -63,7 +63,7 @@
 					open, answered := -1, uint64(0)
 					r.eventually("the disconnect to be noticed", func(l *loop) bool {
 						open = l.pool.Open()
-						answered = l.figures.classes[1].Failure + l.figures.classes[1].Busy
+						answered = l.metrics.classes[1].Failure + l.metrics.classes[1].Busy
 						return len(r.server.front.clients) == 0
 					})
 					if answered != 0 {
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -85,8 +85,8 @@
 			c.markDirty() // continues the stream that exceeded its turn
 		}
 	}
-	if f.loop.starved {
-		f.loop.starved = false
+	if f.loop.outOfDescriptors {
+		f.loop.outOfDescriptors = false
 		f.noteShortage(f.loop.Now())
 	}
 	f.admitAndClose()
@@ -134,7 +134,7 @@
 		// The end is taken from the event and not from a read: while nothing is read, because of pending replies or
 		// a pause, the end lies behind bytes that nobody waits for any more, and waiting requests would be sent to
 		// backends though their client has disconnected.
-		if c.place.Idle() {
+		if c.admissionConn.Idle() {
 			// When thousands of clients disconnect at once, the events of the few busy ones are among theirs.
 			// Closing each connection immediately would delay the busy ones.
 			f.queueClose(c)
@@ -305,7 +305,7 @@
 func (f *front) addClient(nc reactor.Conn, now time.Duration) {
 	f.accepted++
 	c := &client{front: f, net: nc, number: f.accepted}
-	c.place.Owner, c.timer.Owner = c, c
+	c.admissionConn.Owner, c.timer.Owner = c, c
 	f.watchClient(c, now)
 }
 
@@ -321,7 +321,7 @@
 	c.index, c.readDeadline, c.readTimed = len(f.clients), now+firstCommandTimeout, true
 	f.loop.events.connectionAccepted(c)
 	f.clients = append(f.clients, c)
-	f.admission.Admit(&c.place, now)
+	f.admission.Admit(&c.admissionConn, now)
 	c.resetTimer()
 	if f.finished { // it has waited in the backlog: only what it already holds is processed
 		c.finish()
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -32,25 +32,25 @@
 // pool's turn of the round.
 type loop struct {
 	*reactor.Loop
-	cfg            *Config
-	gateway        *choice.Gateway
-	fleet          *fleet.Fleet // of the gateway's backends
-	ready          bool         // discovery was asked and backends are known
-	discoveryAsked bool         // discovery was asked at least once
-	pool           *upstream.Pool
-	starved        bool // descriptors have run out in a dial; the front makes room in its turn
-	requests       map[uint32]*request
-	lastID         uint32
-	ids            recentIDs
-	memory         *memory
-	answers        []answer // given by the gateway and not delivered yet
-	delivering     bool
-	figures        metrics
-	events         eventLog
-	starts         startClock
-	rules          []lifecycle.Rules // by class
-	freeAlarms     *alarm            // of the gateway's timers, to be reused
-	terms          *runtimeConfig    // nil while no version of the configuration was in force
+	cfg              *Config
+	gateway          *choice.Gateway
+	fleet            *fleet.Fleet // of the gateway's backends
+	ready            bool         // discovery was asked and backends are known
+	discoveryAsked   bool         // discovery was asked at least once
+	pool             *upstream.Pool
+	outOfDescriptors bool // descriptors have run out in a dial; the front makes room in its turn
+	requests         map[uint32]*request
+	lastID           uint32
+	ids              recentIDs
+	memory           *memory
+	answers          []answer // given by the gateway and not delivered yet
+	delivering       bool
+	metrics          metrics
+	events           eventLog
+	starts           startClock
+	rules            []lifecycle.Rules // by class
+	freeAlarms       *alarm            // of the gateway's timers, to be reused
+	runtimeConfig    *runtimeConfig    // nil while no version of the configuration was in force
 }
 
 // outcomeKind is how a request ends for its client.
@@ -103,7 +103,7 @@
 
 func newLoop(cfg *Config, on *reactor.Loop) (*loop, error) {
 	l := &loop{
-		Loop: on, cfg: cfg, requests: map[uint32]*request{}, figures: metrics{classes: make([]ClassCounters, len(cfg.Choice.Classes))},
+		Loop: on, cfg: cfg, requests: map[uint32]*request{}, metrics: metrics{classes: make([]ClassCounters, len(cfg.Choice.Classes))},
 		memory: &memory{limit: int64(cfg.Limits.MemoryMB) << 20 / clientMemoryDivisor},
 	}
 	l.rules = lifecycleRules(cfg.Choice)
@@ -158,7 +158,7 @@
 	l.requests[r.id] = r
 	r.takenAt = l.Now()
 	r.state = lifecycle.Request{Rules: &l.rules[r.class], Deadline: r.deadline}
-	l.figures.open++
+	l.metrics.open++
 	now := l.Now()
 	if l.ids.add(r.requestID, now) {
 		l.gateway.Request(now, choice.Request{
@@ -214,7 +214,7 @@
 	}
 	for _, r := range open {
 		if r.state.Abandon() {
-			l.figures.open--
+			l.metrics.open--
 			l.events.requestAbandoned(r)
 			if len(r.attempts) == 0 {
 				l.ids.remove(r.requestID) // no attempt was made: the id may be used again
@@ -276,22 +276,22 @@
 // streamEnded records the end of a large value's transfer to its client. The request counts as failed if the
 // client did not get all of it.
 func (l *loop) streamEnded(r *request, whole bool) {
-	l.figures.open--
+	l.metrics.open--
 	if whole {
-		l.figures.classes[r.class].Success++
+		l.metrics.classes[r.class].Success++
 	} else {
-		l.figures.classes[r.class].Failure++
+		l.metrics.classes[r.class].Failure++
 	}
 }
 
 // OutOfDescriptors notes that a dial needs a descriptor. Connections are closed for it later: this is called while
 // the gateway is running, and closing a connection may end requests.
-func (l *loop) OutOfDescriptors() { l.starved = true }
+func (l *loop) OutOfDescriptors() { l.outOfDescriptors = true }
 
 // Written counts an attempt that was written whole to a backend.
 func (l *loop) Written(a *upstream.Attempt) {
 	if !a.Probe {
-		l.figures.classes[a.Owner.(*request).class].Calls++
+		l.metrics.classes[a.Owner.(*request).class].Calls++
 	}
 }
 
@@ -310,8 +310,8 @@
 	l.events.requestAnswered(r, o.kind)
 	l.withdraw(r) // a hedged attempt that has not been sent yet
 	if o.stream == nil {
-		l.figures.open--
-		l.figures.classes[r.class].count(o.kind)
+		l.metrics.open--
+		l.metrics.classes[r.class].count(o.kind)
 	}
 	l.answers = append(l.answers, answer{r.replyTo, o})
 }
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -45,17 +45,17 @@
 		b = strconv.AppendUint(append(b, '='), v, 10)
 		b = append(b, '\n')
 	}
-	for n, c := range l.figures.classes {
+	for n, c := range l.metrics.classes {
 		name := l.cfg.classNames[n]
 		line("success", name, c.Success)
 		line("busy", name, c.Busy)
 		line("failure", name, c.Failure)
 		line("backend_calls", name, c.Calls)
 	}
-	line("inflight", "", uint64(l.figures.open))
+	line("inflight", "", uint64(l.metrics.open))
 	line("hosts_listed", "", uint64(l.pool.BackendCount()))
 	line("hosts_down", "", uint64(l.gateway.UnavailableBackends(l.Now())))
-	if t := l.terms; t != nil {
+	if t := l.runtimeConfig; t != nil {
 		line("config_version", "", t.version)
 		line("config_settled", "", t.settled)
 	}
--- a/internal/ingress/runtimeconfig.go
+++ b/internal/ingress/runtimeconfig.go
@@ -45,10 +45,10 @@
 // reactor's goroutine.
 func (i *Ingress) Configure(u *distribution.ActiveConfig) error {
 	l := i.loop
-	if l.terms == nil {
-		l.terms = &runtimeConfig{base: l.cfg.Choice, planIndexes: maps.Clone(l.cfg.plans), plans: l.cfg.Choice.Plans}
+	if l.runtimeConfig == nil {
+		l.runtimeConfig = &runtimeConfig{base: l.cfg.Choice, planIndexes: maps.Clone(l.cfg.plans), plans: l.cfg.Choice.Plans}
 	}
-	t := l.terms
+	t := l.runtimeConfig
 	indexes, known := maps.Clone(t.planIndexes), map[string]int{}
 	plans := append([]choice.Plan(nil), t.plans...)
 	keys := u.Keys(distribution.KindPlan)
--- a/internal/ingress/runtimeconfig_test.go
+++ b/internal/ingress/runtimeconfig_test.go
@@ -64,7 +64,7 @@
 	want("gold", served)
 	want("basic", unknown)
 	r.onLoop(func(l *loop) {
-		if l.cfg.Choice.MaxUnits != l.terms.base.MaxUnits {
+		if l.cfg.Choice.MaxUnits != l.runtimeConfig.base.MaxUnits {
 			t.Error("a limit that the version does not set has changed")
 		}
 	})
@@ -112,7 +112,7 @@
 		t.Error("a plan with a negative rate is accepted")
 	}
 	r.onLoop(func(l *loop) {
-		if _, known := l.cfg.plans["a"]; known || l.terms.version != 0 {
+		if _, known := l.cfg.plans["a"]; known || l.runtimeConfig.version != 0 {
 			t.Error("a refused version has changed the configuration")
 		}
 	})
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -255,7 +255,7 @@
 	select {
 	case <-empty:
 	case <-time.After(longest + finalAnswerGrace):
-		s.loop.Do(func() { s.loop.recordViolation(lifecycle.CheckExit(s.loop.figures.open), nil) })
+		s.loop.Do(func() { s.loop.recordViolation(lifecycle.CheckExit(s.loop.metrics.open), nil) })
 	}
 	return nil
 }
